--- a/core/assign/assign.go
+++ b/core/assign/assign.go
@@ -1,21 +1,22 @@
-// Package assign decides which target holds which keys of a service. One router at a
-// time, the leader, runs it; what it decides is in the store before it is ordered, so that
-// a leader that was superseded can't act on a division that no longer holds.
+// Package assign decides which target holds which keys of a service. One router at a time, the
+// leader, runs it. Each decision is in the store before the orders that follow from it are
+// sent, so that a leader that was superseded can't act on an assignment that is no longer
+// valid.
 //
-// How it keeps a key from having two holders:
+// A key never has two holders, because:
 //
-//   - A key leaves its holder only by a release that the holder has answered, by the
-//     holder's next life, which knows of nothing, once the holder is known to have ended,
-//     or once every grant that may have reached it has lapsed.
-//   - A release carries a token above that of the grant, so that an older renewal that is
-//     still on its way is refused after it; the next grant carries a token above that.
-//   - A leader that takes over first grants everything again, to the same holders, under
-//     new tokens. From the answer on the holder refuses what the old leader still sends.
-//     A holder that doesn't answer may be renewed by the old leader for as long as that
-//     one may renew at all, and only then begins to lapse.
+//   - A key leaves its holder only when the holder has acknowledged a release, when a new
+//     instance of the holder, which holds nothing, has started, when the holder is known to
+//     have ended, or when every grant that may have reached the holder has expired.
+//   - A release carries a higher token than the grant, so that an older renewal that arrives
+//     after it is refused. The next grant carries a higher token than the release.
+//   - A new leader first grants all keys again, to the same holders under new tokens. Once a
+//     holder has accepted, it refuses whatever the old leader still sends. A holder that
+//     doesn't answer may be renewed by the old leader until that leader must stop sending
+//     renewals; only then do its grants start to expire.
 //
-// The package is deterministic: Step takes the time, messages come by methods, orders and
-// writes go out as values.
+// The package is deterministic: Step takes the time as a parameter, messages arrive as method
+// calls, and orders and writes are returned as values.
 package assign
 
 import (
@@ -26,63 +27,67 @@
 
 // Defaults of Config.
 const (
-	// DefaultHold bounds how long keys stay with a holder that was lost without a word. It
-	// is long enough for another router to take the leader's place first: its lease of
-	// 1.2 s, and a renewal of half a second.
+	// DefaultHold bounds how long keys stay with a holder that has become unreachable. It is
+	// long enough for another router to take over as leader first: 1.2 s for the leader's
+	// lease to expire, and half a second for a renewal.
 	DefaultHold = 2 * time.Second
-	// DefaultRenew leaves room for two lost renewals.
+	// DefaultRenew allows for two lost renewals.
 	DefaultRenew = 500 * time.Millisecond
-	// clockSlack is by how much longer a holder's clock may measure a grant, in parts.
-	clockSlack = 0.02
-	// lapseMargin covers the way of an order whose connection has ended.
-	lapseMargin = 100 * time.Millisecond
-	// WireDelay is for how long after it was given up an order may still arrive, from what
-	// waits before it in the queue of a full link. VMs of 10 Mbit/s were seen to hold bytes
-	// back by half a second and more; a grant that came that late was held beyond the time
-	// at which its keys went to another target.
+	// maxClockDrift is the fraction by which a holder's clock may run slow, so that its grant
+	// lasts longer.
+	maxClockDrift = 0.02
+	// expiryMargin covers the transit time of an order whose connection has ended.
+	expiryMargin = 100 * time.Millisecond
+	// WireDelay is how long after its timeout an order may still arrive, because it waits in
+	// the queue of a full link. VMs with 10 Mbit/s held bytes back for more than half a
+	// second; a grant that arrived that late was still held when its keys had already gone to
+	// another target.
 	WireDelay = 600 * time.Millisecond
-	// failuresToLose is how many orders in a row have to fail before a holder counts as
-	// lost, and loseAfter how long ago it must have answered: single orders meet broken
-	// connections or are left unanswered, and with many ranges three of them soon do at
-	// one moment.
-	failuresToLose = 3
-	loseAfter      = 700 * time.Millisecond
-	// retryOrder is the pause after an order that failed, which grows with each further
-	// failure of its target up to maxRetryOrder: a data centre that is cut off has the
-	// leader try some hundred ranges.
-	retryOrder    = 50 * time.Millisecond
-	maxRetryOrder = 400 * time.Millisecond
-	// rangesPerTarget is the number of ranges for each target above which neighbours are
-	// merged, and mergeEvery how often.
-	rangesPerTarget = 3
-	mergeEvery      = 2 * time.Second
-	// gatherPause is how long after the last new target a new service's keys are given out,
-	// and gatherMost how long after the first at the latest.
-	gatherPause = 1200 * time.Millisecond
-	gatherMost  = 4 * time.Second
-	// releaseAgain is the pause between releases to a holder that doesn't answer, which grows
-	// likewise up to maxReleaseAgain; each may find it back and save waiting for the lapse.
-	releaseAgain    = 250 * time.Millisecond
-	maxReleaseAgain = time.Second
+	// minFailures is how many orders in a row must fail before a holder counts as unreachable,
+	// and unreachableAfter how long ago its last answer must be. Single orders fail through
+	// broken connections or time out, and with many ranges three of them often fail at the
+	// same moment.
+	minFailures      = 3
+	unreachableAfter = 700 * time.Millisecond
+	// grantRetryDelay is the pause after a failed grant. It grows with each further failure of
+	// the same target up to maxGrantRetryDelay, because a data centre that is cut off has the
+	// leader retry hundreds of ranges.
+	grantRetryDelay    = 50 * time.Millisecond
+	maxGrantRetryDelay = 400 * time.Millisecond
+	// mergeThreshold is the number of ranges per target above which neighbouring ranges are
+	// merged, and mergeInterval the least time between two rounds of merging.
+	mergeThreshold = 3
+	mergeInterval  = 2 * time.Second
+	// placementQuietPeriod is how long after the last new target the keys of a new service are
+	// assigned, and maxPlacementDelay the longest time after the first target.
+	placementQuietPeriod = 1200 * time.Millisecond
+	maxPlacementDelay    = 4 * time.Second
+	// releaseRetryDelay is the pause between releases to a holder that doesn't answer. It
+	// grows with each failure up to maxReleaseRetryDelay. A release that reaches the holder
+	// saves waiting for its grants to expire.
+	releaseRetryDelay    = 250 * time.Millisecond
+	maxReleaseRetryDelay = time.Second
 )
 
-// Config holds the times of the assignment. Zero fields take their defaults.
+// Config holds the durations that the assignment uses, and what is known of the store. Hold,
+// LongHold and Renew have defaults.
 type Config struct {
-	// Hold is how long a grant lasts, LongHold how long where the store isn't reached,
-	// because then no other router could take over.
+	// Hold is the TTL of a grant, and LongHold its TTL while the store is unreachable, when no
+	// other router could take over.
 	Hold, LongHold time.Duration
 	// Renew is the time between two renewals of a grant.
 	Renew time.Duration
 	// OldLeader bounds how long after the loss of its lease another leader may still send
 	// renewals.
 	OldLeader time.Duration
-	// Era is that of the store, see Assigner.Restored.
+	// Era is the store era, see Assigner.Restored.
 	Era uint32
-	// Outdated says that the store may have lost what a former leader wrote: the table's holders
-	// may be wrong, and no key is granted before all that that one may have granted has lapsed.
+	// Outdated reports whether the store may have lost writes of a former leader. The holders
+	// in its table may then be wrong, and no key is granted until everything that the former
+	// leader may have granted has expired.
 	Outdated bool
-	// WriteInterval is the least time between two writes of the table; zero bounds it by
-	// the writes' own time.
+	// WriteInterval is the least time between two writes of the table. If it is zero, only the
+	// duration of each write limits the rate.
 	WriteInterval time.Duration
 }
 
@@ -99,16 +104,16 @@
 	return c
 }
 
-// Kind is what an order asks for.
+// Kind is the kind of an order.
 type Kind uint8
 
-// The kinds of orders.
+// Kinds of orders.
 const (
 	Grant Kind = iota
 	Release
 )
 
-// String returns the name as it is logged.
+// String returns the name used in logs.
 func (k Kind) String() string {
 	if k == Release {
 		return "release"
@@ -116,7 +121,7 @@
 	return "grant"
 }
 
-// Order is what a target is told.
+// Order is an order to a target to take keys or to give them up.
 type Order struct {
 	ID       uint64
 	Kind     Kind
@@ -124,44 +129,44 @@
 	Address  string
 	From, To keyspace.Key
 	Token    uint64
-	// Hold is how long the grant lasts from its arrival; Handover is what the last holder
-	// gave with its release.
+	// Hold is the TTL of the grant, counted from its arrival. Handover is the data that the
+	// previous holder returned with its release.
 	Hold     time.Duration
 	Handover string
-	// First says that the keys were not granted under this token before.
+	// First reports whether this is the first grant of the keys under this token.
 	First bool
 }
 
-// Outcome is how an order ended.
+// Outcome is the result of an order.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of an order.
 const (
-	// Accepted orders were answered and hold.
+	// Accepted orders were answered and are in effect.
 	Accepted Outcome = iota
-	// Superseded grants were refused, because the target has seen a higher token.
+	// Superseded grants were refused because the target has seen a higher token.
 	Superseded
 	// NotSent orders never left this router.
 	NotSent
-	// Broken orders may have been carried out; their connection has ended, so that they
-	// can't arrive later.
+	// Broken orders may have been carried out. Their connection has ended, so that they can't
+	// arrive later.
 	Broken
-	// Unanswered orders were given up; they may have been carried out, or may arrive yet.
+	// Unanswered orders timed out. They may have been carried out, or may still arrive.
 	Unanswered
 )
 
-// known reports whether the target answered.
-func (o Outcome) known() bool { return o == Accepted || o == Superseded }
+// answered reports whether the target answered.
+func (o Outcome) answered() bool { return o == Accepted || o == Superseded }
 
-// late is for how long after an order has ended so it may still arrive.
-func (o Outcome) late() time.Duration {
+// maxLateArrival is how long after this outcome the order may still arrive.
+func (o Outcome) maxLateArrival() time.Duration {
 	if o == Unanswered {
 		return WireDelay
 	}
 	return 0
 }
 
-// String returns the name as it is logged.
+// String returns the name used in logs.
 func (o Outcome) String() string {
 	switch o {
 	case Accepted:
@@ -177,18 +182,18 @@
 	}
 }
 
-// Write is a table that is to be put into the store.
+// Write is a table to be written to the store.
 type Write struct {
 	Generation uint64
 	Table      *keyspace.Table
 }
 
-// Actions are what Step asks for.
+// Actions is the result of Step: what the caller of Step must do.
 type Actions struct {
 	Orders []Order
-	// Write is nil where there is nothing to write or one is under way.
+	// Write is nil if there is nothing to write or a write is in flight.
 	Write *Write
-	// Next is when Step is due again.
+	// Next is when Step must run again.
 	Next time.Time
 }
 
@@ -198,41 +203,45 @@
 	Target   string
 }
 
-// span is a segment with what the leader knows of it.
+// span is a segment of the table with the leader's state for it.
 type span struct {
 	keyspace.Segment
-	// generation is that of the write which has the segment as it is.
+	// generation is the first write of the table that contains the segment in its present
+	// state.
 	generation uint64
-	// acked says that the holder has accepted the grant under the present token.
+	// acked reports whether the holder has accepted the grant under the current token.
 	acked bool
-	// next is where the keys go; empty leaves it open until they are free.
-	next string
-	// fence is the token of the release.
-	fence    uint64
-	handover string
-	// lapse is when the last grant that may have reached the holder has lapsed. A target
-	// keeps to the longest of the times that it was granted, whatever came after it.
-	lapse time.Time
-	// oldLapse is when the last grant of another leader has lapsed; it counts beside lapse.
-	oldLapse time.Time
-	// inherited says that the holder may have been granted the keys by another leader, and
-	// has not accepted a grant of this one.
+	// nextTarget is the target that the keys move to. If it is empty, the target is chosen
+	// once the keys have no holder.
+	nextTarget string
+	// releaseToken is the token of the release.
+	releaseToken uint64
+	handover     string
+	// expiry is when the last grant that may have reached the holder has expired. A target
+	// keeps to the longest of the TTLs that it was granted, whatever came after.
+	expiry time.Time
+	// oldLeaderExpiry is when the last grant of another leader has expired. The later of
+	// expiry and oldLeaderExpiry counts.
+	oldLeaderExpiry time.Time
+	// inherited reports whether another leader may have granted the keys to the holder, which
+	// has not accepted a grant of this leader yet.
 	inherited bool
-	// busy says that an order is under way, due when the next may go out.
-	busy bool
-	due  time.Time
-	// fresh says that the holder has not had the keys before, so that it refuses requests
-	// for them until it has accepted the grant.
-	fresh bool
-	// firstSent says that the grant went out under the present token, and releaseSent that
-	// the holder was told to give the keys up.
-	firstSent, releaseSent bool
+	// orderInFlight reports whether an order is in flight, nextOrderAt when the next may be
+	// sent.
+	orderInFlight bool
+	nextOrderAt   time.Time
+	// newHolder reports whether the holder did not have the keys before, so that it refuses
+	// requests for them until it has accepted the grant.
+	newHolder bool
+	// grantSent reports whether a grant was sent under the current token, and releaseSent
+	// whether the holder was ordered to release the keys.
+	grantSent, releaseSent bool
 }
 
-// lapsed is when no grant that may have reached the holder lasts any more.
-func (s *span) lapsed() time.Time { return laterOf(s.lapse, s.oldLapse) }
+// lastExpiry is when every grant that may have reached the holder has expired.
+func (s *span) lastExpiry() time.Time { return laterOf(s.expiry, s.oldLeaderExpiry) }
 
-// Assigner holds the keys of one service. It is not safe for concurrent use.
+// Assigner assigns the keys of one service. It is not safe for concurrent use.
 type Assigner struct {
 	cfg        Config
 	service    string
@@ -240,70 +249,71 @@
 	era        uint32
 	spans      []span
 	candidates map[string]*candidate
-	// ended has the lives of targets that are over for certain.
-	ended map[keyspace.Holder]bool
-	load  *LoadTracker
-	// limits are the keys of which just a part of the requests is served.
-	limits map[keyspace.Key]keyLimit
-
-	// generation counts changes to the table, sent and written those in the store.
-	generation, sent, written uint64
-	writing                   bool
-	// writeDue is when the table may be written next.
-	writeDue  time.Time
-	storeAway bool
-
-	orders  map[uint64]pending
-	orderID uint64
-	// mergeDue is when ranges may be merged next.
-	mergeDue time.Time
-
-	// freeUntil is when all that a former leader may have granted under a table that was lost
-	// has lapsed.
-	freeUntil time.Time
-
-	// unborn says that no key has ever had a holder; since is when the first target was
-	// seen, and grown when the last was.
-	unborn       bool
-	since, grown time.Time
+	// endedHolders are the target instances that are known to have ended.
+	endedHolders map[keyspace.Holder]bool
+	loadTracker  *LoadTracker
+	// keyLimits are the hot keys of which only part of the requests is served.
+	keyLimits map[keyspace.Key]keyLimit
+
+	// generation counts changes of the table. sentGeneration is the last one sent to the
+	// store, and writtenGeneration the last one known to be stored.
+	generation, sentGeneration, writtenGeneration uint64
+	writeInFlight                                 bool
+	// nextWriteAt is the earliest time of the next write of the table.
+	nextWriteAt      time.Time
+	storeUnreachable bool
+
+	pendingOrders map[uint64]pendingOrder
+	lastOrderID   uint64
+	// nextMergeAt is the earliest time of the next round of merging.
+	nextMergeAt time.Time
+
+	// noPlacementBefore is when all grants of a former leader whose table was lost have
+	// expired.
+	noPlacementBefore time.Time
+
+	// neverPlaced reports whether no key has ever had a holder. firstTargetAt is when the
+	// first target was seen, and lastTargetAt when the latest new one was.
+	neverPlaced                 bool
+	firstTargetAt, lastTargetAt time.Time
 }
 
-// TakeOver returns the assignment for a new leader, from the table that the store has;
-// nil where there is none yet.
+// TakeOver returns the assigner of a new leader, with the assignment of the stored table;
+// table is nil if there is none yet.
 func TakeOver(now time.Time, cfg Config, service string, table *keyspace.Table) *Assigner {
 	a := &Assigner{
-		cfg: cfg.withDefaults(), service: service, candidates: map[string]*candidate{}, load: NewLoadTracker(),
-		orders: map[uint64]pending{},
+		cfg: cfg.withDefaults(), service: service, candidates: map[string]*candidate{}, loadTracker: NewLoadTracker(),
+		pendingOrders: map[uint64]pendingOrder{},
 	}
 	if table == nil {
 		table = keyspace.New(service)
-		a.unborn = true
+		a.neverPlaced = true
 	}
 	a.nextToken = table.NextToken
-	a.raise(cfg.Era)
+	a.raiseNextToken(cfg.Era)
 	a.generation = 1
 	if cfg.Outdated {
-		a.freeUntil = now.Add(a.cfg.OldLeader + lapseAfter(a.cfg.LongHold))
+		a.noPlacementBefore = now.Add(a.cfg.OldLeader + expiresAfter(a.cfg.LongHold))
 	}
-	inherited := now.Add(a.cfg.OldLeader + lapseAfter(a.cfg.LongHold))
+	oldLeaderExpiry := now.Add(a.cfg.OldLeader + expiresAfter(a.cfg.LongHold))
 	token := a.takeToken()
-	for _, s := range table.Segments {
-		s.Moving, s.Lost = false, false
-		n := span{Segment: s, generation: a.generation}
+	for _, segment := range table.Segments {
+		segment.Moving, segment.Lost = false, false
+		sp := span{Segment: segment, generation: a.generation}
 		switch {
-		case s.Target != "" && cfg.Outdated:
-			n.Holder, n.Token, n.next = keyspace.Holder{}, 0, s.Target
-		case s.Target != "":
-			n.Token, n.oldLapse, n.inherited = token, inherited, true
+		case segment.Target != "" && cfg.Outdated:
+			sp.Holder, sp.Token, sp.nextTarget = keyspace.Holder{}, 0, segment.Target
+		case segment.Target != "":
+			sp.Token, sp.oldLeaderExpiry, sp.inherited = token, oldLeaderExpiry, true
 		}
-		a.spans = append(a.spans, n)
+		a.spans = append(a.spans, sp)
 	}
 	return a
 }
 
-// lapseAfter is when a grant has lapsed for certain, from when it was sent off.
-func lapseAfter(hold time.Duration) time.Duration {
-	return hold + time.Duration(float64(hold)*clockSlack) + lapseMargin
+// expiresAfter is the time after which a grant sent now has certainly expired.
+func expiresAfter(ttl time.Duration) time.Duration {
+	return ttl + time.Duration(float64(ttl)*maxClockDrift) + expiryMargin
 }
 
 func (a *Assigner) takeToken() uint64 {
@@ -311,28 +321,30 @@
 	return a.nextToken - 1
 }
 
-// tokenShift is how many bits of a token count within an era of the store. The era stands above
-// them: tokens that were given out and forgotten in an earlier one are lower.
-const tokenShift = 40
+// eraShift is the number of low bits of a token that count within one store era. The era is in
+// the bits above, so that tokens issued in an earlier era and lost with a restore are always
+// lower.
+const eraShift = 40
 
-// raise has tokens begin above those of earlier eras.
-func (a *Assigner) raise(era uint32) {
+// raiseNextToken makes the next token higher than all tokens of earlier eras.
+func (a *Assigner) raiseNextToken(era uint32) {
 	a.era = max(a.era, era)
-	a.nextToken = max(a.nextToken, uint64(a.era)<<tokenShift)
+	a.nextToken = max(a.nextToken, uint64(a.era)<<eraShift)
 }
 
-// Restored notes that the store has come back from an older copy, in an era. Its table is
-// older than what is ordered, and is written again; grants go on as in an outage.
+// Restored records that the store was restored from an older copy and is now in the given era.
+// The stored table is older than the orders sent, and is written again; grants continue as
+// during an outage of the store.
 func (a *Assigner) Restored(era uint32) {
-	a.raise(era)
-	a.generation = max(a.generation, a.sent) + 1
+	a.raiseNextToken(era)
+	a.generation = max(a.generation, a.sentGeneration) + 1
 }
 
-// Load returns what is known of the keys' load.
-func (a *Assigner) Load() *LoadTracker { return a.load }
+// Load returns the tracker of the keys' load.
+func (a *Assigner) Load() *LoadTracker { return a.loadTracker }
 
-// Service is the name of the service.
+// Service returns the name of the service.
 func (a *Assigner) Service() string { return a.service }
 
-// SetStoreAway notes whether the store is not reached: grants then last longer.
-func (a *Assigner) SetStoreAway(away bool) { a.storeAway = away }
+// SetStoreAway records whether the store is unreachable. Grants then have the longer TTL.
+func (a *Assigner) SetStoreAway(away bool) { a.storeUnreachable = away }
--- a/core/assign/assign_test.go
+++ b/core/assign/assign_test.go
@@ -10,11 +10,11 @@
 	"tarragongw/core/keyspace"
 )
 
-var begin = time.Unix(5000, 0)
+var start = time.Unix(5000, 0)
 
-func after(d time.Duration) time.Time { return begin.Add(d) }
+func after(d time.Duration) time.Time { return start.Add(d) }
 
-func targetsOf(ids ...string) []directory.Target {
+func testTargets(ids ...string) []directory.Target {
 	var all []directory.Target
 	for _, id := range ids {
 		all = append(all, directory.Target{ID: id, Born: 1, Service: "s", Address: id, Slots: 4})
@@ -23,7 +23,7 @@
 }
 
 // settle carries out all that the assignment asks for, until it asks for nothing at once.
-func settle(a *Assigner, now time.Time) {
+func runToRest(a *Assigner, now time.Time) {
 	for range 20 {
 		actions := a.Step(now)
 		if actions.Write != nil {
@@ -39,19 +39,19 @@
 }
 
 // settled is an assignment whose keys the targets hold.
-func settled(t *testing.T, ids ...string) *Assigner {
+func newSettled(t *testing.T, ids ...string) *Assigner {
 	t.Helper()
-	a := TakeOver(begin, Config{}, "s", nil)
-	a.SetTargets(begin, targetsOf(ids...))
-	settle(a, begin)
-	settle(a, after(gatherPause))
+	a := TakeOver(start, Config{}, "s", nil)
+	a.SetTargets(start, testTargets(ids...))
+	runToRest(a, start)
+	runToRest(a, after(placementQuietPeriod))
 	for _, s := range a.spans {
 		assert.Assert(t, s.acked, "%d to %d", s.From, s.To)
 	}
 	return a
 }
 
-func sharesOf(a *Assigner) map[string]int {
+func keysPerTarget(a *Assigner) map[string]int {
 	keys := map[string]int{}
 	for i := range a.spans {
 		keys[a.spans[i].Target] += a.spans[i].Len()
@@ -62,40 +62,40 @@
 // Symptom: one target has all keys of a new service, the others none.
 // Cause: the keys are given out to the first target that is seen.
 func TestNewServiceWaitsForItsTargetsAndDealsEvenly(t *testing.T) {
-	a := TakeOver(begin, Config{}, "s", nil)
-	a.SetTargets(begin, targetsOf("a"))
-	settle(a, begin)
-	assert.DeepEqual(t, sharesOf(a), map[string]int{"": 1 << 16})
-	a.SetTargets(after(time.Second), targetsOf("a", "b", "c"))
-	settle(a, after(time.Second+gatherPause))
-	for id, keys := range sharesOf(a) {
+	a := TakeOver(start, Config{}, "s", nil)
+	a.SetTargets(start, testTargets("a"))
+	runToRest(a, start)
+	assert.DeepEqual(t, keysPerTarget(a), map[string]int{"": 1 << 16})
+	a.SetTargets(after(time.Second), testTargets("a", "b", "c"))
+	runToRest(a, after(time.Second+placementQuietPeriod))
+	for id, keys := range keysPerTarget(a) {
 		assert.Assert(t, keys > 1<<14 && keys < 1<<15, "%s has %d keys", id, keys)
 	}
-	assert.Equal(t, len(sharesOf(a)), 3)
+	assert.Equal(t, len(keysPerTarget(a)), 3)
 }
 
 // Nothing is ordered that the store doesn't have.
 func TestOrdersWaitForTheirWrite(t *testing.T) {
-	a := TakeOver(begin, Config{}, "s", nil)
-	a.SetTargets(begin, targetsOf("a"))
-	settle(a, begin)
-	actions := a.Step(after(gatherMost))
+	a := TakeOver(start, Config{}, "s", nil)
+	a.SetTargets(start, testTargets("a"))
+	runToRest(a, start)
+	actions := a.Step(after(maxPlacementDelay))
 	assert.Assert(t, actions.Write != nil)
 	assert.Equal(t, len(actions.Orders), 0)
 	a.Written(actions.Write.Generation, false)
-	actions = a.Step(after(gatherMost))
+	actions = a.Step(after(maxPlacementDelay))
 	assert.Assert(t, actions.Write != nil, "a write that failed is made again")
 	assert.Equal(t, len(actions.Orders), 0)
 	a.Written(actions.Write.Generation, true)
-	assert.Assert(t, len(a.Step(after(gatherMost)).Orders) > 0)
+	assert.Assert(t, len(a.Step(after(maxPlacementDelay)).Orders) > 0)
 }
 
 // Symptom: keys are not served for half a second with each move.
 // Sequence: a move is decided on; the store has it; the release waits for the next renewal.
 func TestReleaseFollowsItsWriteAtOnce(t *testing.T) {
-	a := settled(t, "a", "b")
+	a := newSettled(t, "a", "b")
 	now := after(2 * time.Second)
-	settle(a, now)
+	runToRest(a, now)
 	span := a.spans[0]
 	to := "a"
 	if span.Target == "a" {
@@ -123,11 +123,11 @@
 
 // A target that doesn't answer is asked for no longer than its grant lasts already.
 func TestTriesDoNotPutOffTheLapse(t *testing.T) {
-	a := settled(t, "a", "b")
-	lapse := a.spans[0].lapse
-	lost := a.spans[0].Target
-	now := after(gatherPause)
-	for now.Before(lapse) {
+	a := newSettled(t, "a", "b")
+	expiry := a.spans[0].expiry
+	unreachable := a.spans[0].Target
+	now := after(placementQuietPeriod)
+	for now.Before(expiry) {
 		now = now.Add(50 * time.Millisecond)
 		actions := a.Step(now)
 		if actions.Write != nil {
@@ -135,44 +135,44 @@
 		}
 		for _, o := range actions.Orders {
 			outcome := Accepted
-			if o.Holder.Target == lost {
+			if o.Holder.Target == unreachable {
 				outcome = Unanswered
 			}
 			a.Done(now.Add(time.Millisecond), o.ID, outcome, "")
 		}
 	}
-	assert.Assert(t, a.spans[0].lapse.Sub(lapse) <= DefaultRenew+DefaultHold, "the lapse moved by %v", a.spans[0].lapse.Sub(lapse))
+	assert.Assert(t, a.spans[0].expiry.Sub(expiry) <= DefaultRenew+DefaultHold, "the lapse moved by %v", a.spans[0].expiry.Sub(expiry))
 }
 
 // Three orders that are lost at one moment don't make a target lost.
 func TestTargetIsLostAfterSilenceNotAfterABurst(t *testing.T) {
-	a := settled(t, "a")
-	now := after(gatherPause)
+	a := newSettled(t, "a")
+	now := after(placementQuietPeriod)
 	for range 5 {
-		a.noteOutcome(now, "a", Unanswered)
+		a.recordOutcome(now, "a", Unanswered)
 	}
-	assert.Assert(t, !a.candidates["a"].lost)
-	a.noteOutcome(now.Add(loseAfter), "a", Unanswered)
-	assert.Assert(t, a.candidates["a"].lost)
-	a.noteOutcome(now.Add(loseAfter), "a", Accepted)
-	assert.Assert(t, !a.candidates["a"].lost)
+	assert.Assert(t, !a.candidates["a"].unreachable)
+	a.recordOutcome(now.Add(unreachableAfter), "a", Unanswered)
+	assert.Assert(t, a.candidates["a"].unreachable)
+	a.recordOutcome(now.Add(unreachableAfter), "a", Accepted)
+	assert.Assert(t, !a.candidates["a"].unreachable)
 }
 
 // Popular keys that lie close together are spread over the targets within a few moves, and
 // no more keys are moved than have to be.
 func TestPopularNeighboursAreSpread(t *testing.T) {
-	a := settled(t, "a", "b", "c", "d")
+	a := newSettled(t, "a", "b", "c", "d")
 	now := after(3 * time.Second)
-	settle(a, now)
+	runToRest(a, now)
 	moved := 0
-	hottest := func() (most float64, holder string) {
-		p := a.planWith(now, nil)
-		for _, at := range p.candidates {
-			if at.utilisation() > most {
-				most, holder = at.utilisation(), at.target.ID
+	hottest := func() (highest float64, holder string) {
+		p := a.planWithServiceTimes(now, nil)
+		for _, c := range p.candidates {
+			if c.utilisation() > highest {
+				highest, holder = c.utilisation(), c.target.ID
 			}
 		}
-		return most, holder
+		return highest, holder
 	}
 	for i := range 600 {
 		a.Load().Add(now, keyspace.Key(30000+i%60), 1)
@@ -186,22 +186,22 @@
 				moved += int(m.To) - int(m.From) + 1
 			}
 		}
-		settle(a, now)
+		runToRest(a, now)
 	}
-	most, _ := hottest()
-	assert.Assert(t, most < before*0.55, "%v of %v", most, before)
+	highest, _ := hottest()
+	assert.Assert(t, highest < before*0.55, "%v of %v", highest, before)
 	assert.Assert(t, moved < 1<<15, "%d keys were moved", moved)
 }
 
 // Neighbours of one holder become one range once there are many.
 func TestRangesAreMerged(t *testing.T) {
-	a := settled(t, "a", "b")
+	a := newSettled(t, "a", "b")
 	now := after(4 * time.Second)
 	for k := 100; k < 1000; k += 50 {
-		a.carve(a.find(keyspace.Key(k)), keyspace.Key(k), keyspace.Key(k+20))
+		a.splitOut(a.indexOf(keyspace.Key(k)), keyspace.Key(k), keyspace.Key(k+20))
 	}
 	assert.Assert(t, len(a.spans) > 20)
-	settle(a, now)
+	runToRest(a, now)
 	assert.Assert(t, len(a.spans) < 10, "%d ranges", len(a.spans))
 	assert.NilError(t, a.Table().Check())
 }
@@ -212,23 +212,23 @@
 // target is as busy by many keys.
 // Cause: no move is looked for beyond the busiest target.
 func TestOneHotKeyDoesNotHoldUpOtherMoves(t *testing.T) {
-	a := settled(t, "a", "b", "c", "d")
+	a := newSettled(t, "a", "b", "c", "d")
 	now := after(3 * time.Second)
-	settle(a, now)
-	hot, broad := a.spans[0], a.spans[len(a.spans)-1]
-	assert.Assert(t, hot.Target != broad.Target)
+	runToRest(a, now)
+	hotRange, evenRange := a.spans[0], a.spans[len(a.spans)-1]
+	assert.Assert(t, hotRange.Target != evenRange.Target)
 	for i := range 300 {
-		a.Load().Add(now, hot.From+10, 1)
-		a.Load().Add(now, broad.From+keyspace.Key(i*broad.Len()/300), 0.9)
+		a.Load().Add(now, hotRange.From+10, 1)
+		a.Load().Add(now, evenRange.From+keyspace.Key(i*evenRange.Len()/300), 0.9)
 	}
 	moved := false
 	for range 6 {
 		now = now.Add(100 * time.Millisecond)
 		for _, m := range a.Rebalance(now, nil, 1) {
-			moved = moved || m.From >= broad.From && m.To <= broad.To
+			moved = moved || m.From >= evenRange.From && m.To <= evenRange.To
 			a.Begin(now, m)
 		}
-		settle(a, now)
+		runToRest(a, now)
 	}
 	assert.Assert(t, moved)
 }
@@ -237,19 +237,19 @@
 // Sequence: a renewal is lost; the next try, which by intent lasts no longer than the grant
 // already does, is accepted; the next full one is due after the usual pause.
 func TestFullRenewalFollowsAShortOneAtOnce(t *testing.T) {
-	a := settled(t, "a")
-	now := after(gatherPause + DefaultRenew)
+	a := newSettled(t, "a")
+	now := after(placementQuietPeriod + DefaultRenew)
 	first := a.Step(now).Orders
 	assert.Assert(t, len(first) > 0)
 	now = now.Add(400 * time.Millisecond)
 	for _, o := range first {
 		a.Done(now, o.ID, Unanswered, "")
 	}
-	now = now.Add(retryOrder)
-	again := a.Step(now).Orders
-	assert.Equal(t, len(again), len(first))
-	assert.Assert(t, again[0].Hold < DefaultHold)
-	for _, o := range again {
+	now = now.Add(grantRetryDelay)
+	retries := a.Step(now).Orders
+	assert.Equal(t, len(retries), len(first))
+	assert.Assert(t, retries[0].Hold < DefaultHold)
+	for _, o := range retries {
 		a.Done(now, o.ID, Accepted, "")
 	}
 	full := a.Step(now).Orders
@@ -261,22 +261,22 @@
 // Sequence: its keys lie in many ranges, each with a small part of what should be moved.
 // Cause: only ranges with about the wanted load are looked at.
 func TestLoadInManySmallRangesMoves(t *testing.T) {
-	a := settled(t, "a", "b", "c", "d")
+	a := newSettled(t, "a", "b", "c", "d")
 	now := after(3 * time.Second)
-	settle(a, now)
-	hot := a.spans[0]
-	size := keyspace.Key(hot.Len() / 12)
+	runToRest(a, now)
+	hotRange := a.spans[0]
+	size := keyspace.Key(hotRange.Len() / 12)
 	for i := range keyspace.Key(11) {
-		a.carve(a.find(hot.From+i*size), hot.From+i*size, hot.From+(i+1)*size-1)
+		a.splitOut(a.indexOf(hotRange.From+i*size), hotRange.From+i*size, hotRange.From+(i+1)*size-1)
 	}
-	a.mergeDue = now.Add(time.Hour)
+	a.nextMergeAt = now.Add(time.Hour)
 	for i := range 600 {
-		a.Load().Add(now, hot.From+keyspace.Key(i*hot.Len()/600), 1)
+		a.Load().Add(now, hotRange.From+keyspace.Key(i*hotRange.Len()/600), 1)
 	}
 	moves := a.Rebalance(now, nil, 1)
 	assert.Assert(t, len(moves) >= 4, "%v", moves)
 	for _, m := range moves {
-		assert.Assert(t, m.From >= hot.From && m.To <= hot.To, "%v", m)
+		assert.Assert(t, m.From >= hotRange.From && m.To <= hotRange.To, "%v", m)
 	}
 }
 
@@ -286,16 +286,16 @@
 // have carried out.
 func TestOrdersThatNeverLeftDoNotPutOffTheLapse(t *testing.T) {
 	for _, c := range []struct {
-		outcome Outcome
-		later   bool
+		outcome  Outcome
+		extended bool
 	}{{NotSent, false}, {Broken, true}, {Unanswered, true}} {
-		a := settled(t, "a")
-		before := a.spans[0].lapse
-		now := after(gatherPause + DefaultRenew)
+		a := newSettled(t, "a")
+		before := a.spans[0].expiry
+		now := after(placementQuietPeriod + DefaultRenew)
 		orders := a.Step(now).Orders
 		assert.Assert(t, len(orders) > 0)
 		a.Done(now.Add(300*time.Millisecond), orders[0].ID, c.outcome, "")
-		assert.Equal(t, a.spans[0].lapse.After(before), c.later, "%v", c.outcome)
+		assert.Equal(t, a.spans[0].expiry.After(before), c.extended, "%v", c.outcome)
 		assert.Equal(t, a.candidates["a"].failures, 1, "%v", c.outcome)
 	}
 }
--- a/core/assign/candidates.go
+++ b/core/assign/candidates.go
@@ -7,71 +7,72 @@
 	"tarragongw/core/keyspace"
 )
 
-// candidate is what the leader knows of one target.
+// candidate is the leader's state for one target.
 type candidate struct {
 	target directory.Target
-	// failures counts orders without an answer since the last one with, which came at
-	// answered; for a new candidate that is when it was seen first.
-	failures int
-	answered time.Time
-	lost     bool
+	// failures counts the orders that failed since the last answer, which came at lastAnswer.
+	// For a new candidate lastAnswer is when it was first seen.
+	failures    int
+	lastAnswer  time.Time
+	unreachable bool
 }
 
-// SetTargets notes the targets that there are.
+// SetTargets sets the known targets.
 func (a *Assigner) SetTargets(now time.Time, targets []directory.Target) {
 	candidates := make(map[string]*candidate, len(targets))
 	for _, t := range targets {
 		if t.Service != a.service {
 			continue
 		}
-		s, known := a.candidates[t.ID]
-		if !known || s.target.Born != t.Born || s.target.Address != t.Address {
-			s = &candidate{answered: now}
-			a.grown = now
+		c, known := a.candidates[t.ID]
+		if !known || c.target.Born != t.Born || c.target.Address != t.Address {
+			c = &candidate{lastAnswer: now}
+			a.lastTargetAt = now
 		}
-		s.target = t
-		candidates[t.ID] = s
+		c.target = t
+		candidates[t.ID] = c
 	}
 	a.candidates = candidates
 }
 
-// SetEnded notes which lives of targets have ended for certain; they hold nothing any more.
-func (a *Assigner) SetEnded(ended []keyspace.Holder) {
-	a.ended = make(map[keyspace.Holder]bool, len(ended))
-	for _, h := range ended {
-		a.ended[h] = true
+// SetEnded sets the target instances that are known to have ended and hold no keys any more.
+func (a *Assigner) SetEnded(holders []keyspace.Holder) {
+	a.endedHolders = make(map[keyspace.Holder]bool, len(holders))
+	for _, h := range holders {
+		a.endedHolders[h] = true
 	}
 }
 
-// OldLeaderStops tells when the last grant of the usual length and the last long one of the
-// leaders before may arrive: targets that don't answer this one need not be waited for any
-// longer than those last, and those that do only for the long ones that they took before.
-func (a *Assigner) OldLeaderStops(usual, long time.Time) {
-	longLapse := long.Add(lapseAfter(a.cfg.LongHold))
-	lapse := laterOf(usual.Add(lapseAfter(a.cfg.Hold)), longLapse)
-	a.freeUntil = earlierOf(a.freeUntil, lapse)
+// OldLeaderStops sets the latest times at which a grant with the usual TTL, and one with the
+// long TTL, of a former leader may arrive. Targets that don't answer this leader need not be
+// waited for longer than those grants last, and targets that answer it only for long grants
+// that they accepted earlier.
+func (a *Assigner) OldLeaderStops(lastGrant, lastLongGrant time.Time) {
+	longExpiry := lastLongGrant.Add(expiresAfter(a.cfg.LongHold))
+	expiry := laterOf(lastGrant.Add(expiresAfter(a.cfg.Hold)), longExpiry)
+	a.noPlacementBefore = earlierOf(a.noPlacementBefore, expiry)
 	for i := range a.spans {
 		s := &a.spans[i]
 		if s.inherited {
-			s.oldLapse = earlierOf(s.oldLapse, lapse)
+			s.oldLeaderExpiry = earlierOf(s.oldLeaderExpiry, expiry)
 		} else {
-			s.oldLapse = earlierOf(s.oldLapse, longLapse)
+			s.oldLeaderExpiry = earlierOf(s.oldLeaderExpiry, longExpiry)
 		}
 	}
 }
 
-// takes reports whether the target may be given keys.
-func (s *candidate) takes() bool { return s != nil && !s.lost && !s.target.Draining }
+// acceptsKeys reports whether the target may be given keys.
+func (c *candidate) acceptsKeys() bool { return c != nil && !c.unreachable && !c.target.Draining }
 
-func (a *Assigner) noteOutcome(now time.Time, id string, outcome Outcome) {
-	candidate := a.candidates[id]
-	if candidate == nil {
+func (a *Assigner) recordOutcome(now time.Time, id string, outcome Outcome) {
+	c := a.candidates[id]
+	if c == nil {
 		return
 	}
-	if outcome.known() {
-		candidate.failures, candidate.lost, candidate.answered = 0, false, now
+	if outcome.answered() {
+		c.failures, c.unreachable, c.lastAnswer = 0, false, now
 		return
 	}
-	candidate.failures++
-	candidate.lost = candidate.lost || candidate.failures >= failuresToLose && now.Sub(candidate.answered) >= loseAfter
+	c.failures++
+	c.unreachable = c.unreachable || c.failures >= minFailures && now.Sub(c.lastAnswer) >= unreachableAfter
 }
--- a/core/assign/deal_test.go
+++ b/core/assign/deal_test.go
@@ -8,17 +8,17 @@
 )
 
 // manyTargets is a service divided among some hundred targets.
-const manyTargets = 210
+const largeFleet = 210
 
 // Guards against a new service most of whose keys go to a few of its many targets.
 func TestNewServiceIsDealtEvenlyAmongManyTargets(t *testing.T) {
-	ids := make([]string, manyTargets)
+	ids := make([]string, largeFleet)
 	for i := range ids {
 		ids[i] = fmt.Sprintf("t%03d", i)
 	}
-	shares := sharesOf(settled(t, ids...))
-	assert.Equal(t, len(shares), manyTargets)
+	shares := keysPerTarget(newSettled(t, ids...))
+	assert.Equal(t, len(shares), largeFleet)
 	for id, keys := range shares {
-		assert.Assert(t, keys < 2*(1<<16)/manyTargets, "%s has %d keys", id, keys)
+		assert.Assert(t, keys < 2*(1<<16)/largeFleet, "%s has %d keys", id, keys)
 	}
 }
--- a/core/assign/ended_test.go
+++ b/core/assign/ended_test.go
@@ -19,19 +19,19 @@
 func TestKeysOfATargetThatHasEndedNeedNotLapse(t *testing.T) {
 	for name, ended := range map[string]bool{"ended": true, "only gone": false} {
 		t.Run(name, func(t *testing.T) {
-			old := settled(t, "a", "b")
+			old := newSettled(t, "a", "b")
 			cfg := Config{LongHold: 6 * time.Second, OldLeader: 10 * time.Second}
-			now := after(gatherPause + time.Second)
+			now := after(placementQuietPeriod + time.Second)
 			a := TakeOver(now, cfg, "s", old.Table())
-			a.SetTargets(now, targetsOf("b"))
+			a.SetTargets(now, testTargets("b"))
 			if ended {
 				a.SetEnded([]keyspace.Holder{{Target: "a", Born: 1}, {Target: "b", Born: 9}})
 			}
-			settle(a, now)
-			kept := sharesOf(a)["a"]
+			runToRest(a, now)
+			kept := keysPerTarget(a)["a"]
 			assert.Equal(t, kept == 0, ended, "%d keys are still with the target that is gone", kept)
-			settle(a, now.Add(cfg.OldLeader+lapseAfter(cfg.LongHold)))
-			assert.DeepEqual(t, sharesOf(a), map[string]int{"b": 1 << 16})
+			runToRest(a, now.Add(cfg.OldLeader+expiresAfter(cfg.LongHold)))
+			assert.DeepEqual(t, keysPerTarget(a), map[string]int{"b": 1 << 16})
 		})
 	}
 }
--- a/core/assign/limits.go
+++ b/core/assign/limits.go
@@ -8,89 +8,93 @@
 )
 
 const (
-	// hotShare is the part of its holder's capacity from which a single key counts as hot.
-	hotShare = 0.5
-	// limitFill is the utilisation that a holder is to have with the requests for its hot key:
-	// less than all, so that those that are served don't wait for long.
-	limitFill = 0.9
-	// leastShare is the part of its holder that a hot key gets in any case, beside the other
-	// keys there.
-	leastShare = 0.5
-	// mostSlow bounds how much slower than usual a hot key's holder is taken to be: the time
-	// that its requests wait in its queue is in part taken for its own.
-	mostSlow = 1.5
-	// limitRaise and limitCut change what is served of a hot key with each look, while its
-	// holder has room, and while it has none; between two cuts lies cutInterval, the time
-	// after which the last one shows.
-	limitRaise  = 1.1
-	limitCut    = 0.8
-	cutInterval = 500 * time.Millisecond
-	// limitEnd is by which part more than is asked for may be served for a limit to end.
-	limitEnd = 1.05
+	// hotKeyFraction is the fraction of its holder's capacity from which on a single key
+	// counts as hot.
+	hotKeyFraction = 0.5
+	// limitedUtilisation is the intended utilisation of a hot key's holder. It is below 1 so
+	// that admitted requests don't wait long.
+	limitedUtilisation = 0.9
+	// minHotKeyFraction is the fraction of its holder's capacity that a hot key gets in any
+	// case, whatever the load of the holder's other keys.
+	minHotKeyFraction = 0.5
+	// maxSlowdown bounds how much slower than the mean the holder of a hot key is assumed to
+	// be, because part of the time that its requests spend queued is counted as service time.
+	maxSlowdown = 1.5
+	// limitIncrease and limitDecrease are the factors of a key's limit each time that Limits
+	// runs, while the holder is not overloaded and while it is. Two decreases are at least
+	// decreaseInterval apart, the time after which the previous one takes effect.
+	limitIncrease    = 1.1
+	limitDecrease    = 0.8
+	decreaseInterval = 500 * time.Millisecond
+	// limitEndRatio is the ratio of limit to demand from which on the limit is removed.
+	limitEndRatio = 1.05
 )
 
-// keyLimit is how many requests a second for a key are served.
+// keyLimit is the number of requests per second that are served for a key.
 type keyLimit struct {
-	rate  float64
-	cutAt time.Time
+	rate        float64
+	decreasedAt time.Time
 }
 
-// Limits returns for each key that is asked for more than its holder can do which part of
-// the requests for it is to be served. pressed says of a target whether it has had requests
-// waiting for all of its slots, or refused some, of late.
+// Limits returns, for each key with more demand than its holder can serve, the fraction of its
+// requests to admit. overloaded reports whether a target recently had requests waiting for all
+// of its slots, or refused some. requestsPerSample is the number of requests that one recorded
+// request stands for.
 //
-// It answers one popular key and hundreds of routers. Each router sends few requests there
-// and doesn't know of the others', so that all of them together overrun the holder's queue,
-// break its connections, and keep those who ask for its other keys, and the leader's orders,
-// from it. What the holder can do is shared out by chance: that needs no word between the
-// routers, whatever their number. What it can do is found out: a limit begins where the
-// holder is pressed, and then follows whether it still is.
-func (a *Assigner) Limits(now time.Time, speeds Speeds, pressed func(target string) bool, unseen float64) []keyspace.Limit {
-	p := a.planWith(now, speeds)
-	rate, usual := unseen*a.load.rate(), usualServiceTime(a.candidates, speeds)
+// This handles one popular key and hundreds of routers. Each router sends few requests to the
+// holder and doesn't know what the others send. Without a limit all of them together overrun
+// the holder's queue and break its connections, which also blocks requests for its other keys
+// and the leader's orders. Each router admits requests at random with the same probability,
+// which needs no communication between routers, whatever their number. The holder's capacity
+// is found by trial: a limit starts when the holder is overloaded and is then adjusted by
+// whether it still is.
+func (a *Assigner) Limits(now time.Time, serviceTimes ServiceTimes, overloaded func(target string) bool, requestsPerSample float64) []keyspace.Limit {
+	p := a.planWithServiceTimes(now, serviceTimes)
+	rate, mean := requestsPerSample*a.loadTracker.ratePerRequest(), meanServiceTime(a.candidates, serviceTimes)
 	limits := map[keyspace.Key]keyLimit{}
-	var all []keyspace.Limit
-	a.load.eachKey(func(key keyspace.Key, load float64) {
-		at := p.byID[a.holderOf(key)]
-		if at == nil {
+	var result []keyspace.Limit
+	a.loadTracker.eachKey(func(key keyspace.Key, load float64) {
+		holder := p.byID[a.holderOf(key)]
+		if holder == nil {
 			return
 		}
-		asked, capacity := load*rate, 1/math.Min(at.cost, costOf(at.candidate, mostSlow*usual))
-		limit, limited := a.limits[key]
+		demand, capacity := load*rate, 1/math.Min(holder.cost, costOf(holder.candidate, maxSlowdown*mean))
+		limit, limited := a.keyLimits[key]
 		switch {
 		case limited:
-			limit.follow(now, pressed(at.target.ID), leastShare*capacity)
-		case asked >= hotShare*capacity && pressed(at.target.ID):
-			others := math.Max((at.load-load)*rate, 0)
-			limit = keyLimit{rate: math.Max(limitFill*capacity-others, leastShare*capacity), cutAt: now}
+			limit.adjust(now, overloaded(holder.target.ID), minHotKeyFraction*capacity)
+		case demand >= hotKeyFraction*capacity && overloaded(holder.target.ID):
+			others := math.Max((holder.load-load)*rate, 0)
+			limit = keyLimit{rate: math.Max(limitedUtilisation*capacity-others, minHotKeyFraction*capacity), decreasedAt: now}
 		default:
 			return
 		}
-		if limit.rate < limitEnd*asked {
+		if limit.rate < limitEndRatio*demand {
 			limits[key] = limit
-			all = append(all, keyspace.Limit{Key: key, Admit: math.Min(limit.rate/asked, 1)})
+			result = append(result, keyspace.Limit{Key: key, Admit: math.Min(limit.rate/demand, 1)})
 		}
 	})
-	a.limits = limits
-	return all
+	a.keyLimits = limits
+	return result
 }
 
-// follow changes the limit by whether the holder is pressed, to no less than the least.
-func (l *keyLimit) follow(now time.Time, pressed bool, least float64) {
+// adjust raises the limit while the holder is not overloaded, and lowers it, but not below
+// minRate, while it is.
+func (l *keyLimit) adjust(now time.Time, overloaded bool, minRate float64) {
 	switch {
-	case !pressed:
-		l.rate *= limitRaise
-	case now.Sub(l.cutAt) >= cutInterval:
-		l.rate = math.Max(l.rate*limitCut, least)
-		l.cutAt = now
+	case !overloaded:
+		l.rate *= limitIncrease
+	case now.Sub(l.decreasedAt) >= decreaseInterval:
+		l.rate = math.Max(l.rate*limitDecrease, minRate)
+		l.decreasedAt = now
 	}
 }
 
-// holderOf is the target that holds the key, or is to hold it.
+// holderOf returns the target that holds the key, or the target that it is moving to.
 func (a *Assigner) holderOf(key keyspace.Key) string {
-	s := &a.spans[a.find(key)]
+	s := &a.spans[a.indexOf(key)]
 	if s.Moving {
-		return s.next
+		return s.nextTarget
 	}
 	return s.Target
 }
--- a/core/assign/orders.go
+++ b/core/assign/orders.go
@@ -6,28 +6,28 @@
 	"tarragongw/core/keyspace"
 )
 
-// pending is an order under way.
-type pending struct {
+// pendingOrder is an order in flight.
+type pendingOrder struct {
 	from  keyspace.Key
 	token uint64
 	kind  Kind
-	hold  time.Duration
+	ttl   time.Duration
 }
 
-// send orders what is due and in the store.
-func (a *Assigner) send(now time.Time, actions *Actions) {
+// sendDueOrders adds the orders to send now, as far as the store has what they rest on.
+func (a *Assigner) sendDueOrders(now time.Time, actions *Actions) {
 	for i := range a.spans {
 		s := &a.spans[i]
-		if s.Target == "" || s.busy || !a.mayOrder(s) {
+		if s.Target == "" || s.orderInFlight || !a.backedByStore(s) {
 			continue
 		}
-		if s.due.After(now) && !a.releasable(s) {
-			if s.due.Before(actions.Next) {
-				actions.Next = s.due
+		if s.nextOrderAt.After(now) && !a.releaseDue(s) {
+			if s.nextOrderAt.Before(actions.Next) {
+				actions.Next = s.nextOrderAt
 			}
 			continue
 		}
-		if s.Moving && s.generation <= a.written {
+		if s.Moving && s.generation <= a.writtenGeneration {
 			a.sendRelease(s, actions)
 			continue
 		}
@@ -35,155 +35,155 @@
 	}
 	for i := range a.spans {
 		s := &a.spans[i]
-		if lapsed := s.lapsed(); s.Moving && !s.busy && lapsed.Before(actions.Next) {
-			actions.Next = lapsed
+		if expiry := s.lastExpiry(); s.Moving && !s.orderInFlight && expiry.Before(actions.Next) {
+			actions.Next = expiry
 		}
 	}
 }
 
-// mayOrder reports whether the store has what the order for the segment rests on. A move
-// that it doesn't have has not begun: the holder keeps its keys, as long as it was not
-// told to give them up. What goes wrong without that: a store that fails between a
-// decision and its write takes the keys from their holder until it is back.
-func (a *Assigner) mayOrder(s *span) bool {
-	if s.generation <= a.written {
+// backedByStore reports whether the store has the state that the order for the segment rests
+// on. A move that is not stored has not begun: the holder keeps its keys, and is renewed, as
+// long as it was not ordered to release them. Otherwise a store that fails between a decision
+// and its write would take the keys from their holder for the length of the outage.
+func (a *Assigner) backedByStore(s *span) bool {
+	if s.generation <= a.writtenGeneration {
 		return true
 	}
 	return s.Moving && !s.Lost && s.acked && !s.releaseSent
 }
 
-// releasable reports whether the holder is to be told now to give the keys up, whenever
-// the next renewal would have been due.
-func (a *Assigner) releasable(s *span) bool {
-	return s.Moving && !s.releaseSent && s.generation <= a.written
+// releaseDue reports whether the holder must be ordered now to release the keys, without
+// waiting for the time of the next renewal.
+func (a *Assigner) releaseDue(s *span) bool {
+	return s.Moving && !s.releaseSent && s.generation <= a.writtenGeneration
 }
 
 func (a *Assigner) sendRelease(s *span, actions *Actions) {
-	candidate := a.candidates[s.Target]
-	if candidate == nil {
-		return // there is nobody to ask; the grant lapses
+	c := a.candidates[s.Target]
+	if c == nil {
+		return // the target has gone; its grants expire
 	}
 	s.releaseSent = true
-	a.order(s, actions, Order{Kind: Release, Holder: s.Holder, Address: candidate.target.Address, From: s.From, To: s.To, Token: s.fence})
+	a.addOrder(s, actions, Order{Kind: Release, Holder: s.Holder, Address: c.target.Address, From: s.From, To: s.To, Token: s.releaseToken})
 }
 
 func (a *Assigner) sendGrant(now time.Time, s *span, actions *Actions) {
-	candidate := a.candidates[s.Target]
-	if candidate == nil {
+	c := a.candidates[s.Target]
+	if c == nil {
 		return
 	}
-	a.order(s, actions, Order{
-		Kind: Grant, Holder: s.Holder, Address: candidate.target.Address, From: s.From, To: s.To, Token: s.Token,
-		Hold: a.holdFor(now, s, candidate), Handover: s.handover, First: !s.firstSent,
+	a.addOrder(s, actions, Order{
+		Kind: Grant, Holder: s.Holder, Address: c.target.Address, From: s.From, To: s.To, Token: s.Token,
+		Hold: a.grantTTL(now, s, c), Handover: s.handover, First: !s.grantSent,
 	})
-	s.firstSent = true
+	s.grantSent = true
 }
 
-// holdFor is how long a grant is to last. To a holder that left an order unanswered it
-// lasts no longer than what it may have already: each further try would else put off the
-// moment from which its keys can be given to another.
-func (a *Assigner) holdFor(now time.Time, s *span, candidate *candidate) time.Duration {
-	hold := a.cfg.Hold
-	if a.storeAway {
-		hold = a.cfg.LongHold
+// grantTTL returns the TTL of the next grant. For a holder that left an order unanswered, the
+// grant ends no later than those that it may already have. Otherwise each retry would put off
+// the time at which its keys can be given to another target.
+func (a *Assigner) grantTTL(now time.Time, s *span, c *candidate) time.Duration {
+	ttl := a.cfg.Hold
+	if a.storeUnreachable {
+		ttl = a.cfg.LongHold
 	}
-	if candidate.failures == 0 || !s.acked {
-		return hold
+	if c.failures == 0 || !s.acked {
+		return ttl
 	}
-	left := s.lapsed().Sub(now) - WireDelay - lapseMargin
-	left -= time.Duration(float64(left) * clockSlack)
-	return min(max(left, minHold), hold)
+	remaining := s.lastExpiry().Sub(now) - WireDelay - expiryMargin
+	remaining -= time.Duration(float64(remaining) * maxClockDrift)
+	return min(max(remaining, minGrantTTL), ttl)
 }
 
-// minHold is the shortest grant that is worth an order.
-const minHold = 100 * time.Millisecond
+// minGrantTTL is the shortest TTL worth sending a grant for.
+const minGrantTTL = 100 * time.Millisecond
 
-func (a *Assigner) order(s *span, actions *Actions, o Order) {
-	a.orderID++
-	o.ID = a.orderID
-	s.busy = true
-	a.orders[o.ID] = pending{from: s.From, token: s.Token, kind: o.Kind, hold: o.Hold}
+func (a *Assigner) addOrder(s *span, actions *Actions, o Order) {
+	a.lastOrderID++
+	o.ID = a.lastOrderID
+	s.orderInFlight = true
+	a.pendingOrders[o.ID] = pendingOrder{from: s.From, token: s.Token, kind: o.Kind, ttl: o.Hold}
 	actions.Orders = append(actions.Orders, o)
 }
 
-// Done tells how an order ended.
+// Done records the outcome of an order.
 func (a *Assigner) Done(now time.Time, id uint64, outcome Outcome, handover string) {
-	p, known := a.orders[id]
-	delete(a.orders, id)
+	p, known := a.pendingOrders[id]
+	delete(a.pendingOrders, id)
 	if !known {
 		return
 	}
-	i := a.find(p.from)
+	i := a.indexOf(p.from)
 	s := &a.spans[i]
-	s.busy = false
-	a.noteOutcome(now, s.Target, outcome)
+	s.orderInFlight = false
+	a.recordOutcome(now, s.Target, outcome)
 	if p.kind == Release {
-		a.released(now, s, outcome, handover)
+		a.releaseDone(now, s, outcome, handover)
 		return
 	}
-	a.granted(now, s, p, outcome)
+	a.grantDone(now, s, p, outcome)
 }
 
-// find returns the index of the span that begins with the key, or holds it.
-func (a *Assigner) find(k keyspace.Key) int {
+// indexOf returns the index of the span that contains the key.
+func (a *Assigner) indexOf(key keyspace.Key) int {
 	for i := range a.spans {
-		if a.spans[i].To >= k {
+		if a.spans[i].To >= key {
 			return i
 		}
 	}
 	return len(a.spans) - 1
 }
 
-func (a *Assigner) released(now time.Time, s *span, outcome Outcome, handover string) {
+func (a *Assigner) releaseDone(now time.Time, s *span, outcome Outcome, handover string) {
 	if !s.Moving {
-		return // the holder was born anew meanwhile
+		return // a new instance of the holder has started meanwhile
 	}
 	if outcome == Accepted {
-		a.free(s, handover)
+		a.markUnheld(s, handover)
 		return
 	}
-	s.due = now.Add(a.backoff(s, releaseAgain, maxReleaseAgain))
+	s.nextOrderAt = now.Add(a.retryDelay(s, releaseRetryDelay, maxReleaseRetryDelay))
 }
 
-func (a *Assigner) granted(now time.Time, s *span, p pending, outcome Outcome) {
+func (a *Assigner) grantDone(now time.Time, s *span, p pendingOrder, outcome Outcome) {
 	if outcome == Broken || outcome == Unanswered {
-		s.lapse = laterOf(s.lapse, now.Add(outcome.late()+lapseAfter(p.hold)))
+		s.expiry = laterOf(s.expiry, now.Add(outcome.maxLateArrival()+expiresAfter(p.ttl)))
 	}
 	if p.token != s.Token || s.Moving {
 		if outcome == Accepted {
-			s.lapse = laterOf(s.lapse, now.Add(lapseAfter(p.hold)))
+			s.expiry = laterOf(s.expiry, now.Add(expiresAfter(p.ttl)))
 		}
-		if s.Moving && s.generation > a.written {
-			s.due = now.Add(a.cfg.Renew)
+		if s.Moving && s.generation > a.writtenGeneration {
+			s.nextOrderAt = now.Add(a.cfg.Renew)
 		}
 		return
 	}
 	switch outcome {
 	case Accepted:
 		if s.inherited {
-			// From now on the target refuses what an older leader sends; the last that it
-			// took before may have been a long one.
-			s.inherited, s.oldLapse = false, earlierOf(s.oldLapse, now.Add(lapseAfter(a.cfg.LongHold)))
+			// From now on the target refuses what an older leader sends, but the last grant
+			// that it accepted from one may have been a long one.
+			s.inherited, s.oldLeaderExpiry = false, earlierOf(s.oldLeaderExpiry, now.Add(expiresAfter(a.cfg.LongHold)))
 		}
-		s.lapse = laterOf(s.lapse, now.Add(lapseAfter(p.hold)))
-		s.acked, s.fresh, s.handover, s.due = true, false, "", now.Add(a.cfg.Renew)
-		if p.hold < a.cfg.Hold {
-			s.due = now // a try that was short by intent, see holdFor; the target answers again
+		s.expiry = laterOf(s.expiry, now.Add(expiresAfter(p.ttl)))
+		s.acked, s.newHolder, s.handover, s.nextOrderAt = true, false, "", now.Add(a.cfg.Renew)
+		if p.ttl < a.cfg.Hold {
+			s.nextOrderAt = now // the TTL was shortened by grantTTL; the target answers again
 		}
 	case Superseded:
 		a.renewToken(s)
 	default:
-		s.due = now.Add(a.backoff(s, retryOrder, maxRetryOrder))
+		s.nextOrderAt = now.Add(a.retryDelay(s, grantRetryDelay, maxGrantRetryDelay))
 	}
 }
 
-// backoff is the pause before the next order to a range's holder after one that failed.
-func (a *Assigner) backoff(s *span, first, most time.Duration) time.Duration {
-	candidate := a.candidates[s.Target]
-	if candidate == nil {
-		return most
+// retryDelay returns the pause before the next order to a range's holder after a failed one.
+func (a *Assigner) retryDelay(s *span, first, longest time.Duration) time.Duration {
+	c := a.candidates[s.Target]
+	if c == nil {
+		return longest
 	}
-	return min(first*time.Duration(max(candidate.failures, 1)), most)
+	return min(first*time.Duration(max(c.failures, 1)), longest)
 }
 
 func earlierOf(a, b time.Time) time.Time {
--- a/core/assign/plan.go
+++ b/core/assign/plan.go
@@ -8,102 +8,109 @@
 )
 
 const (
-	// maxPieces is into how many parts the keys that a target leaves behind are cut at
-	// most, so that not one other target gets all of them.
-	maxPieces = 8
-	// minGap is by how much a target's utilisation must exceed what it is to have for its
-	// keys to be moved; below it a move costs more than it brings.
-	minGap = 0.12
-	// staffing sets the utilisation up to which hardly a request waits for a slot: the spare
-	// part falls with the square root of the slots (Halfin and Whitt).
-	staffing = 0.8
-	// spareShare is the part of what is spare on average that a target may be filled with.
-	spareShare = 0.25
-	// overfill is what a target may get in any case from one that is busier still, in parts of
-	// what it can do: a single key may be more than what is spare anywhere.
-	overfill = 0.25
-	// tooLittle and tooMuch bound the load of a range that is moved, in parts of what is
-	// wanted.
-	tooLittle = 0.5
-	tooMuch   = 1.5
-	// atLeast is the least part that is moved where the holder's keys lie in many ranges of
-	// which none has the wanted load.
-	atLeast = 0.05
-	// innerGain is how many times fewer keys a range in the middle of another must have to
-	// be moved rather than one at an end: it leaves one range more behind.
-	innerGain = 2
-	// movingPerTarget and minMoving bound the ranges that are on their way at once, by the
-	// number of targets.
-	movingPerTarget = 0.5
-	minMoving       = 8
-	// defaultServiceTime is used where no target's own is known, in seconds.
+	// maxParts bounds the number of parts that the keys of a departed target are split into,
+	// so that they don't all go to one other target.
+	maxParts = 8
+	// minUtilisationGap is how much a target's utilisation must exceed its maximum before keys
+	// are moved off it. Below that a move costs more than it gains.
+	minUtilisationGap = 0.12
+	// spareFactor sets the utilisation up to which hardly any request waits for a slot. The
+	// spare capacity that this takes falls with the square root of the number of slots (Halfin
+	// and Whitt).
+	spareFactor = 0.8
+	// spareFraction is the fraction of the mean spare capacity that targets may be filled with
+	// beyond the mean utilisation.
+	spareFraction = 0.25
+	// maxOverfill is the fraction of its capacity that a target may be given in any case by a
+	// busier one, because a single key may have more load than any target has to spare.
+	maxOverfill = 0.25
+	// minMoveFraction and maxMoveFraction bound the load of a range that is moved, relative to
+	// the wanted load.
+	minMoveFraction = 0.5
+	maxMoveFraction = 1.5
+	// minSmallMoveFraction is the least fraction of the wanted load worth moving if none of
+	// the holder's many ranges has more.
+	minSmallMoveFraction = 0.05
+	// innerRangePenalty is the factor by which a range in the middle of another must have
+	// fewer keys to be preferred to a range at an end, because moving it leaves one range more
+	// behind.
+	innerRangePenalty = 2
+	// movesPerTarget and minConcurrentMoves bound the number of ranges that are moving at the
+	// same time, by the number of targets.
+	movesPerTarget     = 0.5
+	minConcurrentMoves = 8
+	// defaultServiceTime, in seconds, is used if no target's service time is known.
 	defaultServiceTime = 0.15
 )
 
-// Speeds gives the time that a target takes for a request, in seconds; zero where it is
+// ServiceTimes returns a target's mean service time of a request in seconds, or zero if it is
 // not known.
-type Speeds func(target string) float64
+type ServiceTimes func(target string) float64
 
-// candidateLoad is a target with the load that it has in a plan.
+// candidateLoad is a target with its load in a plan.
 type candidateLoad struct {
 	*candidate
-	// cost is the part of the target's time that one request takes.
+	// cost is the utilisation that a load of one request per second adds: the service time
+	// divided by the number of slots.
 	cost float64
 	load float64
-	// keys is the target's part of all keys, and hot says that its load is more than that
-	// part and chance explain.
-	keys float64
-	hot  bool
+	// keyFraction is the fraction of all keys that the target has. hot reports whether its
+	// load is higher than that fraction and chance explain.
+	keyFraction float64
+	hot         bool
 }
 
-func (p *candidateLoad) utilisation() float64 { return p.load * p.cost }
+// utilisation is the fraction of the target that the load uses, divided by plan.rate.
+func (t *candidateLoad) utilisation() float64 { return t.load * t.cost }
 
-// plan is the load of all targets that take keys.
+// plan is the load of all targets that accept keys.
 type plan struct {
-	load       *LoadTracker
-	candidates []*candidateLoad
-	byID       map[string]*candidateLoad
-	// rate is the requests a second that one of load stands for, and mean the utilisation up
-	// to which all targets may be filled; both are set by prepare.
-	rate, mean float64
+	loadTracker *LoadTracker
+	candidates  []*candidateLoad
+	byID        map[string]*candidateLoad
+	// rate is the requests per second that one unit of load stands for. utilisationGoal is the
+	// utilisation that every target may be filled to; 1/rate is a fully used target. Both are
+	// set by setUtilisationGoal.
+	rate, utilisationGoal float64
 }
 
-// newPlan adds up what each target holds now. Keys that are on their way count for the
-// target that they go to.
-func (a *Assigner) newPlan(now time.Time) *plan { return a.planWith(now, nil) }
-
-func (a *Assigner) planWith(now time.Time, speeds Speeds) *plan {
-	a.load.expire(now)
-	p := &plan{load: a.load, byID: map[string]*candidateLoad{}}
-	usual := usualServiceTime(a.candidates, speeds)
-	for id, s := range a.candidates {
-		if !s.takes() {
+// newPlan sums the present load of each target. Keys that are moving count for the target that
+// they move to.
+func (a *Assigner) newPlan(now time.Time) *plan { return a.planWithServiceTimes(now, nil) }
+
+// planWithServiceTimes is newPlan with service times that differ between targets.
+func (a *Assigner) planWithServiceTimes(now time.Time, serviceTimes ServiceTimes) *plan {
+	a.loadTracker.refresh(now)
+	p := &plan{loadTracker: a.loadTracker, byID: map[string]*candidateLoad{}}
+	mean := meanServiceTime(a.candidates, serviceTimes)
+	for id, c := range a.candidates {
+		if !c.acceptsKeys() {
 			continue
 		}
-		at := &candidateLoad{candidate: s, cost: costOf(s, serviceTime(id, speeds, usual))}
-		p.candidates = append(p.candidates, at)
-		p.byID[id] = at
+		t := &candidateLoad{candidate: c, cost: costOf(c, serviceTime(id, serviceTimes, mean))}
+		p.candidates = append(p.candidates, t)
+		p.byID[id] = t
 	}
 	sort.Slice(p.candidates, func(i, j int) bool { return p.candidates[i].target.ID < p.candidates[j].target.ID })
 	for i := range a.spans {
 		s := &a.spans[i]
 		holder := s.Target
 		if s.Moving {
-			holder = s.next
+			holder = s.nextTarget
 		}
-		if at := p.byID[holder]; at != nil {
-			at.load += a.load.of(s.From, s.To)
-			at.keys += partOf(s.From, s.To)
+		if t := p.byID[holder]; t != nil {
+			t.load += a.loadTracker.rangeLoad(s.From, s.To)
+			t.keyFraction += keyFraction(s.From, s.To)
 		}
 	}
 	return p
 }
 
-// usualServiceTime is the mean of those that are known, in seconds.
-func usualServiceTime(candidates map[string]*candidate, speeds Speeds) float64 {
+// meanServiceTime returns the mean of the known service times, in seconds.
+func meanServiceTime(candidates map[string]*candidate, serviceTimes ServiceTimes) float64 {
 	sum, known := 0.0, 0
 	for id := range candidates {
-		if t := serviceTime(id, speeds, 0); t > 0 {
+		if t := serviceTime(id, serviceTimes, 0); t > 0 {
 			sum += t
 			known++
 		}
@@ -114,65 +121,67 @@
 	return sum / float64(known)
 }
 
-func serviceTime(id string, speeds Speeds, usual float64) float64 {
-	if speeds == nil {
-		return usual
+func serviceTime(id string, serviceTimes ServiceTimes, fallback float64) float64 {
+	if serviceTimes == nil {
+		return fallback
 	}
-	if t := speeds(id); t > 0 {
+	if t := serviceTimes(id); t > 0 {
 		return t
 	}
-	return usual
+	return fallback
 }
 
-func costOf(s *candidate, serviceTime float64) float64 {
-	return serviceTime / float64(max(s.target.Slots, 1))
+func costOf(c *candidate, serviceTime float64) float64 {
+	return serviceTime / float64(max(c.target.Slots, 1))
 }
 
-// least returns the candidate with the least utilisation.
-func (p *plan) least() *candidate {
+// leastUtilised returns the candidate with the lowest utilisation.
+func (p *plan) leastUtilised() *candidate {
 	least := p.candidates[0]
-	for _, at := range p.candidates[1:] {
-		if at.utilisation() < least.utilisation() {
-			least = at
+	for _, t := range p.candidates[1:] {
+		if t.utilisation() < least.utilisation() {
+			least = t
 		}
 	}
 	return least.candidate
 }
 
-func (p *plan) add(s *candidate, from, to keyspace.Key) {
-	if at := p.byID[s.target.ID]; at != nil {
-		at.load += p.load.of(from, to)
+func (p *plan) addLoad(c *candidate, from, to keyspace.Key) {
+	if t := p.byID[c.target.ID]; t != nil {
+		t.load += p.loadTracker.rangeLoad(from, to)
 	}
 }
 
-// splitFree cuts free ranges into parts of the load that one target should get.
-func (a *Assigner) splitFree(p *plan) {
-	whole := a.load.of(0, keyspace.LastKey)
-	part := whole / float64(len(p.candidates))
+// splitUnheld splits ranges without a holder into parts with the load that one target should
+// get.
+func (a *Assigner) splitUnheld(p *plan) {
+	whole := a.loadTracker.rangeLoad(0, keyspace.LastKey)
+	perTarget := whole / float64(len(p.candidates))
 	for i := 0; i < len(a.spans); i++ {
 		s := &a.spans[i]
-		if s.Target != "" || s.next != "" || s.Len() < 2 {
+		if s.Target != "" || s.nextTarget != "" || s.Len() < 2 {
 			continue
 		}
-		size := part
+		size := perTarget
 		if s.Len() <= int(keyspace.LastKey) {
-			// Others hold keys already: a few targets get a part more each.
-			size = max(part/2, a.load.of(s.From, s.To)/maxPieces)
+			// Other targets hold keys already, so that a few of them get one part more each.
+			size = max(perTarget/2, a.loadTracker.rangeLoad(s.From, s.To)/maxParts)
 		}
-		i += a.cutUp(i, size)
+		i += a.splitByLoad(i, size)
 	}
 }
 
-// cutUp cuts a range into parts of the load, and returns how many more ranges there are.
-func (a *Assigner) cutUp(i int, size float64) int {
-	more, whole := 0, &intervals{load: a.load.of}
+// splitByLoad splits a range into parts with the given load and returns the number of ranges
+// added.
+func (a *Assigner) splitByLoad(i int, size float64) int {
+	added, uniform := 0, &intervals{load: a.loadTracker.rangeLoad}
 	for {
-		s := &a.spans[i+more]
-		last := whole.cut(interval{s.From, s.To}, size)
-		if last >= s.To || a.load.of(s.From, s.To) <= size*1.2 {
-			return more
+		s := &a.spans[i+added]
+		last := uniform.prefixWithLoad(interval{s.From, s.To}, size)
+		if last >= s.To || a.loadTracker.rangeLoad(s.From, s.To) <= size*1.2 {
+			return added
 		}
-		a.carve(i+more, s.From, last)
-		more++
+		a.splitOut(i+added, s.From, last)
+		added++
 	}
 }
--- a/core/assign/rebalance.go
+++ b/core/assign/rebalance.go
@@ -8,27 +8,27 @@
 	"tarragongw/core/keyspace"
 )
 
-// Rebalance returns moves from targets that have too much load to those that have room.
-// unseen is how many requests one that was noted stands for.
+// Rebalance returns moves from overloaded targets to targets with spare capacity.
+// requestsPerSample is the number of requests that one recorded request stands for.
 //
-// It answers two load patterns. Popular keys that lie close together and change within
-// seconds: their range is cut into as many pieces as it takes targets to carry it, all of
-// which move at once, down to single keys. And targets that are slower than others: they
-// give keys away until they are as busy as the rest. Between them nothing moves, also where
-// chance makes the busiest of hundreds of targets look busy.
-func (a *Assigner) Rebalance(now time.Time, speeds Speeds, unseen float64) []Move {
-	p := a.planWith(now, speeds)
-	if len(p.candidates) < 2 || unseen <= 0 {
+// It handles two load patterns. Popular keys that lie close together and change within
+// seconds: their range is split into as many parts as it takes targets to carry the load, down
+// to single keys, and all parts move at once. Targets that are slower than others: they give
+// keys away until they are as busy as the rest. Otherwise nothing moves, even if by chance the
+// busiest of hundreds of targets looks overloaded.
+func (a *Assigner) Rebalance(now time.Time, serviceTimes ServiceTimes, requestsPerSample float64) []Move {
+	p := a.planWithServiceTimes(now, serviceTimes)
+	if len(p.candidates) < 2 || requestsPerSample <= 0 {
 		return nil
 	}
-	p.expect(a.load.total())
-	p.prepare(unseen * a.load.rate())
-	room := max(int(movingPerTarget*float64(len(p.candidates))), minMoving) - a.Moving()
+	p.removeNoise(a.loadTracker.total())
+	p.setUtilisationGoal(requestsPerSample * a.loadTracker.ratePerRequest())
+	maxMoves := max(int(movesPerTarget*float64(len(p.candidates))), minConcurrentMoves) - a.movesInProgress()
 	var moves []Move
-	for _, d := range p.donors() {
-		held := a.movable(d)
-		for len(moves) < room {
-			m, ok := p.nextMove(d, held)
+	for _, donor := range p.overloaded() {
+		movable := a.movableKeys(donor)
+		for len(moves) < maxMoves {
+			m, ok := p.nextMove(donor, movable)
 			if !ok {
 				break
 			}
@@ -38,142 +38,149 @@
 	return moves
 }
 
-// expect replaces each target's load by what is to be expected of it: that of its part of
-// the keys, and what its own differs from that by more than chance. Of n targets with the
-// same load the busiest lies about sqrt(2 ln n) standard deviations above the mean.
+// removeNoise replaces each target's load by its expected load: the load of its fraction of
+// the keys, plus the difference of its own load from that as far as it is more than chance.
+// The busiest of n targets with equal load lies about sqrt(2 ln n) standard deviations above
+// the mean.
 //
-// It answers hundreds of targets with some dozen requests each: a slow one is found by its
-// speed and its keys, and not put off by the noise of their load.
-func (p *plan) expect(total float64) {
+// With hundreds of targets and a few dozen requests each, a slow target is thus found by its
+// service time and its keys, whatever the noise of its load.
+func (p *plan) removeNoise(total float64) {
 	deviations := math.Sqrt(2 * math.Log(float64(len(p.candidates))))
-	even := func(at *candidateLoad) float64 { return total * at.keys }
-	chance := func(at *candidateLoad) float64 { return deviations * math.Sqrt(math.Max(even(at), 1)) }
-	// What hot ranges have beyond their part doesn't lie on the others' keys.
-	beyond := 0.0
-	for _, at := range p.candidates {
-		if at.load > even(at)+chance(at) {
-			beyond += at.load - even(at)
+	expected := func(t *candidateLoad) float64 { return total * t.keyFraction }
+	noise := func(t *candidateLoad) float64 { return deviations * math.Sqrt(math.Max(expected(t), 1)) }
+	// The excess load of hot ranges is not spread over the other targets' keys.
+	hotExcess := 0.0
+	for _, t := range p.candidates {
+		if t.load > expected(t)+noise(t) {
+			hotExcess += t.load - expected(t)
 		}
 	}
-	total = math.Max(total-beyond, 0)
-	for _, at := range p.candidates {
-		switch difference := at.load - even(at); {
-		case difference > chance(at):
-			at.load, at.hot = at.load-chance(at), true
-		case difference < -chance(at):
-			at.load += chance(at)
+	total = math.Max(total-hotExcess, 0)
+	for _, t := range p.candidates {
+		switch difference := t.load - expected(t); {
+		case difference > noise(t):
+			t.load, t.hot = t.load-noise(t), true
+		case difference < -noise(t):
+			t.load += noise(t)
 		default:
-			at.load = even(at)
+			t.load = expected(t)
 		}
 	}
 }
 
-// prepare sets what fill rests on: a little more than the mean of all, so that there is room
-// for what must move.
-func (p *plan) prepare(rate float64) {
+// setUtilisationGoal sets the utilisation that targets may be filled to: slightly more than
+// the mean of all, so that there is room for the load that must move.
+func (p *plan) setUtilisationGoal(rate float64) {
 	load, capacity := 0.0, 0.0
-	for _, at := range p.candidates {
-		load += at.load
-		capacity += 1 / at.cost
+	for _, t := range p.candidates {
+		load += t.load
+		capacity += 1 / t.cost
 	}
-	usual := capacity / float64(len(p.candidates)) // what one target can do, in requests
-	load -= p.load.beyond(usual / rate)
-	p.rate, p.mean = rate, load/capacity
-	p.mean += spareShare * math.Max(1/rate-p.mean, 0)
+	meanCapacity := capacity / float64(len(p.candidates)) // what one target can do, in requests per second
+	load -= p.loadTracker.unspreadable(meanCapacity / rate)
+	p.rate, p.utilisationGoal = rate, load/capacity
+	p.utilisationGoal += spareFraction * math.Max(1/rate-p.utilisationGoal, 0)
 }
 
-// fill is the utilisation that a target is to have at most: that of all, or that up to which
-// nobody waits for one of its slots.
-func (p *plan) fill(at *candidateLoad) float64 {
-	return math.Max(p.mean, (1-staffing/math.Sqrt(float64(max(at.target.Slots, 1))))/p.rate)
+// maxUtilisation returns the utilisation up to which a target may be filled: the goal for all
+// targets, or, if higher, the utilisation up to which hardly any request waits for one of its
+// slots.
+func (p *plan) maxUtilisation(t *candidateLoad) float64 {
+	return math.Max(p.utilisationGoal, (1-spareFactor/math.Sqrt(float64(max(t.target.Slots, 1))))/p.rate)
 }
 
-// overshoot is by how much a target's utilisation exceeds what it is to have.
-func (p *plan) overshoot(at *candidateLoad) float64 { return at.utilisation() - p.fill(at) }
+// excessUtilisation returns how far a target's utilisation exceeds its maximum.
+func (p *plan) excessUtilisation(t *candidateLoad) float64 {
+	return t.utilisation() - p.maxUtilisation(t)
+}
 
-// donors returns the targets that have more load than they are to have, the busiest first.
-func (p *plan) donors() []*candidateLoad {
-	var all []*candidateLoad
-	for _, at := range p.candidates {
-		if at.utilisation() > p.fill(at)+minGap/p.rate {
-			all = append(all, at)
+// overloaded returns the targets whose load exceeds their maximum by more than
+// minUtilisationGap, the busiest first.
+func (p *plan) overloaded() []*candidateLoad {
+	var result []*candidateLoad
+	for _, t := range p.candidates {
+		if t.utilisation() > p.maxUtilisation(t)+minUtilisationGap/p.rate {
+			result = append(result, t)
 		}
 	}
-	sort.SliceStable(all, func(i, j int) bool { return p.overshoot(all[i]) > p.overshoot(all[j]) })
-	return all
+	sort.SliceStable(result, func(i, j int) bool { return p.excessUtilisation(result[i]) > p.excessUtilisation(result[j]) })
+	return result
 }
 
-// nextMove returns a move that takes load off the donor, and counts it.
-func (p *plan) nextMove(d *candidateLoad, held *intervals) (Move, bool) {
-	excess := d.load - p.fill(d)/d.cost
-	receiver, room := p.roomiest(d)
+// nextMove returns a move that takes load off the donor, and updates the plan with it.
+func (p *plan) nextMove(donor *candidateLoad, movable *intervals) (Move, bool) {
+	excess := donor.load - p.maxUtilisation(donor)/donor.cost
+	receiver, spare := p.mostSpare(donor)
 	if receiver == nil {
 		return Move{}, false
 	}
-	want := math.Min(excess, math.Max(room, overfill/(receiver.cost*p.rate)))
-	if want*d.cost*p.rate < minGap/2 {
+	wantedLoad := math.Min(excess, math.Max(spare, maxOverfill/(receiver.cost*p.rate)))
+	if wantedLoad*donor.cost*p.rate < minUtilisationGap/2 {
 		return Move{}, false
 	}
-	from, to, load, ok := held.best(want)
-	if !ok || d.utilisation()-load*d.cost < receiver.utilisation()+load*receiver.cost {
+	from, to, load, ok := movable.bestToMove(wantedLoad)
+	if !ok || donor.utilisation()-load*donor.cost < receiver.utilisation()+load*receiver.cost {
 		return Move{}, false
 	}
-	held.remove(from, to)
-	d.load -= load
+	movable.remove(from, to)
+	donor.load -= load
 	receiver.load += load
 	return Move{From: from, To: to, Target: receiver.target.ID}, true
 }
 
-// roomiest returns the target that can take the most load, and how much, in requests.
-func (p *plan) roomiest(donor *candidateLoad) (*candidateLoad, float64) {
-	var most *candidateLoad
-	room := math.Inf(-1)
-	for _, at := range p.candidates {
-		if r := p.fill(at)/at.cost - at.load; at != donor && r > room {
-			most, room = at, r
+// mostSpare returns the target that can take the most load, and that load, in requests.
+func (p *plan) mostSpare(donor *candidateLoad) (*candidateLoad, float64) {
+	var best *candidateLoad
+	bestSpare := math.Inf(-1)
+	for _, t := range p.candidates {
+		if spare := p.maxUtilisation(t)/t.cost - t.load; t != donor && spare > bestSpare {
+			best, bestSpare = t, spare
 		}
 	}
-	return most, room
+	return best, bestSpare
 }
 
 // interval is a range of keys.
 type interval struct{ from, to keyspace.Key }
 
-// intervals are the keys of one holder that may be moved, and the load of a range of them.
+// intervals are the keys of one holder that may be moved, with a function for the load of a
+// range of them.
 type intervals struct {
-	all  []interval
-	load func(from, to keyspace.Key) float64
-	// tracker finds where the load is, one request of which has so much weight there; nil
-	// where the load is taken to lie evenly.
+	ranges []interval
+	load   func(from, to keyspace.Key) float64
+	// tracker finds where the load is; scale converts its weight to load. tracker is nil if
+	// the load is assumed to be spread evenly.
 	tracker *LoadTracker
 	scale   float64
 }
 
-// movable returns the holder's keys that are at rest.
-func (a *Assigner) movable(d *candidateLoad) *intervals {
-	held := &intervals{load: func(from, to keyspace.Key) float64 { return d.load / d.keys * partOf(from, to) }}
+// movableKeys returns the holder's ranges that are not moving, have no order in flight, and
+// are granted.
+func (a *Assigner) movableKeys(holder *candidateLoad) *intervals {
+	movable := &intervals{load: func(from, to keyspace.Key) float64 { return holder.load / holder.keyFraction * keyFraction(from, to) }}
 	weight := 0.0
 	for i := range a.spans {
 		s := &a.spans[i]
-		if s.Target != d.target.ID {
+		if s.Target != holder.target.ID {
 			continue
 		}
-		weight += a.load.weight(s.From, s.To)
-		if !s.Moving && !s.busy && s.acked {
-			held.all = append(held.all, interval{s.From, s.To})
+		weight += a.loadTracker.weight(s.From, s.To)
+		if !s.Moving && !s.orderInFlight && s.acked {
+			movable.ranges = append(movable.ranges, interval{s.From, s.To})
 		}
 	}
-	if d.hot {
-		held.tracker, held.scale = a.load, weight/d.load
-		held.load = func(from, to keyspace.Key) float64 { return a.load.weight(from, to) / held.scale }
+	if holder.hot {
+		movable.tracker, movable.scale = a.loadTracker, weight/holder.load
+		movable.load = func(from, to keyspace.Key) float64 { return a.loadTracker.weight(from, to) / movable.scale }
 	}
-	return held
+	return movable
 }
 
-// remove takes a range out of the interval that has it.
+// remove takes a range out of the interval that contains it.
 func (in *intervals) remove(from, to keyspace.Key) {
 	var left []interval
-	for _, i := range in.all {
+	for _, i := range in.ranges {
 		if from < i.from || to > i.to {
 			left = append(left, i)
 			continue
@@ -185,51 +192,52 @@
 			left = append(left, interval{to + 1, i.to})
 		}
 	}
-	in.all = left
+	in.ranges = left
 }
 
-// choice is the range that is best to move of those considered.
-type choice struct {
-	want, load float64
-	from, to   keyspace.Key
-	// keys is the number of keys of a range that has about the wanted load; zero while
-	// there is none.
-	keys  int
-	found bool
+// bestRange is the best range to move among those considered.
+type bestRange struct {
+	wantedLoad, load float64
+	from, to         keyspace.Key
+	// weightedKeys is the number of keys of the best range with about the wanted load, times
+	// its weight in consider; zero if there is no such range yet.
+	weightedKeys int
+	found        bool
 }
 
-// consider takes a range if it has about the wanted load on fewer keys than any before, or
-// the most load below that while there is none; fewer counts each key so many times.
-func (c *choice) consider(load float64, from, to keyspace.Key, times int) {
-	keys := (int(to) - int(from) + 1) * times
+// consider takes a range if it has about the wanted load with fewer keys than any range
+// before, or, while there is no such range, if it has the most load below the wanted one.
+// keyWeight is how many times each key counts.
+func (b *bestRange) consider(load float64, from, to keyspace.Key, keyWeight int) {
+	weightedKeys := (int(to) - int(from) + 1) * keyWeight
 	switch {
-	case load > c.want*tooMuch:
-	case load >= c.want*tooLittle:
-		if c.keys == 0 || keys < c.keys {
-			c.from, c.to, c.load, c.keys, c.found = from, to, load, keys, true
+	case load > b.wantedLoad*maxMoveFraction:
+	case load >= b.wantedLoad*minMoveFraction:
+		if b.weightedKeys == 0 || weightedKeys < b.weightedKeys {
+			b.from, b.to, b.load, b.weightedKeys, b.found = from, to, load, weightedKeys, true
 		}
-	case c.keys == 0 && load > c.load && load >= c.want*atLeast:
-		c.from, c.to, c.load, c.found = from, to, load, true
+	case b.weightedKeys == 0 && load > b.load && load >= b.wantedLoad*minSmallMoveFraction:
+		b.from, b.to, b.load, b.found = from, to, load, true
 	}
 }
 
-// best returns the range with the fewest keys whose load is near the wanted one, or the one
-// with the most load below it. Of ranges of one load the one with fewer keys has the hot
-// ones; the others would be moved for nothing.
-func (in *intervals) best(want float64) (from, to keyspace.Key, load float64, found bool) {
-	c := &choice{want: want}
-	consider := func(from, to keyspace.Key, times int) { c.consider(in.load(from, to), from, to, times) }
-	for _, i := range in.all {
-		if in.load(i.from, i.to) <= want*tooMuch {
+// bestToMove returns the range with the fewest keys among those with about the wanted load, or
+// else the range with the most load below that. Among ranges with equal load, the one with the
+// fewest keys has the hot keys; the other keys would be moved for nothing.
+func (in *intervals) bestToMove(wantedLoad float64) (from, to keyspace.Key, load float64, found bool) {
+	best := &bestRange{wantedLoad: wantedLoad}
+	consider := func(from, to keyspace.Key, keyWeight int) { best.consider(in.load(from, to), from, to, keyWeight) }
+	for _, i := range in.ranges {
+		if in.load(i.from, i.to) <= wantedLoad*maxMoveFraction {
 			consider(i.from, i.to, 1)
 			continue
 		}
-		last := in.cut(i, want)
+		last := in.prefixWithLoad(i, wantedLoad)
 		consider(i.from, last, 1)
 		if last > i.from {
 			consider(i.from, last-1, 1)
 		}
-		first := in.cutBack(i, want)
+		first := in.suffixWithLoad(i, wantedLoad)
 		consider(first, i.to, 1)
 		if first < i.to {
 			consider(first+1, i.to, 1)
@@ -237,25 +245,25 @@
 		if in.tracker == nil {
 			continue
 		}
-		if f, t, ok := in.tracker.tightest(i.from, i.to, want*in.scale); ok {
-			consider(f, t, innerGain)
+		if f, t, ok := in.tracker.densestRange(i.from, i.to, wantedLoad*in.scale); ok {
+			consider(f, t, innerRangePenalty)
 		}
 	}
-	return c.from, c.to, c.load, c.found
+	return best.from, best.to, best.load, best.found
 }
 
-// cut returns the last key of the shortest range from the interval's first key on that has
-// the load, or the interval's last key.
-func (in *intervals) cut(i interval, load float64) keyspace.Key {
+// prefixWithLoad returns the last key of the shortest range that starts with the interval's
+// first key and has the load, or the interval's last key if the interval has less.
+func (in *intervals) prefixWithLoad(i interval, load float64) keyspace.Key {
 	n := sort.Search(int(i.to)-int(i.from), func(n int) bool {
 		return in.load(i.from, i.from+keyspace.Key(n)) >= load
 	})
 	return i.from + keyspace.Key(n)
 }
 
-// cutBack returns the first key of the shortest range up to the interval's last key that has
-// the load, or the interval's first key.
-func (in *intervals) cutBack(i interval, load float64) keyspace.Key {
+// suffixWithLoad returns the first key of the shortest range that ends with the interval's
+// last key and has the load, or the interval's first key if the interval has less.
+func (in *intervals) suffixWithLoad(i interval, load float64) keyspace.Key {
 	n := sort.Search(int(i.to)-int(i.from), func(n int) bool {
 		return in.load(i.to-keyspace.Key(n), i.to) >= load
 	})
--- a/core/assign/rebalance_test.go
+++ b/core/assign/rebalance_test.go
@@ -14,123 +14,123 @@
 const (
 	// usualRate is the service's requests a second, and usualTime what one takes: two thirds
 	// of what the targets can do.
-	usualRate = 1100
-	usualTime = 0.48
+	requestRate = 1100
+	meanTime    = 0.48
 	// lookEvery is how often moves are looked for.
-	lookEvery = 250 * time.Millisecond
+	rebalanceInterval = 250 * time.Millisecond
 )
 
 // crowd is an assignment to many targets whose requests come by chance.
-type crowd struct {
-	a      *Assigner
-	now    time.Time
-	random *rand.Rand
-	speeds map[string]float64
-	moved  int
+type loadSim struct {
+	a            *Assigner
+	now          time.Time
+	random       *rand.Rand
+	serviceTimes map[string]float64
+	movedKeys    int
 }
 
-func newCrowd(t *testing.T, seed uint64) *crowd {
-	ids := make([]string, manyTargets)
+func newLoadSim(t *testing.T, seed uint64) *loadSim {
+	ids := make([]string, largeFleet)
 	for i := range ids {
 		ids[i] = fmt.Sprintf("t%03d", i)
 	}
-	c := &crowd{
-		a: settled(t, ids...), now: after(3 * time.Second), random: rand.New(rand.NewPCG(seed, 1)), speeds: map[string]float64{},
+	c := &loadSim{
+		a: newSettled(t, ids...), now: after(3 * time.Second), random: rand.New(rand.NewPCG(seed, 1)), serviceTimes: map[string]float64{},
 	}
-	settle(c.a, c.now)
+	runToRest(c.a, c.now)
 	return c
 }
 
-func (c *crowd) speed(id string) float64 {
-	if t, known := c.speeds[id]; known {
+func (c *loadSim) serviceTime(id string) float64 {
+	if t, known := c.serviceTimes[id]; known {
 		return t
 	}
-	return usualTime
+	return meanTime
 }
 
 // look has requests come until the next look, of which a part is for keys from the first hot
 // one on, and carries out the moves that it brings.
-func (c *crowd) look(part float64, hot, keys int) {
-	end := c.now.Add(lookEvery)
+func (c *loadSim) runRound(hotFraction float64, firstHot, hotKeys int) {
+	end := c.now.Add(rebalanceInterval)
 	for c.now.Before(end) {
-		c.now = c.now.Add(time.Duration(c.random.ExpFloat64() * float64(time.Second) / usualRate))
+		c.now = c.now.Add(time.Duration(c.random.ExpFloat64() * float64(time.Second) / requestRate))
 		k := c.random.IntN(1 << 16)
-		if c.random.Float64() < part {
-			k = hot + c.random.IntN(keys)
+		if c.random.Float64() < hotFraction {
+			k = firstHot + c.random.IntN(hotKeys)
 		}
 		c.a.Load().Add(c.now, keyspace.Key(k), 1)
 	}
-	for _, m := range c.a.Rebalance(c.now, c.speed, 1) {
+	for _, m := range c.a.Rebalance(c.now, c.serviceTime, 1) {
 		if c.a.Begin(c.now, m) {
-			c.moved += int(m.To) - int(m.From) + 1
+			c.movedKeys += int(m.To) - int(m.From) + 1
 		}
 	}
-	settle(c.a, c.now)
+	runToRest(c.a, c.now)
 }
 
 // busiest is the highest utilisation that the shares of keys give at the usual rate.
-func (c *crowd) busiest(part float64, hot, keys int) float64 {
+func (c *loadSim) maxUtilisation(hotFraction float64, firstHot, hotKeys int) float64 {
 	rates := map[string]float64{}
 	for i := range c.a.spans {
 		s := &c.a.spans[i]
-		rates[s.Target] += (1 - part) * usualRate * float64(s.Len()) / (1 << 16)
-		first, last := max(int(s.From), hot), min(int(s.To), hot+keys-1)
-		rates[s.Target] += part * usualRate * float64(max(last-first+1, 0)) / float64(max(keys, 1))
+		rates[s.Target] += (1 - hotFraction) * requestRate * float64(s.Len()) / (1 << 16)
+		first, last := max(int(s.From), firstHot), min(int(s.To), firstHot+hotKeys-1)
+		rates[s.Target] += hotFraction * requestRate * float64(max(last-first+1, 0)) / float64(max(hotKeys, 1))
 	}
-	most := 0.0
+	highest := 0.0
 	for id, rate := range rates {
-		most = max(most, rate*c.speed(id)/4)
+		highest = max(highest, rate*c.serviceTime(id)/4)
 	}
-	return most
+	return highest
 }
 
 // Guards against a hot range of keys that takes many rounds of moves to be spread, each of
 // which makes the next target the hot one.
 func TestHotRangeIsSpreadWithinASecond(t *testing.T) {
-	c := newCrowd(t, 1)
-	const part, hot, keys = 0.4, 30000, 200
+	c := newLoadSim(t, 1)
+	const hotFraction, firstHot, hotKeys = 0.4, 30000, 200
 	for range 12 {
-		c.look(0, 0, 0)
+		c.runRound(0, 0, 0)
 	}
-	before := c.busiest(part, hot, keys)
+	before := c.maxUtilisation(hotFraction, firstHot, hotKeys)
 	for range 4 {
-		c.look(part, hot, keys)
+		c.runRound(hotFraction, firstHot, hotKeys)
 	}
 	assert.Assert(t, before > 20, "%v", before)
-	assert.Assert(t, c.busiest(part, hot, keys) < before/10, "%v of %v", c.busiest(part, hot, keys), before)
-	assert.Assert(t, c.moved < 1<<13, "%d keys were moved", c.moved)
+	assert.Assert(t, c.maxUtilisation(hotFraction, firstHot, hotKeys) < before/10, "%v of %v", c.maxUtilisation(hotFraction, firstHot, hotKeys), before)
+	assert.Assert(t, c.movedKeys < 1<<13, "%d keys were moved", c.movedKeys)
 }
 
 // Guards against keys that move all day because the busiest of many targets looks busy.
 func TestChanceMovesHardlyAKey(t *testing.T) {
-	c := newCrowd(t, 2)
+	c := newLoadSim(t, 2)
 	for range 80 {
-		c.look(0, 0, 0)
+		c.runRound(0, 0, 0)
 	}
-	assert.Assert(t, c.moved < 1<<16/50, "%d keys were moved", c.moved)
+	assert.Assert(t, c.movedKeys < 1<<16/50, "%d keys were moved", c.movedKeys)
 }
 
 // Guards against slow targets that keep as many keys as the others for many seconds.
 func TestSlowTargetsGiveKeysAwayWithinSeconds(t *testing.T) {
-	c := newCrowd(t, 3)
-	for i := 0; i < manyTargets; i += 4 {
-		c.speeds[fmt.Sprintf("t%03d", i)] = 2 * usualTime
+	c := newLoadSim(t, 3)
+	for i := 0; i < largeFleet; i += 4 {
+		c.serviceTimes[fmt.Sprintf("t%03d", i)] = 2 * meanTime
 	}
-	before := c.busiest(0, 0, 0)
+	before := c.maxUtilisation(0, 0, 0)
 	for range 20 {
-		c.look(0, 0, 0)
+		c.runRound(0, 0, 0)
 	}
 	assert.Assert(t, before > 1.2, "%v", before)
-	assert.Assert(t, c.busiest(0, 0, 0) < 1.05, "%v of %v", c.busiest(0, 0, 0), before)
+	assert.Assert(t, c.maxUtilisation(0, 0, 0) < 1.05, "%v of %v", c.maxUtilisation(0, 0, 0), before)
 }
 
 // Guards against a write of the table, and a state sent to all routers, for each of many
 // moves that come one after the other.
 func TestMovesThatComeTogetherAreWrittenTogether(t *testing.T) {
-	a := settled(t, "a", "b")
+	a := newSettled(t, "a", "b")
 	a.cfg.WriteInterval = 100 * time.Millisecond
 	now, writes := after(3*time.Second), 0
-	settle(a, now)
+	runToRest(a, now)
 	span := a.spans[0]
 	to := "a"
 	if span.Target == "a" {
@@ -155,11 +155,11 @@
 // Guards against a leader that a data centre which is cut off keeps so busy with orders that
 // its own lease lapses.
 func TestSilentTargetsAreTriedLessAndLessOften(t *testing.T) {
-	c := newCrowd(t, 6)
-	silent := func(holder string) bool { return holder < "t042" }
+	c := newLoadSim(t, 6)
+	unreachable := func(holder string) bool { return holder < "t042" }
 	ranges, orders := 0, 0
 	for i := range c.a.spans {
-		if silent(c.a.spans[i].Target) {
+		if unreachable(c.a.spans[i].Target) {
 			ranges++
 		}
 	}
@@ -171,7 +171,7 @@
 			c.a.Written(actions.Write.Generation, true)
 		}
 		for _, o := range actions.Orders {
-			if !silent(o.Holder.Target) {
+			if !unreachable(o.Holder.Target) {
 				c.a.Done(c.now, o.ID, Accepted, "")
 				continue
 			}
--- a/core/assign/step.go
+++ b/core/assign/step.go
@@ -6,41 +6,42 @@
 	"tarragongw/core/keyspace"
 )
 
-// changed marks a segment as different from what the store has.
-func (a *Assigner) changed(s *span) {
-	if a.generation == a.sent {
+// markChanged marks a segment as different from what the store has.
+func (a *Assigner) markChanged(s *span) {
+	if a.generation == a.sentGeneration {
 		a.generation++
 	}
 	s.generation = a.generation
 }
 
-// Step decides what is to be done now.
+// Step decides what must be done now.
 func (a *Assigner) Step(now time.Time) Actions {
-	a.review(now)
-	a.freeLapsed(now)
-	a.placeFree(now)
+	a.checkHolders(now)
+	a.freeExpired(now)
+	a.placeUnheld(now)
 	a.merge(now)
 	actions := Actions{Next: now.Add(a.cfg.Renew / 2)}
-	a.send(now, &actions)
-	if !a.writing && a.generation > a.sent {
-		a.write(now, &actions)
+	a.sendDueOrders(now, &actions)
+	if !a.writeInFlight && a.generation > a.sentGeneration {
+		a.requestWrite(now, &actions)
 	}
 	return actions
 }
 
-// write has the table put into the store, at most every writeInterval: what many moves
-// change within it goes to the store, and to all routers, at once. A table that names no holders
-// because they are not known is not written: the next leader would take its word.
-func (a *Assigner) write(now time.Time, actions *Actions) {
-	if due := laterOf(a.writeDue, a.freeUntil); now.Before(due) {
+// requestWrite requests a write of the table, at most every WriteInterval, so that the changes
+// of many moves within that time go to the store, and to all routers, together. A table whose
+// holders are unset because they are not known is not written, because the next leader would
+// rely on it.
+func (a *Assigner) requestWrite(now time.Time, actions *Actions) {
+	if due := laterOf(a.nextWriteAt, a.noPlacementBefore); now.Before(due) {
 		actions.Next = earlierOf(actions.Next, due)
 		return
 	}
-	a.writing, a.sent, a.writeDue = true, a.generation, now.Add(a.cfg.WriteInterval)
+	a.writeInFlight, a.sentGeneration, a.nextWriteAt = true, a.generation, now.Add(a.cfg.WriteInterval)
 	actions.Write = &Write{Generation: a.generation, Table: a.Table()}
 }
 
-// Table returns the division as it is decided.
+// Table returns the assignment as decided, stored or not.
 func (a *Assigner) Table() *keyspace.Table {
 	t := &keyspace.Table{Service: a.service, Era: a.era, NextToken: a.nextToken}
 	for i := range a.spans {
@@ -50,141 +51,141 @@
 	return t
 }
 
-// Overlay returns a table as the store has it with those segments marked as moving whose
-// new holder has not accepted them yet: what is sent there before is refused, and each
-// such request is spent from the budget of retries.
+// Overlay returns a copy of a stored table in which the segments whose new holder has not
+// accepted them yet are marked as moving. The new holder would refuse requests sent before
+// that, and each refused request would cost a retry from the retry budget.
 func (a *Assigner) Overlay(stored *keyspace.Table) *keyspace.Table {
 	t := stored.Clone()
 	for i := range t.Segments {
 		segment := &t.Segments[i]
-		s := &a.spans[a.find(segment.From)]
-		if s.fresh && s.Token == segment.Token {
+		s := &a.spans[a.indexOf(segment.From)]
+		if s.newHolder && s.Token == segment.Token {
 			segment.Moving = true
 		}
 	}
 	return t
 }
 
-// Written tells how a write ended. One that failed is made again.
+// Written records the result of a write. A failed write is repeated.
 func (a *Assigner) Written(generation uint64, ok bool) {
-	a.writing = false
+	a.writeInFlight = false
 	if ok {
-		a.written = max(a.written, generation)
+		a.writtenGeneration = max(a.writtenGeneration, generation)
 		return
 	}
-	a.sent = a.written
+	a.sentGeneration = a.writtenGeneration
 }
 
-// review finds the keys whose holder can't keep them.
-func (a *Assigner) review(now time.Time) {
+// checkHolders finds the keys whose holder has restarted or can't keep them.
+func (a *Assigner) checkHolders(now time.Time) {
 	for i := range a.spans {
 		s := &a.spans[i]
 		if s.Target == "" {
 			continue
 		}
-		candidate := a.candidates[s.Target]
+		c := a.candidates[s.Target]
 		switch {
-		case candidate != nil && candidate.target.Born != s.Born:
-			a.rebirth(s, candidate)
-		case candidate == nil:
+		case c != nil && c.target.Born != s.Born:
+			a.grantToNewInstance(s, c)
+		case c == nil:
 			a.beginMove(now, s, "", true)
-		case candidate.lost:
+		case c.unreachable:
 			a.beginMove(now, s, "", true)
-		case candidate.target.Draining:
+		case c.target.Draining:
 			a.beginMove(now, s, "", false)
 		}
 	}
 }
 
-// rebirth grants the keys anew to the same target's next life, which holds nothing; the
-// life before is over with its process.
-func (a *Assigner) rebirth(s *span, candidate *candidate) {
-	s.Holder, s.fresh = candidate.target.Holder(), true
-	s.Moving, s.Lost, s.next, s.handover = false, false, "", ""
-	s.inherited, s.lapse, s.oldLapse = false, time.Time{}, time.Time{}
+// grantToNewInstance grants the keys again to a new instance of the same target. It holds
+// nothing yet, and the previous instance has ended with its process.
+func (a *Assigner) grantToNewInstance(s *span, c *candidate) {
+	s.Holder, s.newHolder = c.target.Holder(), true
+	s.Moving, s.Lost, s.nextTarget, s.handover = false, false, "", ""
+	s.inherited, s.expiry, s.oldLeaderExpiry = false, time.Time{}, time.Time{}
 	a.renewToken(s)
 }
 
 // renewToken starts a grant under a new token.
 func (a *Assigner) renewToken(s *span) {
 	s.Token = a.takeToken()
-	s.acked, s.firstSent, s.due = false, false, time.Time{}
-	a.changed(s)
+	s.acked, s.grantSent, s.nextOrderAt = false, false, time.Time{}
+	a.markChanged(s)
 }
 
-// beginMove has the holder give the keys up.
-func (a *Assigner) beginMove(now time.Time, s *span, next string, lost bool) {
+// beginMove starts taking the keys from their holder.
+func (a *Assigner) beginMove(now time.Time, s *span, nextTarget string, unreachable bool) {
 	if s.Moving {
-		if lost && !s.Lost {
+		if unreachable && !s.Lost {
 			s.Lost = true
-			a.changed(s)
+			a.markChanged(s)
 		}
 		return
 	}
-	s.Moving, s.Lost, s.next, s.releaseSent = true, lost, next, false
-	s.fence = a.takeToken()
-	a.changed(s)
+	s.Moving, s.Lost, s.nextTarget, s.releaseSent = true, unreachable, nextTarget, false
+	s.releaseToken = a.takeToken()
+	a.markChanged(s)
 }
 
-// freeLapsed takes keys from holders that can't have them any more.
-func (a *Assigner) freeLapsed(now time.Time) {
+// freeExpired takes keys from holders that can't hold them any more.
+func (a *Assigner) freeExpired(now time.Time) {
 	for i := range a.spans {
 		s := &a.spans[i]
-		if s.Moving && !s.busy && (a.ended[s.Holder] || !s.lapsed().After(now)) {
-			a.free(s, "")
+		if s.Moving && !s.orderInFlight && (a.endedHolders[s.Holder] || !s.lastExpiry().After(now)) {
+			a.markUnheld(s, "")
 		}
 	}
 }
 
-// free notes that nobody holds the keys.
-func (a *Assigner) free(s *span, handover string) {
+// markUnheld records that nobody holds the keys.
+func (a *Assigner) markUnheld(s *span, handover string) {
 	s.Holder, s.Token = keyspace.Holder{}, 0
 	s.Moving, s.Lost, s.acked, s.handover = false, false, false, handover
-	s.inherited, s.lapse, s.oldLapse = false, time.Time{}, time.Time{}
+	s.inherited, s.expiry, s.oldLeaderExpiry = false, time.Time{}, time.Time{}
 }
 
-// placeFree gives the keys that nobody holds to targets.
-func (a *Assigner) placeFree(now time.Time) {
-	if now.Before(a.freeUntil) || !a.anyFree() || a.gathering(now) {
+// placeUnheld assigns the keys that nobody holds to targets.
+func (a *Assigner) placeUnheld(now time.Time) {
+	if now.Before(a.noPlacementBefore) || !a.anyUnheld() || a.awaitingTargets(now) {
 		return
 	}
-	plan := a.newPlan(now)
-	if len(plan.candidates) == 0 {
+	p := a.newPlan(now)
+	if len(p.candidates) == 0 {
 		return
 	}
-	a.splitFree(plan)
+	a.splitUnheld(p)
 	for i := range a.spans {
 		s := &a.spans[i]
 		if s.Target != "" {
 			continue
 		}
-		candidate := a.candidates[s.next]
-		if !candidate.takes() {
-			candidate = plan.least()
+		receiver := a.candidates[s.nextTarget]
+		if !receiver.acceptsKeys() {
+			receiver = p.leastUtilised()
 		}
-		plan.add(candidate, s.From, s.To)
-		s.Holder, s.next, s.fresh = candidate.target.Holder(), "", true
+		p.addLoad(receiver, s.From, s.To)
+		s.Holder, s.nextTarget, s.newHolder = receiver.target.Holder(), "", true
 		a.renewToken(s)
 	}
 }
 
-// gathering reports whether a new service's targets are still coming in. Given out at
-// once, all keys would go to the target that happens to be the first.
-func (a *Assigner) gathering(now time.Time) bool {
-	if !a.unborn {
+// awaitingTargets reports whether the targets of a new service are still registering. Without
+// the wait, all keys would go to the first target.
+func (a *Assigner) awaitingTargets(now time.Time) bool {
+	if !a.neverPlaced {
 		return false
 	}
 	if len(a.candidates) == 0 {
 		return true
 	}
-	if a.since.IsZero() {
-		a.since = now
+	if a.firstTargetAt.IsZero() {
+		a.firstTargetAt = now
 	}
-	a.unborn = now.Sub(a.grown) < gatherPause && now.Sub(a.since) < gatherMost
-	return a.unborn
+	a.neverPlaced = now.Sub(a.lastTargetAt) < placementQuietPeriod && now.Sub(a.firstTargetAt) < maxPlacementDelay
+	return a.neverPlaced
 }
 
-func (a *Assigner) anyFree() bool {
+func (a *Assigner) anyUnheld() bool {
 	for i := range a.spans {
 		if a.spans[i].Target == "" {
 			return true
