--- /dev/null
+++ b/core/directory/departed.go
@@ -0,0 +1,65 @@
+package directory
+
+import (
+	"time"
+
+	"tarragongw/core/keyspace"
+)
+
+// departedRetention is how long a departed target is remembered, which is longer than any of
+// its grants may last.
+const departedRetention = time.Minute
+
+// departedTarget is the last entry of a target that was removed.
+type departedTarget struct {
+	entry
+	removedAt time.Time
+}
+
+// moveToDeparted moves a target from the entries to the departed targets, and drops departed
+// targets older than departedRetention.
+func (d *Directory) moveToDeparted(now time.Time, id string) {
+	d.departed[id] = departedTarget{*d.entries[id], now}
+	delete(d.entries, id)
+	for other, departed := range d.departed {
+		if now.Sub(departed.removedAt) > departedRetention {
+			delete(d.departed, other)
+		}
+	}
+}
+
+// Ended returns the target instances that are known to have ended: departed instances whose
+// address now belongs to another target that was first seen after their last report. An
+// address is given to another target only after the one that had it has ended.
+//
+// A target that has merely departed may still run, cut off from the store, and hold its keys.
+// They have to wait until its last grant has expired, which takes up to sixteen seconds after
+// a change of the leader. This shows in refusals whose detail says so, and in orders to the
+// target that are answered with status 400 or 421.
+func (d *Directory) Ended() []keyspace.Holder {
+	if len(d.departed) == 0 {
+		return nil
+	}
+	latest := make(map[string]*entry, len(d.entries))
+	for _, e := range d.entries {
+		if other := latest[e.target.Address]; other == nil || e.firstSeen.After(other.firstSeen) {
+			latest[e.target.Address] = e
+		}
+	}
+	var ended []keyspace.Holder
+	for _, departed := range d.departed {
+		if e := latest[departed.target.Address]; e != nil && departed.succeededBy(e) {
+			ended = append(ended, departed.target.Holder())
+		}
+	}
+	return ended
+}
+
+// succeededBy reports whether the target at the same address came after this one.
+func (t *departedTarget) succeededBy(e *entry) bool {
+	if !e.firstSeen.After(t.lastReport) {
+		return false
+	}
+	// If both report their start time, the order of these must agree.
+	return e.target.Born == 0 || t.target.Born == 0 || e.target.Born > t.target.Born
+}
--- a/core/directory/directory.go
+++ b/core/directory/directory.go
@@ -1,7 +1,7 @@
-// Package directory decides which targets there are, from what the store tells of them.
+// Package directory decides which targets exist, from their entries in the store.
 //
-// The store's word lags and has gaps: entries lapse while it is away and come back after
-// it. The package does no I/O and takes the time as a parameter.
+// The store's state lags and has gaps: entries expire while the store is unreachable and
+// return later. The package does no I/O and takes the time as a parameter.
 package directory
 
 import (
@@ -11,75 +11,77 @@
 	"tarragongw/core/keyspace"
 )
 
-// ReturnGrace is how long an entry that vanished with the store's absence may take to
-// come back, in time from the store's return: targets write theirs again within about
-// two seconds, the rest is for the way to this router.
+// ReturnGrace is how long after an outage of the store an entry that vanished with it may take
+// to return. Targets write their entries again within about two seconds; the rest is for the
+// transit to this router.
 const ReturnGrace = 2200 * time.Millisecond
 
-// Target is what one life of a target says of itself.
+// Target is what one instance of a target reports about itself.
 type Target struct {
-	// ID is new with each target; one that starts again may keep it.
+	// ID is unique to each target. A target may keep it over a restart.
 	ID string
-	// Born is the Unix millisecond of the target's start; zero where it doesn't say.
+	// Born is the start time of the instance in Unix milliseconds, or zero if the target
+	// doesn't report it.
 	Born       int64
 	Address    string
 	Service    string
 	DataCentre string
-	// Slots is how many requests the target works on at once.
+	// Slots is how many requests the target works on at the same time.
 	Slots int
 	// Draining targets take no new work.
 	Draining bool
-	// ColdFor is how long the target is still slow after its start, from when it said so;
-	// ColdUntil is when that ends, which the Directory works out.
+	// ColdFor is how long after this report the target is still slow because it has just
+	// started. ColdUntil is when that ends; the Directory sets it.
 	ColdFor   time.Duration
 	ColdUntil time.Time
-	// Seq counts the target's reports within one life.
+	// Seq counts the reports of one instance.
 	Seq uint64
 }
 
-// Holder is how the table of keys names this life of the target.
+// Holder returns the name of this target instance in the key table.
 func (t *Target) Holder() keyspace.Holder {
 	return keyspace.Holder{Target: t.ID, Born: t.Born}
 }
 
-// entry is a target with the router's own belief.
+// entry is a target with this router's state for it.
 type entry struct {
 	target Target
-	// since is when this router heard first of the target's life at its address, and heard
-	// when it heard something new of it last.
-	since, heard time.Time
-	// goneAt is when the target is taken for gone unless it is heard of; zero where it
-	// stands in the store.
-	goneAt time.Time
+	// firstSeen is when this router first saw the instance at its address, and lastReport when
+	// it last received a new report of it.
+	firstSeen, lastReport time.Time
+	// removeAt is when the target is removed unless a report of it arrives first; zero while
+	// its entry is in the store.
+	removeAt time.Time
 }
 
-// Directory is the router's belief about all targets. It is not safe for concurrent use.
+// Directory is this router's view of all targets. It is not safe for concurrent use.
 type Directory struct {
 	entries map[string]*entry
-	// former are targets that are gone, see Ended.
-	former map[string]formerTarget
-	// away says that the store is not reached; back is when it was reached again last.
-	away bool
-	back time.Time
+	// departed are the targets that were removed, see Ended.
+	departed map[string]departedTarget
+	// storeUnreachable reports whether the store is unreachable. storeReachableSince is when
+	// it last became reachable again.
+	storeUnreachable    bool
+	storeReachableSince time.Time
 }
 
-// New returns a directory that knows no target.
+// New returns an empty directory.
 func New() *Directory {
-	return &Directory{entries: map[string]*entry{}, former: map[string]formerTarget{}}
+	return &Directory{entries: map[string]*entry{}, departed: map[string]departedTarget{}}
 }
 
-// Put notes what a target said. It reports whether something changed beyond its count
-// of reports.
+// Put records a report of a target. It returns whether anything changed except the report's
+// sequence number and cold time.
 func (d *Directory) Put(now time.Time, t Target) bool {
 	old, known := d.entries[t.ID]
 	if known && t.Born < old.target.Born {
-		// A life that has ended says no more; the record came late.
+		// The report of an earlier instance arrived late.
 		return false
 	}
 	t.ColdUntil = now.Add(t.ColdFor)
-	delete(d.former, t.ID)
-	d.entries[t.ID] = succeed(old, now, t)
-	if !known || !old.goneAt.IsZero() {
+	delete(d.departed, t.ID)
+	d.entries[t.ID] = nextEntry(old, now, t)
+	if !known || !old.removeAt.IsZero() {
 		return true
 	}
 	before, after := old.target, t
@@ -87,57 +89,59 @@
 	return before != after
 }
 
-// succeed is the entry of what a target says now, after old, which may be nil.
-func succeed(old *entry, now time.Time, t Target) *entry {
-	e := &entry{target: t, since: now, heard: now}
+// nextEntry returns the entry after report t. old is the entry before it, or nil.
+func nextEntry(old *entry, now time.Time, t Target) *entry {
+	e := &entry{target: t, firstSeen: now, lastReport: now}
 	if old == nil || old.target.Born != t.Born || old.target.Address != t.Address {
 		return e
 	}
-	e.since = old.since
+	e.firstSeen = old.firstSeen
 	if old.target.Seq == t.Seq && old.target.Draining == t.Draining {
-		e.heard = old.heard // the same record, in another listing
+		e.lastReport = old.lastReport // the same record, in another listing
 	}
 	return e
 }
 
-// Remove notes that the target's entry is gone from the store. Where the store was away
-// until just now, the entry may have lapsed for that alone, and the target is believed
-// until it has had the time to write it again.
+// Remove records that the target's entry has gone from the store. If the store was unreachable
+// until just now, the entry may have expired only because of that, and the target is kept
+// until it has had the time to write its entry again.
 //
-// What goes wrong without that: each outage of the store takes all targets away for
-// seconds, although all of them serve.
+// Otherwise each outage of the store would remove all targets for seconds, although all of
+// them are running.
 func (d *Directory) Remove(now time.Time, id string) (changed bool) {
 	e, known := d.entries[id]
-	if !known || !e.goneAt.IsZero() {
+	if !known || !e.removeAt.IsZero() {
 		return false
 	}
-	e.goneAt = now
-	if d.away {
-		e.goneAt = now.Add(ReturnGrace)
-	} else if until := d.back.Add(ReturnGrace); !d.back.IsZero() && until.After(now) {
-		e.goneAt = until
+	e.removeAt = now
+	if d.storeUnreachable {
+		e.removeAt = now.Add(ReturnGrace)
+	} else if until := d.storeReachableSince.Add(ReturnGrace); !d.storeReachableSince.IsZero() && until.After(now) {
+		e.removeAt = until
 	}
-	return d.sweep(now)
+	return d.removeDue(now)
 }
 
-// Replace notes a whole listing of the store: what it doesn't name has been removed.
+// Replace records a complete listing of the store. Targets that it doesn't contain are
+// removed.
 func (d *Directory) Replace(now time.Time, listed []Target) (changed bool) {
-	seen := make(map[string]bool, len(listed))
+	inListing := make(map[string]bool, len(listed))
 	for _, t := range listed {
-		seen[t.ID] = true
+		inListing[t.ID] = true
 		changed = d.Put(now, t) || changed
 	}
 	for id := range d.entries {
-		if !seen[id] {
+		if !inListing[id] {
 			changed = d.Remove(now, id) || changed
 		}
 	}
 	return changed
 }
 
-// Restore notes a whole listing of a store that has come back from an older copy. What it says
-// of a target may be older than what is known, and a target that isn't known may have left
-// since: it is believed in once it writes its entry again.
+// Restore records a complete listing of a store that was restored from an older copy. Its
+// entry for a known target may be older than the target's last report. An unknown target may
+// have left since the copy was made, and is added only once it writes its entry again. An
+// empty directory accepts the whole listing.
 func (d *Directory) Restore(now time.Time, listed []Target) (changed bool) {
 	var current []Target
 	for _, t := range listed {
@@ -151,85 +155,86 @@
 	return d.Replace(now, current)
 }
 
-// Adopt takes over what another router believes: all of it, or what has changed.
-func (d *Directory) Adopt(now time.Time, whole bool, targets []Target, gone []string) (changed bool) {
-	if whole {
-		there := make(map[string]bool, len(targets))
+// Adopt records the view of another router: all of it if complete is set, else what has
+// changed.
+func (d *Directory) Adopt(now time.Time, complete bool, targets []Target, removed []string) (changed bool) {
+	if complete {
+		present := make(map[string]bool, len(targets))
 		for _, t := range targets {
-			there[t.ID] = true
+			present[t.ID] = true
 		}
 		for id := range d.entries {
-			if !there[id] {
-				gone = append(gone, id)
+			if !present[id] {
+				removed = append(removed, id)
 			}
 		}
 	}
 	for _, t := range targets {
 		changed = d.Put(now, t) || changed
 	}
-	for _, id := range gone {
+	for _, id := range removed {
 		if _, known := d.entries[id]; known {
-			d.forget(now, id)
+			d.moveToDeparted(now, id)
 			changed = true
 		}
 	}
 	return changed
 }
 
-// StoreAway notes that the store is not reached.
-func (d *Directory) StoreAway() { d.away = true }
+// StoreAway records that the store is unreachable.
+func (d *Directory) StoreAway() { d.storeUnreachable = true }
 
-// StoreBack notes that the store is reached.
+// StoreBack records that the store is reachable again.
 func (d *Directory) StoreBack(now time.Time) {
-	if !d.away {
+	if !d.storeUnreachable {
 		return
 	}
-	d.away, d.back = false, now
+	d.storeUnreachable, d.storeReachableSince = false, now
 	for _, e := range d.entries {
-		if !e.goneAt.IsZero() {
-			e.goneAt = now.Add(ReturnGrace)
+		if !e.removeAt.IsZero() {
+			e.removeAt = now.Add(ReturnGrace)
 		}
 	}
 }
 
-// Tick carries out what has become due; it reports whether a target is gone since.
-func (d *Directory) Tick(now time.Time) (changed bool) { return d.sweep(now) }
+// Tick removes the targets that are due to be removed, and returns whether there were any.
+func (d *Directory) Tick(now time.Time) (changed bool) { return d.removeDue(now) }
 
-func (d *Directory) sweep(now time.Time) (changed bool) {
-	if d.away {
+func (d *Directory) removeDue(now time.Time) (changed bool) {
+	if d.storeUnreachable {
 		return false
 	}
 	for id, e := range d.entries {
-		if !e.goneAt.IsZero() && !now.Before(e.goneAt) {
-			d.forget(now, id)
+		if !e.removeAt.IsZero() && !now.Before(e.removeAt) {
+			d.moveToDeparted(now, id)
 			changed = true
 		}
 	}
 	return changed
 }
 
-// Next is when Tick is due next; the zero time means never.
+// Next returns when Tick is due next, or the zero time for never.
 func (d *Directory) Next() time.Time {
 	var next time.Time
 	for _, e := range d.entries {
-		if !e.goneAt.IsZero() && (next.IsZero() || e.goneAt.Before(next)) {
-			next = e.goneAt
+		if !e.removeAt.IsZero() && (next.IsZero() || e.removeAt.Before(next)) {
+			next = e.removeAt
 		}
 	}
 	return next
 }
 
-// Targets returns the targets that are believed in, in order of service and id.
+// Targets returns the targets that were not removed, ordered by service and ID.
 func (d *Directory) Targets() []Target {
-	all := make([]Target, 0, len(d.entries))
+	targets := make([]Target, 0, len(d.entries))
 	for _, e := range d.entries {
-		all = append(all, e.target)
+		targets = append(targets, e.target)
 	}
-	sort.Slice(all, func(i, j int) bool {
-		if all[i].Service != all[j].Service {
-			return all[i].Service < all[j].Service
+	sort.Slice(targets, func(i, j int) bool {
+		if targets[i].Service != targets[j].Service {
+			return targets[i].Service < targets[j].Service
 		}
-		return all[i].ID < all[j].ID
+		return targets[i].ID < targets[j].ID
 	})
-	return all
+	return targets
 }
--- a/core/directory/directory_test.go
+++ b/core/directory/directory_test.go
@@ -11,7 +11,7 @@
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-func known(d *Directory) []string {
+func targetIDs(d *Directory) []string {
 	var ids []string
 	for _, t := range d.Targets() {
 		ids = append(ids, t.ID)
@@ -26,33 +26,33 @@
 	assert.Assert(t, d.Put(at(600), Target{ID: "a", Service: "s", Seq: 3, Draining: true}))
 }
 
-func TestRemovedTargetIsGoneAtOnce(t *testing.T) {
+func TestRemovedTargetIsDroppedImmediately(t *testing.T) {
 	d := New()
 	d.Put(at(0), Target{ID: "a"})
 	assert.Assert(t, d.Remove(at(100), "a"))
 	assert.Equal(t, len(d.Targets()), 0)
 }
 
-// Symptom: all requests are refused for two seconds after each outage of the store.
-// Sequence: the store is away, entries lapse; it returns, the watch tells of their
-// removal; the targets, which served all the while, write them again.
-// Cause: an entry's absence is taken for the target's.
-func TestEntriesThatLapsedWithTheStoreComeBack(t *testing.T) {
+// Guards against requests that are refused for two seconds after each outage of the store.
+// Entries expire while the store is unreachable, and when it is back the watch reports their
+// removal. The targets were running all the time and write their entries again, so that a
+// missing entry doesn't mean a missing target yet.
+func TestEntriesExpiredDuringAnOutageMayReturnWithinTheGrace(t *testing.T) {
 	d := New()
 	d.Put(at(0), Target{ID: "a"})
 	d.Put(at(0), Target{ID: "b"})
 	d.StoreAway()
 	d.StoreBack(at(5000))
 	assert.Assert(t, !d.Replace(at(5000), nil))
-	assert.DeepEqual(t, known(d), []string{"a", "b"})
+	assert.DeepEqual(t, targetIDs(d), []string{"a", "b"})
 	d.Put(at(6500), Target{ID: "a", Seq: 9})
 	assert.Assert(t, d.Tick(d.Next()))
-	assert.DeepEqual(t, known(d), []string{"a"})
+	assert.DeepEqual(t, targetIDs(d), []string{"a"})
 }
 
-// A removal that is learnt of while the store is away stands once it has been back for
-// long enough, not before.
-func TestNothingIsGoneWhileTheStoreIsAway(t *testing.T) {
+// A removal reported while the store is unreachable takes effect ReturnGrace after the store
+// is reachable again, not before.
+func TestNoTargetIsRemovedWhileTheStoreIsUnreachable(t *testing.T) {
 	d := New()
 	d.Put(at(0), Target{ID: "a"})
 	d.StoreAway()
@@ -63,9 +63,9 @@
 	assert.Assert(t, d.Tick(at(60_000).Add(ReturnGrace)))
 }
 
-// A target that starts again under its id is another life; what the one before said
-// comes too late.
-func TestOlderLifeSaysNoMore(t *testing.T) {
+// A target that restarts under its ID is another instance. Late reports of the earlier
+// instance are ignored.
+func TestReportsOfAnEarlierInstanceAreIgnored(t *testing.T) {
 	d := New()
 	d.Put(at(0), Target{ID: "a", Born: 5, Seq: 40})
 	assert.Assert(t, d.Put(at(10), Target{ID: "a", Born: 9, Seq: 1}))
@@ -73,19 +73,19 @@
 	assert.Assert(t, !d.Targets()[0].Draining)
 }
 
-// Symptom: a router that was cut off sends work to a target that left 12 s ago.
-// Sequence: its way to the store heals; the target's entry is missing; since the router
-// hadn't reached the store, it believes in the target for the time that entries may take to
-// come back, and counts as whole again before that is over.
-// What ends it: the leader, which was not cut off, knows that the target is gone.
-func TestLeadersWordEndsTheGrace(t *testing.T) {
+// Guards against a router that was cut off and sends work to a target that left 12 s ago. Its
+// connection to the store returns, and the target's entry is missing; because the store was
+// unreachable for this router, it keeps the target for ReturnGrace, and counts as fully
+// connected again before that is over. The leader, which was not cut off, knows that the
+// target has left, and its state ends the grace.
+func TestStateFromTheLeaderEndsTheGrace(t *testing.T) {
 	d := New()
 	d.Put(at(0), Target{ID: "a"})
 	d.Put(at(0), Target{ID: "b"})
 	d.StoreAway()
 	d.StoreBack(at(9000))
 	d.Replace(at(9000), []Target{{ID: "b", Seq: 7}})
-	assert.DeepEqual(t, known(d), []string{"a", "b"})
+	assert.DeepEqual(t, targetIDs(d), []string{"a", "b"})
 	assert.Assert(t, d.Adopt(at(9100), true, []Target{{ID: "b", Seq: 8}}, nil))
-	assert.DeepEqual(t, known(d), []string{"b"})
+	assert.DeepEqual(t, targetIDs(d), []string{"b"})
 }
--- a/core/directory/restore_test.go
+++ b/core/directory/restore_test.go
@@ -6,28 +6,28 @@
 	"gotest.tools/v3/assert"
 )
 
-// A target that has left gets work again, and one that serves is taken for gone, because a
-// restored store says so.
-func TestRestoredListingIsNotTakenAtItsWord(t *testing.T) {
+// Guards against a target that has left but gets work again, and a running target that is
+// removed, because a restored store says so.
+func TestRestoredListingDoesNotOverrideNewerState(t *testing.T) {
 	d := New()
 	d.Put(at(0), Target{ID: "known", Seq: 5, Draining: true})
 	d.Put(at(0), Target{ID: "missing", Seq: 5})
 	d.StoreAway()
 	d.StoreBack(at(1000))
 	d.Restore(at(1000), []Target{{ID: "known", Seq: 2}, {ID: "left", Seq: 9}})
-	assert.DeepEqual(t, known(d), []string{"known", "missing"})
-	assert.Assert(t, d.Targets()[0].Draining, "an older report counts")
+	assert.DeepEqual(t, targetIDs(d), []string{"known", "missing"})
+	assert.Assert(t, d.Targets()[0].Draining, "an older report must not replace a newer one")
 	d.Put(at(1200), Target{ID: "left", Seq: 10})
-	assert.DeepEqual(t, known(d), []string{"known", "left", "missing"})
+	assert.DeepEqual(t, targetIDs(d), []string{"known", "left", "missing"})
 	assert.Assert(t, d.Tick(at(1000).Add(ReturnGrace)))
-	assert.DeepEqual(t, known(d), []string{"known", "left"})
+	assert.DeepEqual(t, targetIDs(d), []string{"known", "left"})
 }
 
-// A router that starts after a restore knows no target.
-func TestRestoredListingIsAllThatANewRouterHas(t *testing.T) {
+// A router that starts after a restore knows no target, and accepts the listing as it is.
+func TestNewRouterAcceptsTheRestoredListing(t *testing.T) {
 	d := New()
 	d.StoreAway()
 	d.StoreBack(at(0))
 	assert.Assert(t, d.Restore(at(0), []Target{{ID: "a"}, {ID: "b"}}))
-	assert.DeepEqual(t, known(d), []string{"a", "b"})
+	assert.DeepEqual(t, targetIDs(d), []string{"a", "b"})
 }
--- a/core/keyspace/limit.go
+++ b/core/keyspace/limit.go
@@ -1,8 +1,8 @@
 package keyspace
 
-// Limit says that a key is asked for more than its holder can do.
+// Limit restricts the requests for a key whose demand exceeds the capacity of its holder.
 type Limit struct {
 	Key Key
-	// Admit is the part of the requests for the key that is to be served, from 0 to 1.
+	// Admit is the fraction of the requests for the key to admit, from 0 to 1.
 	Admit float64
 }
--- a/core/keyspace/table.go
+++ b/core/keyspace/table.go
@@ -1,5 +1,5 @@
-// Package keyspace divides the keys of one service into ranges and says which target
-// holds each under which fencing token. It does no I/O.
+// Package keyspace divides the keys of one service into ranges and records which target holds
+// each range under which fencing token. It does no I/O.
 package keyspace
 
 import (
@@ -8,50 +8,51 @@
 	"github.com/pkg/errors"
 )
 
-// Key is the number that a request's key is given by.
+// Key is the number that the key of a request is mapped to.
 type Key = uint16
 
-// LastKey is the highest key; the first is zero.
+// LastKey is the highest key; the lowest is zero.
 const LastKey Key = 1<<16 - 1
 
-// Holder is one life of a target.
+// Holder is one instance of a target.
 type Holder struct {
 	Target string `json:"t,omitempty"`
-	// Born tells lives of a target that starts again under the same name apart: the
-	// Unix millisecond of its start, zero where it doesn't say.
+	// Born is the start time of the instance in Unix milliseconds, or zero if the target
+	// doesn't report it. It tells instances of a target that restarts under the same name
+	// apart.
 	Born int64 `json:"b,omitempty"`
 }
 
-// Segment is a range of keys that is held as one.
+// Segment is a range of keys with one holder and token.
 type Segment struct {
-	// From and To are both part of the range.
+	// From and To are the first and last key of the range, both inclusive.
 	From Key `json:"f"`
 	To   Key `json:"l"`
-	// Holder is empty where nobody holds the keys.
+	// Holder is empty if nobody holds the keys.
 	Holder
-	// Token fences the grant; it is above every token that another holder of one of
-	// these keys has had.
+	// Token is the fencing token of the grant. It is higher than every token that another
+	// holder of one of these keys has had.
 	Token uint64 `json:"n,omitempty"`
-	// Moving says that the holder is to give the keys up: routers keep requests for them
-	// back.
+	// Moving reports whether the holder is to give the keys up. Routers hold requests for them
+	// back meanwhile.
 	Moving bool `json:"m,omitempty"`
-	// Lost says of a moving segment that its holder isn't reached, so that its grant has to
-	// lapse first: that takes seconds, too long for a request to wait.
+	// Lost reports whether the holder of a moving segment is unreachable, so that its grant
+	// must expire first. That takes seconds, too long for a request to wait.
 	Lost bool `json:"x,omitempty"`
 }
 
-// Len is the number of keys of the range.
+// Len returns the number of keys in the range.
 func (s *Segment) Len() int { return int(s.To) - int(s.From) + 1 }
 
-// Table is the division of one service's keys. What the request path reads is never
-// changed.
+// Table is the assignment of one service's keys. A table that the request path reads is never
+// modified.
 type Table struct {
 	Service string `json:"service"`
-	// Era is that of the store in which the table was written.
+	// Era is the store era in which the table was written.
 	Era uint32 `json:"era,omitempty"`
-	// NextToken is above every token that was given out.
+	// NextToken is higher than every token issued.
 	NextToken uint64 `json:"next"`
-	// Segments cover all keys in order.
+	// Segments cover all keys, in order.
 	Segments []Segment `json:"segments"`
 }
 
@@ -60,33 +61,33 @@
 	return &Table{Service: service, NextToken: 1, Segments: []Segment{{From: 0, To: LastKey}}}
 }
 
-// Find returns the segment that holds the key.
-func (t *Table) Find(k Key) *Segment {
-	i := sort.Search(len(t.Segments), func(i int) bool { return t.Segments[i].To >= k })
+// Find returns the segment that contains the key.
+func (t *Table) Find(key Key) *Segment {
+	i := sort.Search(len(t.Segments), func(i int) bool { return t.Segments[i].To >= key })
 	return &t.Segments[i]
 }
 
-// TakeToken returns a token above all that were given out.
+// TakeToken issues a token that is higher than all issued before.
 func (t *Table) TakeToken() uint64 {
 	t.NextToken++
 	return t.NextToken - 1
 }
 
-// Split makes the key the first of a segment.
-func (t *Table) Split(k Key) {
-	i := sort.Search(len(t.Segments), func(i int) bool { return t.Segments[i].To >= k })
-	if t.Segments[i].From == k {
+// Split splits a segment so that the key is the first of its segment.
+func (t *Table) Split(key Key) {
+	i := sort.Search(len(t.Segments), func(i int) bool { return t.Segments[i].To >= key })
+	if t.Segments[i].From == key {
 		return
 	}
 	left, right := t.Segments[i], t.Segments[i]
-	left.To, right.From = k-1, k
+	left.To, right.From = key-1, key
 	t.Segments = append(t.Segments, Segment{})
 	copy(t.Segments[i+2:], t.Segments[i+1:])
 	t.Segments[i], t.Segments[i+1] = left, right
 }
 
-// Carve makes a segment of its own of the keys from first to last and returns it. The
-// keys must lie in one segment.
+// Carve makes the keys from first to last a segment of their own and returns it. The keys must
+// lie in one segment.
 func (t *Table) Carve(first, last Key) *Segment {
 	t.Split(first)
 	if last < LastKey {
@@ -95,7 +96,7 @@
 	return t.Find(first)
 }
 
-// Join makes one segment of neighbours that are alike.
+// Join joins neighbouring segments that differ only in their range.
 func (t *Table) Join() {
 	kept := t.Segments[:1]
 	for _, s := range t.Segments[1:] {
@@ -109,15 +110,15 @@
 	t.Segments = kept
 }
 
-// Clone returns a table that shares nothing.
+// Clone returns a deep copy of the table.
 func (t *Table) Clone() *Table {
 	c := *t
 	c.Segments = append([]Segment(nil), t.Segments...)
 	return &c
 }
 
-// Check returns an error unless the segments cover all keys once, in order, under tokens
-// that were given out.
+// Check returns an error unless the segments cover every key exactly once, in order, and all
+// tokens are below NextToken.
 func (t *Table) Check() error {
 	next := 0
 	for i := range t.Segments {
--- a/core/keyspace/table_test.go
+++ b/core/keyspace/table_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is cut and joined, each key stays in exactly one segment, and a record says
-// the same as the table that it was made of.
+// However the table is split and joined, each key stays in exactly one segment, and joining
+// changes no key's holder.
 func TestSegmentsCoverAllKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := New("s")
@@ -31,9 +31,9 @@
 	})
 }
 
-// A table with a gap, or with a token that could be given out again, is refused: keys
-// would have no holder or two.
-func TestCheckRefusesWhatCanNotHold(t *testing.T) {
+// A table with a gap, or with a token that could be issued again, is rejected: keys would have
+// no holder or two.
+func TestCheckRejectsGapsAndReusableTokens(t *testing.T) {
 	for _, segments := range [][]Segment{
 		nil, {{From: 0, To: 10}}, {{From: 0, To: 10}, {From: 12, To: LastKey}},
 		{{From: 0, To: LastKey, Holder: Holder{Target: "a"}, Token: 2}},
