--- a/core/assign/assign.go
+++ b/core/assign/assign.go
@@ -31,8 +31,8 @@
 	// long enough for another router to take over as leader first: 1.2 s for the leader's
 	// lease to expire, and half a second for a renewal.
 	DefaultHold = 2 * time.Second
-	// DefaultRenew allows for two lost renewals.
-	DefaultRenew = 500 * time.Millisecond
+	// DefaultRenewInterval allows for two lost renewals.
+	DefaultRenewInterval = 500 * time.Millisecond
 	// maxClockDrift is the fraction by which a holder's clock may run slow, so that its grant
 	// lasts longer.
 	maxClockDrift = 0.02
@@ -69,14 +69,14 @@
 	maxReleaseRetryDelay = time.Second
 )
 
-// Config holds the durations that the assignment uses, and what is known of the store. Hold,
-// LongHold and Renew have defaults.
+// Config holds the durations that the assignment uses, and what is known of the store.
+// GrantTTL, LongHold and RenewInterval have defaults.
 type Config struct {
-	// Hold is the TTL of a grant, and LongHold its TTL while the store is unreachable, when no
-	// other router could take over.
-	Hold, LongHold time.Duration
-	// Renew is the time between two renewals of a grant.
-	Renew time.Duration
+	// GrantTTL is the TTL of a grant, and LongHold its TTL while the store is unreachable,
+	// when no other router could take over.
+	GrantTTL, LongHold time.Duration
+	// RenewInterval is the time between two renewals of a grant.
+	RenewInterval time.Duration
 	// OldLeader bounds how long after the loss of its lease another leader may still send
 	// renewals.
 	OldLeader time.Duration
@@ -92,14 +92,14 @@
 }
 
 func (c Config) withDefaults() Config {
-	if c.Hold <= 0 {
-		c.Hold = DefaultHold
+	if c.GrantTTL <= 0 {
+		c.GrantTTL = DefaultHold
 	}
-	if c.LongHold < c.Hold {
-		c.LongHold = c.Hold
+	if c.LongHold < c.GrantTTL {
+		c.LongHold = c.GrantTTL
 	}
-	if c.Renew <= 0 {
-		c.Renew = DefaultRenew
+	if c.RenewInterval <= 0 {
+		c.RenewInterval = DefaultRenewInterval
 	}
 	return c
 }
--- a/core/assign/assign_test.go
+++ b/core/assign/assign_test.go
@@ -141,7 +141,7 @@
 			a.Done(now.Add(time.Millisecond), o.ID, outcome, "")
 		}
 	}
-	assert.Assert(t, a.spans[0].expiry.Sub(expiry) <= DefaultRenew+DefaultHold, "the expiry moved by %v", a.spans[0].expiry.Sub(expiry))
+	assert.Assert(t, a.spans[0].expiry.Sub(expiry) <= DefaultRenewInterval+DefaultHold, "the expiry moved by %v", a.spans[0].expiry.Sub(expiry))
 }
 
 // Several orders that fail at the same moment don't make a target unreachable.
@@ -237,7 +237,7 @@
 // before it, is accepted; the next full renewal must not wait for the usual interval.
 func TestFullRenewalImmediatelyFollowsAShortenedOne(t *testing.T) {
 	a := newSettled(t, "a")
-	now := after(placementQuietPeriod + DefaultRenew)
+	now := after(placementQuietPeriod + DefaultRenewInterval)
 	first := a.Step(now).Orders
 	assert.Assert(t, len(first) > 0)
 	now = now.Add(400 * time.Millisecond)
@@ -289,7 +289,7 @@
 	}{{NotSent, false}, {Broken, true}, {Unanswered, true}} {
 		a := newSettled(t, "a")
 		before := a.spans[0].expiry
-		now := after(placementQuietPeriod + DefaultRenew)
+		now := after(placementQuietPeriod + DefaultRenewInterval)
 		orders := a.Step(now).Orders
 		assert.Assert(t, len(orders) > 0)
 		a.Done(now.Add(300*time.Millisecond), orders[0].ID, c.outcome, "")
--- a/core/assign/candidates.go
+++ b/core/assign/candidates.go
@@ -49,7 +49,7 @@
 // that they accepted earlier.
 func (a *Assigner) OldLeaderStops(lastGrant, lastLongGrant time.Time) {
 	longExpiry := lastLongGrant.Add(expiresAfter(a.cfg.LongHold))
-	expiry := laterOf(lastGrant.Add(expiresAfter(a.cfg.Hold)), longExpiry)
+	expiry := laterOf(lastGrant.Add(expiresAfter(a.cfg.GrantTTL)), longExpiry)
 	a.noPlacementBefore = earlierOf(a.noPlacementBefore, expiry)
 	for i := range a.spans {
 		s := &a.spans[i]
--- a/core/assign/orders.go
+++ b/core/assign/orders.go
@@ -83,7 +83,7 @@
 // grant ends no later than those that it may already have. Otherwise each retry would put off
 // the time at which its keys can be given to another target.
 func (a *Assigner) grantTTL(now time.Time, s *span, c *candidate) time.Duration {
-	ttl := a.cfg.Hold
+	ttl := a.cfg.GrantTTL
 	if a.storeUnreachable {
 		ttl = a.cfg.LongHold
 	}
@@ -154,7 +154,7 @@
 			s.expiry = laterOf(s.expiry, now.Add(expiresAfter(p.ttl)))
 		}
 		if s.Moving && s.generation > a.writtenGeneration {
-			s.nextOrderAt = now.Add(a.cfg.Renew)
+			s.nextOrderAt = now.Add(a.cfg.RenewInterval)
 		}
 		return
 	}
@@ -166,8 +166,8 @@
 			s.inherited, s.oldLeaderExpiry = false, earlierOf(s.oldLeaderExpiry, now.Add(expiresAfter(a.cfg.LongHold)))
 		}
 		s.expiry = laterOf(s.expiry, now.Add(expiresAfter(p.ttl)))
-		s.acked, s.newHolder, s.handover, s.nextOrderAt = true, false, "", now.Add(a.cfg.Renew)
-		if p.ttl < a.cfg.Hold {
+		s.acked, s.newHolder, s.handover, s.nextOrderAt = true, false, "", now.Add(a.cfg.RenewInterval)
+		if p.ttl < a.cfg.GrantTTL {
 			s.nextOrderAt = now // the TTL was shortened by grantTTL; the target answers again
 		}
 	case Superseded:
--- a/core/assign/simulation_test.go
+++ b/core/assign/simulation_test.go
@@ -404,7 +404,7 @@
 	if sim.table != nil {
 		table = sim.table.Clone()
 	}
-	cfg := Config{Hold: simTTL, LongHold: simLongTTL, OldLeader: simOldLeaderBound, Era: sim.era}
+	cfg := Config{GrantTTL: simTTL, LongHold: simLongTTL, OldLeader: simOldLeaderBound, Era: sim.era}
 	if sim.mutant != "trust restored table" {
 		cfg.Outdated = sim.era > 0 && (table == nil || table.Era < sim.era)
 	}
@@ -413,7 +413,7 @@
 	}
 	l := &simLeader{assigner: TakeOver(sim.clock(), cfg, "s", table), number: len(sim.leaders), leaseRenewed: sim.now, era: sim.era}
 	if sim.mutant == "ignore old grants" {
-		l.assigner.cfg.Hold, l.assigner.cfg.LongHold = simTTL, simLongTTL
+		l.assigner.cfg.GrantTTL, l.assigner.cfg.LongHold = simTTL, simLongTTL
 		for i := range l.assigner.spans {
 			l.assigner.spans[i].oldLeaderExpiry, l.assigner.spans[i].inherited = time.Time{}, false
 		}
--- a/core/assign/step.go
+++ b/core/assign/step.go
@@ -20,7 +20,7 @@
 	a.freeExpired(now)
 	a.placeUnheld(now)
 	a.merge(now)
-	actions := Actions{Next: now.Add(a.cfg.Renew / 2)}
+	actions := Actions{Next: now.Add(a.cfg.RenewInterval / 2)}
 	a.sendDueOrders(now, &actions)
 	if !a.writeInFlight && a.generation > a.sentGeneration {
 		a.requestWrite(now, &actions)
