--- a/duty/duty.go
+++ b/duty/duty.go
@@ -1,5 +1,5 @@
 // Package duty runs the duties of a process, each as an actor with a bounded mailbox, and
-// short jobs on goroutines that are kept.
+// short jobs on reused goroutines.
 package duty
 
 import (
@@ -9,102 +9,102 @@
 	"github.com/asynkron/protoactor-go/actor"
 )
 
-// NewSystem returns an actor system that logs through our logger. Only the
-// actor package is used; the library's clustering and discovery stay unused.
+// NewSystem returns an actor system that logs through the given logger. Only the library's
+// actor package is used, not its clustering and discovery.
 func NewSystem(log *slog.Logger) *actor.ActorSystem {
 	return actor.NewActorSystem(actor.WithLoggerFactory(func(*actor.ActorSystem) *slog.Logger {
 		return log.With("component", "actor")
 	}))
 }
 
-// Duty is one actor with a bounded mailbox. A full mailbox makes the sender wait;
-// senders that must not wait use a dropping duty.
+// Duty is an actor with a bounded mailbox. A full mailbox blocks the sender; senders that must
+// not block use a dropping duty.
 type Duty struct {
 	system  *actor.ActorSystem
 	pid     *actor.PID
 	workers *Workers
-	// due is what the mailbox asked to be run and nobody has taken up yet.
-	due atomic.Pointer[func()]
-	// limit is how many messages may wait in a dropping duty; zero in any other.
-	limit   int64
-	waiting atomic.Int64
+	// scheduledRun is the mailbox run that was scheduled and has not started yet.
+	scheduledRun atomic.Pointer[func()]
+	// maxQueued is how many messages may be queued in a dropping duty; zero in other duties.
+	maxQueued int64
+	queued    atomic.Int64
 }
 
-// Start runs handle for each message, one at a time.
+// Start starts a duty that runs handle for each message, one at a time. The mailbox holds size
+// messages. If dropWhenFull is set, further messages are dropped.
 //
-// The library's own dropping mailbox isn't used: it goes on counting what it has
-// dropped, so that after one drop its actor looks for messages without a pause, which
-// takes a whole core for good.
-func Start(system *actor.ActorSystem, workers *Workers, size int, dropping bool, handle func(message any)) *Duty {
+// The library's own dropping mailbox isn't used because it keeps counting the messages that it
+// dropped. After one drop its actor looks for messages in a busy loop, which uses a whole core
+// from then on.
+func Start(system *actor.ActorSystem, workers *Workers, size int, dropWhenFull bool, handle func(message any)) *Duty {
 	d := &Duty{system: system, workers: workers}
-	if dropping {
-		d.limit = int64(size)
+	if dropWhenFull {
+		d.maxQueued = int64(size)
 	}
 	props := actor.PropsFromFunc(func(c actor.Context) {
 		switch message := c.Message().(type) {
 		case *actor.Started, *actor.Stopping, *actor.Stopped, *actor.Restarting:
 		default:
-			d.waiting.Add(-1)
+			d.queued.Add(-1)
 			handle(message)
 		}
 	}, actor.WithMailbox(actor.Bounded(size)), actor.WithDispatcher(d))
 	d.pid = system.Root.Spawn(props)
-	d.runElsewhere()
+	d.runOnWorker()
 	return d
 }
 
-// Schedule implements the actors' dispatcher: the mailbox has messages and nobody works
-// them off. The library calls it within whatever queued the message, which then says
-// where the mailbox runs.
-func (d *Duty) Schedule(run func()) { d.due.Store(&run) }
+// Schedule implements the library's dispatcher. The library calls it from within the call that
+// queued a message, if the mailbox isn't running; that call then decides where to run it.
+func (d *Duty) Schedule(run func()) { d.scheduledRun.Store(&run) }
 
-// Throughput is the number of messages after which an actor lets others run; it is
-// the library's own default.
+// Throughput is the number of messages after which an actor yields to others. It is the
+// library's default.
 func (d *Duty) Throughput() int { return 300 }
 
-// Tell queues a message, or drops it where a dropping duty has too many waiting. The
-// duty runs on another goroutine.
+// Tell queues a message, or drops it if a dropping duty has too many queued. The duty runs on
+// another goroutine.
 func (d *Duty) Tell(message any) {
-	if d.queue(message) {
-		d.runElsewhere()
+	if d.enqueue(message) {
+		d.runOnWorker()
 	}
 }
 
-// TellHere is Tell for who has nothing else to do: a duty at rest runs on the caller's
-// goroutine. At rest waking another one, and with it often another thread, costs more
-// than most messages. What must not wait for the duty uses Tell.
+// TellHere is Tell for callers that have nothing else to do: an idle duty runs on the caller's
+// goroutine. In an idle process, waking another goroutine, and often another thread with it,
+// costs more than handling most messages. A caller that must not wait for the duty uses Tell.
 func (d *Duty) TellHere(message any) {
-	if !d.queue(message) {
+	if !d.enqueue(message) {
 		return
 	}
-	if run := d.due.Swap(nil); run != nil {
+	if run := d.scheduledRun.Swap(nil); run != nil {
 		(*run)()
 	}
 }
 
-func (d *Duty) queue(message any) bool {
-	if waiting := d.waiting.Add(1); d.limit > 0 && waiting > d.limit {
-		d.waiting.Add(-1)
+func (d *Duty) enqueue(message any) bool {
+	if queued := d.queued.Add(1); d.maxQueued > 0 && queued > d.maxQueued {
+		d.queued.Add(-1)
 		return false
 	}
 	d.system.Root.Send(d.pid, message)
 	return true
 }
 
-func (d *Duty) runElsewhere() {
-	if run := d.due.Swap(nil); run != nil {
+func (d *Duty) runOnWorker() {
+	if run := d.scheduledRun.Swap(nil); run != nil {
 		d.workers.Run(*run)
 	}
 }
 
-// TellLater queues a message from within the duty itself, where waiting for room
-// in the mailbox would wait for itself.
+// TellLater queues a message from within the duty itself, where blocking on a full mailbox
+// would be a deadlock.
 func (d *Duty) TellLater(message any) { go d.Tell(message) }
 
-// Stop ends the duty after the messages that wait.
+// Stop ends the duty after it has handled the queued messages.
 func (d *Duty) Stop() {
 	stopped := d.system.Root.PoisonFuture(d.pid)
-	d.runElsewhere()
-	// The only error is a timeout of the stop itself; the process is ending anyway.
+	d.runOnWorker()
+	// The only error is a timeout of the stop itself, and the process is ending anyway.
 	_ = stopped.Wait()
 }
--- a/duty/duty_test.go
+++ b/duty/duty_test.go
@@ -10,30 +10,28 @@
 	"tarragongw/internal/waittest"
 )
 
-// Symptom: a router at rest uses a whole core.
-// Sequence: the full mailbox of a dropping duty drops a message; the duty works off
-// the others and then looks for the dropped one for good.
-// Cause: a mailbox that counts what it has dropped.
-func TestDroppingDutyRestsAfterADrop(t *testing.T) {
+// Guards against an idle router that uses a whole core. A mailbox that counts the messages it
+// has dropped has its duty look for them in a busy loop after it has handled the others.
+func TestDroppingDutyIsIdleAfterADrop(t *testing.T) {
 	const size, sent = 8, 100
 	lifetime, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	workers, system := NewWorkers(lifetime), NewSystem(slog.New(slog.DiscardHandler))
-	begun, release := make(chan struct{}, sent+1), make(chan struct{})
+	started, release := make(chan struct{}, sent+1), make(chan struct{})
 	d := Start(system, workers, size, true, func(any) {
-		begun <- struct{}{}
+		started <- struct{}{}
 		<-release
 	})
 	d.Tell(0)
-	<-begun
+	<-started
 	for i := range sent {
-		d.Tell(i) // never waits
+		d.Tell(i) // never blocks
 	}
 	close(release)
 	waittest.Until(t, "the duty rests", func() bool { return workers.idle.Load() == 1 })
-	assert.Equal(t, len(begun), size)
+	assert.Equal(t, len(started), size)
 	d.Tell(0)
-	<-begun
+	<-started
 	d.Stop()
 	system.Shutdown()
 }
--- a/duty/sleep.go
+++ b/duty/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep waits and reports whether the context still lives.
+// Sleep waits for d or until the context ends, and reports whether the context has not ended.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/duty/workers.go
+++ b/duty/workers.go
@@ -5,25 +5,24 @@
 	"sync/atomic"
 )
 
-// maxIdleWorkers bounds the goroutines that wait for work. Each keeps a stack of
-// some KiB.
+// maxIdleWorkers bounds the number of idle goroutines. Each keeps a stack of some KiB.
 const maxIdleWorkers = 32
 
-// Workers runs short jobs, each at once, on goroutines that it keeps: a new goroutine
-// has to grow its stack for every job, which at rest cost a seventh of all processor
-// time.
+// Workers runs short jobs immediately, on goroutines that it reuses. New goroutines would have
+// to grow their stack for every job, which took a seventh of all processor time of an idle
+// process.
 type Workers struct {
 	lifetime context.Context
 	jobs     chan func()
 	idle     atomic.Int32
 }
 
-// NewWorkers returns workers that end with lifetime.
+// NewWorkers returns workers whose idle goroutines end with lifetime.
 func NewWorkers(lifetime context.Context) *Workers {
 	return &Workers{lifetime: lifetime, jobs: make(chan func())}
 }
 
-// Run begins the job and does not wait.
+// Run starts the job and does not wait for it.
 func (w *Workers) Run(job func()) {
 	select {
 	case w.jobs <- job:
@@ -32,7 +31,7 @@
 	}
 }
 
-// work ends with the lifetime, or where enough others wait.
+// work runs the job and further ones until the lifetime ends or enough other workers are idle.
 func (w *Workers) work(job func()) {
 	for {
 		job()
--- a/duty/workers_test.go
+++ b/duty/workers_test.go
@@ -12,23 +12,23 @@
 	"gotest.tools/v3/assert"
 )
 
-// bubbleOf finds the synctest bubble in the first line of a goroutine's stack.
-var bubbleOf = regexp.MustCompile(`^goroutine .*(synctest bubble \d+)\]:`)
+// bubblePattern matches the synctest bubble in the first line of a goroutine's stack.
+var bubblePattern = regexp.MustCompile(`^goroutine .*(synctest bubble \d+)\]:`)
 
-// workersAt counts the goroutines of the test's own bubble that are at work or wait for
-// it. Outside it the routers of earlier tests may still be ending theirs.
-func workersAt(t *testing.T) int {
+// runningWorkers counts the worker goroutines of the test's own bubble. Outside of it, routers
+// of earlier tests may still be ending theirs.
+func runningWorkers(t *testing.T) int {
 	t.Helper()
-	const enough = 1 << 20
-	buffer := make([]byte, enough)
+	const maxStackBytes = 1 << 20
+	buffer := make([]byte, maxStackBytes)
 	n := runtime.Stack(buffer, true)
-	assert.Assert(t, n < enough)
+	assert.Assert(t, n < maxStackBytes)
 	stacks := strings.Split(string(buffer[:n]), "\n\n")
-	own := bubbleOf.FindStringSubmatch(stacks[0])
+	own := bubblePattern.FindStringSubmatch(stacks[0])
 	assert.Assert(t, own != nil, "not in a bubble: %s", stacks[0])
 	count := 0
 	for _, stack := range stacks {
-		bubble := bubbleOf.FindStringSubmatch(stack)
+		bubble := bubblePattern.FindStringSubmatch(stack)
 		if bubble != nil && bubble[1] == own[1] && strings.Contains(stack, "duty.(*Workers).work(") {
 			count++
 		}
@@ -36,31 +36,31 @@
 	return count
 }
 
-func TestWorkersRunAllAtOnceAndKeepFew(t *testing.T) {
+func TestWorkersRunJobsConcurrentlyAndKeepFewIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		w := NewWorkers(ctx)
 		for range 3 {
-			var all sync.WaitGroup
+			var started sync.WaitGroup
 			release := make(chan struct{})
-			// Were one to wait for another, this would deadlock.
+			// This would deadlock if one job waited for another.
 			for range 3 * maxIdleWorkers {
-				all.Add(1)
+				started.Add(1)
 				w.Run(func() {
-					all.Done()
+					started.Done()
 					<-release
 				})
 			}
-			all.Wait()
+			started.Wait()
 			close(release)
 			synctest.Wait()
 			assert.Equal(t, w.idle.Load(), int32(maxIdleWorkers))
-			assert.Equal(t, workersAt(t), maxIdleWorkers)
+			assert.Equal(t, runningWorkers(t), maxIdleWorkers)
 		}
 		cancel()
 		synctest.Wait()
-		assert.Equal(t, workersAt(t), 0)
-		// The duties' last messages come after the end of the router.
+		assert.Equal(t, runningWorkers(t), 0)
+		// The last messages of duties come after the lifetime of the router has ended.
 		ran := false
 		w.Run(func() { ran = true })
 		synctest.Wait()
--- a/replay/body.go
+++ b/replay/body.go
@@ -1,5 +1,5 @@
-// Package replay keeps what was read of a request's body, so that an attempt that did not
-// run can be made again.
+// Package replay buffers the part of a request's body that was read, so that an attempt that
+// did not run can be repeated.
 package replay
 
 import (
@@ -9,64 +9,64 @@
 	"sync"
 )
 
-// errSuperseded ends the reads of an attempt that another one has followed.
+// errSuperseded ends the reads of an attempt after a later one has started.
 var errSuperseded = errors.New("replay: a later attempt reads the request's body")
 
-// Body keeps the first bytes of a request body, so that an attempt that
-// provably did not run can be made again although it took some of the body.
+// Body buffers the first bytes of a request body, so that an attempt that provably did not run
+// can be repeated although it read part of the body.
 //
-// What goes wrong without the bookkeeping by attempt: the writer of an attempt
-// that ended may still be in a read of the caller's body. What it gets there
-// belongs to the next attempt; were it to go to the old one, the target would be
-// sent a body with a piece missing. Here it is kept, and the next attempt waits
-// for that read before it reads the source itself.
+// The writer of an attempt that ended may still be in a read of the caller's body. The bytes
+// that it gets belong to the next attempt; if the old attempt got them, the target would be
+// sent a body with a part missing. Therefore each read is tied to its attempt: the bytes are
+// buffered, and the next attempt waits for that read before it reads the source itself.
 type Body struct {
 	source io.Reader
-	// most bounds what is kept, in bytes.
-	most int
-	// reading is held during a read of the source.
-	reading sync.Mutex
+	// maxKept bounds the buffered bytes.
+	maxKept int
+	// sourceMu is held during a read of the source.
+	sourceMu sync.Mutex
 
-	// mu guards what follows and is never held during a read.
+	// mu guards the fields below and is never held during a read.
 	mu sync.Mutex
-	// kept are the bytes from the offset base on that were read of the source; base is
-	// above zero once some were dropped, and then there is no further attempt.
-	kept []byte
-	base int64
-	// err is what ended the source.
-	err     error
-	current *Attempt
+	// kept are the bytes read from the source from offset keptFrom on. keptFrom is above zero
+	// once bytes were dropped; no further attempt is possible then.
+	kept     []byte
+	keptFrom int64
+	// sourceErr is the error that ended the source, or io.EOF.
+	sourceErr      error
+	currentAttempt *Attempt
 }
 
-// Attempt is the body as one attempt reads it.
+// Attempt is the body as read by one attempt.
 type Attempt struct {
-	all *Body
-	// next is the offset of the next byte.
-	next int64
+	body *Body
+	// offset is the offset of the next byte to read.
+	offset int64
 }
 
-// New returns the body, of which up to most bytes are kept; nil where the request has none.
-func New(r *http.Request, most int) *Body {
+// New returns the body of r, of which up to maxKept bytes are buffered, or nil if the request
+// has no body.
+func New(r *http.Request, maxKept int) *Body {
 	if r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0 {
 		return nil
 	}
-	return &Body{source: r.Body, most: most}
+	return &Body{source: r.Body, maxKept: maxKept}
 }
 
-// Rewind returns the body for the next attempt and ends the reads of the one
-// before. It reports false where too much was read for another attempt.
+// Rewind returns the body for the next attempt and ends the reads of the attempt before it. It
+// returns false if so much was read that no further attempt is possible.
 func (b *Body) Rewind() (*Attempt, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.base > 0 {
+	if b.keptFrom > 0 {
 		return nil, false
 	}
-	b.current = &Attempt{all: b}
-	return b.current, true
+	b.currentAttempt = &Attempt{body: b}
+	return b.currentAttempt, true
 }
 
-// RewindInto gives the request's next attempt the whole body and reports whether it can. A
-// request without a body has none to give.
+// RewindInto sets the body of the request's next attempt and reports whether that is possible.
+// It always is for a request without a body.
 func (b *Body) RewindInto(r *http.Request) bool {
 	if b == nil {
 		return true
@@ -81,73 +81,73 @@
 // Read implements io.Reader.
 func (a *Attempt) Read(p []byte) (int, error) {
 	for {
-		n, end, err := a.take(p)
+		n, end, err := a.readKept(p)
 		if n > 0 || err != nil || len(p) == 0 {
 			return n, err
 		}
-		if n := a.fill(p, end); n > 0 {
+		if n := a.readSource(p, end); n > 0 {
 			return n, nil
 		}
 	}
 }
 
-// Close leaves the source open: the caller's server closes it after the last attempt.
+// Close does not close the source: the caller's server does, after the last attempt.
 func (a *Attempt) Close() error { return nil }
 
-// take copies kept bytes. Where there are none it returns the offset up to which
+// readKept copies buffered bytes to p. If there are none, it returns the offset up to which
 // the source was read.
-func (a *Attempt) take(p []byte) (n int, end int64, err error) {
-	b := a.all
+func (a *Attempt) readKept(p []byte) (n int, end int64, err error) {
+	b := a.body
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.current != a {
+	if b.currentAttempt != a {
 		return 0, 0, errSuperseded
 	}
-	n = copy(p, b.kept[a.next-b.base:])
-	a.next += int64(n)
-	end = b.base + int64(len(b.kept))
-	if n == 0 && b.err != nil {
-		return 0, end, b.err
+	n = copy(p, b.kept[a.offset-b.keptFrom:])
+	a.offset += int64(n)
+	end = b.keptFrom + int64(len(b.kept))
+	if n == 0 && b.sourceErr != nil {
+		return 0, end, b.sourceErr
 	}
-	if a.next == end && end > int64(b.most) {
-		b.base, b.kept = end, b.kept[:0]
+	if a.offset == end && end > int64(b.maxKept) {
+		b.keptFrom, b.kept = end, b.kept[:0]
 	}
 	return n, end, nil
 }
 
-// fill reads the source unless another read got beyond end meanwhile. It returns
-// what it put into p for this attempt; what an attempt reads that was followed by
-// another is kept for that one.
-func (a *Attempt) fill(p []byte, end int64) int {
-	b := a.all
-	b.reading.Lock()
-	defer b.reading.Unlock()
-	if b.ahead(end) {
+// readSource reads from the source unless another read has got beyond end meanwhile. It
+// returns the number of bytes in p for this attempt. If a later attempt has started meanwhile,
+// that number is zero and the bytes are buffered for the later attempt.
+func (a *Attempt) readSource(p []byte, end int64) int {
+	b := a.body
+	b.sourceMu.Lock()
+	defer b.sourceMu.Unlock()
+	if b.readBeyond(end) {
 		return 0
 	}
 	n, err := b.source.Read(p)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if err != nil {
-		b.err = err
+		b.sourceErr = err
 	}
-	mine := b.current == a
-	if mine && end+int64(n) > int64(b.most) {
-		b.base, b.kept = end+int64(n), nil
-		a.next = b.base
+	stillCurrent := b.currentAttempt == a
+	if stillCurrent && end+int64(n) > int64(b.maxKept) {
+		b.keptFrom, b.kept = end+int64(n), nil
+		a.offset = b.keptFrom
 		return n
 	}
 	b.kept = append(b.kept, p[:n]...)
-	if !mine {
+	if !stillCurrent {
 		return 0
 	}
-	a.next += int64(n)
+	a.offset += int64(n)
 	return n
 }
 
-// ahead reports whether the source was read beyond end or has ended.
-func (b *Body) ahead(end int64) bool {
+// readBeyond reports whether the source was read beyond end or has ended.
+func (b *Body) readBeyond(end int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.err != nil || b.base+int64(len(b.kept)) > end
+	return b.sourceErr != nil || b.keptFrom+int64(len(b.kept)) > end
 }
