--- a/core/assign/assign_test.go
+++ b/core/assign/assign_test.go
@@ -22,8 +22,9 @@
 	return all
 }
 
-// runToRest carries out everything that the assigner asks for, until it asks for nothing more.
-func runToRest(a *Assigner, now time.Time) {
+// runUntilIdle carries out everything that the assigner asks for, until it asks for nothing
+// more.
+func runUntilIdle(a *Assigner, now time.Time) {
 	for range 20 {
 		actions := a.Step(now)
 		if actions.Write != nil {
@@ -43,8 +44,8 @@
 	t.Helper()
 	a := TakeOver(start, Config{}, "s", nil)
 	a.SetTargets(start, testTargets(ids...))
-	runToRest(a, start)
-	runToRest(a, after(placementQuietPeriod))
+	runUntilIdle(a, start)
+	runUntilIdle(a, after(placementQuietPeriod))
 	for _, s := range a.spans {
 		assert.Assert(t, s.acked, "%d to %d", s.From, s.To)
 	}
@@ -64,10 +65,10 @@
 func TestNewServiceWaitsForTargetsAndAssignsKeysEvenly(t *testing.T) {
 	a := TakeOver(start, Config{}, "s", nil)
 	a.SetTargets(start, testTargets("a"))
-	runToRest(a, start)
+	runUntilIdle(a, start)
 	assert.DeepEqual(t, keysPerTarget(a), map[string]int{"": 1 << 16})
 	a.SetTargets(after(time.Second), testTargets("a", "b", "c"))
-	runToRest(a, after(time.Second+placementQuietPeriod))
+	runUntilIdle(a, after(time.Second+placementQuietPeriod))
 	for id, keys := range keysPerTarget(a) {
 		assert.Assert(t, keys > 1<<14 && keys < 1<<15, "%s has %d keys", id, keys)
 	}
@@ -78,7 +79,7 @@
 func TestOrdersWaitForTheirWrite(t *testing.T) {
 	a := TakeOver(start, Config{}, "s", nil)
 	a.SetTargets(start, testTargets("a"))
-	runToRest(a, start)
+	runUntilIdle(a, start)
 	actions := a.Step(after(maxPlacementDelay))
 	assert.Assert(t, actions.Write != nil)
 	assert.Equal(t, len(actions.Orders), 0)
@@ -95,7 +96,7 @@
 func TestReleaseIsSentOnceTheMoveIsWritten(t *testing.T) {
 	a := newSettled(t, "a", "b")
 	now := after(2 * time.Second)
-	runToRest(a, now)
+	runUntilIdle(a, now)
 	moved := a.spans[0]
 	receiver := "a"
 	if moved.Target == "a" {
@@ -163,7 +164,7 @@
 func TestAdjacentHotKeysAreSpread(t *testing.T) {
 	a := newSettled(t, "a", "b", "c", "d")
 	now := after(3 * time.Second)
-	runToRest(a, now)
+	runUntilIdle(a, now)
 	moved := 0
 	hottest := func() (highest float64, holder string) {
 		p := a.planWithServiceTimes(now, nil)
@@ -186,7 +187,7 @@
 				moved += int(m.To) - int(m.From) + 1
 			}
 		}
-		runToRest(a, now)
+		runUntilIdle(a, now)
 	}
 	highest, _ := hottest()
 	assert.Assert(t, highest < before*0.55, "%v of %v", highest, before)
@@ -201,7 +202,7 @@
 		a.splitOut(a.indexOf(keyspace.Key(k)), keyspace.Key(k), keyspace.Key(k+20))
 	}
 	assert.Assert(t, len(a.spans) > 20)
-	runToRest(a, now)
+	runUntilIdle(a, now)
 	assert.Assert(t, len(a.spans) < 10, "%d ranges", len(a.spans))
 	assert.NilError(t, a.Table().Check())
 }
@@ -213,7 +214,7 @@
 func TestOneHotKeyDoesNotBlockOtherMoves(t *testing.T) {
 	a := newSettled(t, "a", "b", "c", "d")
 	now := after(3 * time.Second)
-	runToRest(a, now)
+	runUntilIdle(a, now)
 	hotRange, evenRange := a.spans[0], a.spans[len(a.spans)-1]
 	assert.Assert(t, hotRange.Target != evenRange.Target)
 	for i := range 300 {
@@ -227,7 +228,7 @@
 			moved = moved || m.From >= evenRange.From && m.To <= evenRange.To
 			a.Begin(now, m)
 		}
-		runToRest(a, now)
+		runUntilIdle(a, now)
 	}
 	assert.Assert(t, moved)
 }
@@ -262,7 +263,7 @@
 func TestLoadInManySmallRangesMoves(t *testing.T) {
 	a := newSettled(t, "a", "b", "c", "d")
 	now := after(3 * time.Second)
-	runToRest(a, now)
+	runUntilIdle(a, now)
 	hotRange := a.spans[0]
 	size := keyspace.Key(hotRange.Len() / 12)
 	for i := range keyspace.Key(11) {
--- a/core/assign/ended_test.go
+++ b/core/assign/ended_test.go
@@ -27,10 +27,10 @@
 			if ended {
 				a.SetEnded([]keyspace.Holder{{Target: "a", Born: 1}, {Target: "b", Born: 9}})
 			}
-			runToRest(a, now)
+			runUntilIdle(a, now)
 			kept := keysPerTarget(a)["a"]
 			assert.Equal(t, kept == 0, ended, "%d keys are still assigned to the departed target", kept)
-			runToRest(a, now.Add(cfg.OldLeader+expiresAfter(cfg.LongHold)))
+			runUntilIdle(a, now.Add(cfg.OldLeader+expiresAfter(cfg.LongHold)))
 			assert.DeepEqual(t, keysPerTarget(a), map[string]int{"b": 1 << 16})
 		})
 	}
--- a/core/assign/rebalance_test.go
+++ b/core/assign/rebalance_test.go
@@ -37,7 +37,7 @@
 	sim := &loadSim{
 		assigner: newSettled(t, ids...), now: after(3 * time.Second), random: rand.New(rand.NewPCG(seed, 1)), serviceTimes: map[string]float64{},
 	}
-	runToRest(sim.assigner, sim.now)
+	runUntilIdle(sim.assigner, sim.now)
 	return sim
 }
 
@@ -65,7 +65,7 @@
 			sim.movedKeys += int(m.To) - int(m.From) + 1
 		}
 	}
-	runToRest(sim.assigner, sim.now)
+	runUntilIdle(sim.assigner, sim.now)
 }
 
 // maxUtilisation returns the highest utilisation of a target that the present assignment gives
@@ -132,15 +132,15 @@
 	a := newSettled(t, "a", "b")
 	a.cfg.WriteInterval = 100 * time.Millisecond
 	now, writes := after(3*time.Second), 0
-	runToRest(a, now)
-	span := a.spans[0]
+	runUntilIdle(a, now)
+	donor := a.spans[0]
 	receiver := "a"
-	if span.Target == "a" {
+	if donor.Target == "a" {
 		receiver = "b"
 	}
 	for i := range 50 {
 		now = now.Add(20 * time.Millisecond)
-		key := span.From + keyspace.Key(10*i)
+		key := donor.From + keyspace.Key(10*i)
 		a.Begin(now, Move{From: key, To: key, Target: receiver})
 		actions := a.Step(now)
 		if actions.Write != nil {
--- a/core/assign/simulation_test.go
+++ b/core/assign/simulation_test.go
@@ -29,8 +29,8 @@
 
 // simTarget is a target whose clock runs slightly slow.
 type simTarget struct {
-	id   string
-	born int64
+	id       string
+	instance int64
 	// registered reports whether its entry is in the store, and running whether its process
 	// runs.
 	registered, running, draining bool
@@ -47,9 +47,9 @@
 
 func (t *simTarget) highestToken(from, to keyspace.Key) uint64 {
 	highest := uint64(0)
-	for _, s := range t.seenTokens {
-		if s.from <= to && from <= s.to {
-			highest = max(highest, s.token)
+	for _, seen := range t.seenTokens {
+		if seen.from <= to && from <= seen.to {
+			highest = max(highest, seen.token)
 		}
 	}
 	return highest
@@ -58,9 +58,9 @@
 // rememberToken records the token of an order and drops the tokens that it covers.
 func (t *simTarget) rememberToken(o *Order) {
 	kept := t.seenTokens[:0]
-	for _, s := range t.seenTokens {
-		if s.from < o.From || s.to > o.To || s.token > o.Token {
-			kept = append(kept, s)
+	for _, seen := range t.seenTokens {
+		if seen.from < o.From || seen.to > o.To || seen.token > o.Token {
+			kept = append(kept, seen)
 		}
 	}
 	t.seenTokens = append(kept, simGrant{o.From, o.To, o.Token, 0})
@@ -79,9 +79,9 @@
 	t.rememberToken(o)
 	ttl := time.Duration(float64(o.Hold) * (1 + maxClockDrift))
 	unexpired := t.grants[:0]
-	for _, h := range t.grants {
-		if h.expiry > arrived {
-			unexpired = append(unexpired, h)
+	for _, g := range t.grants {
+		if g.expiry > arrived {
+			unexpired = append(unexpired, g)
 		}
 	}
 	t.grants = append(unexpired, simGrant{o.From, o.To, o.Token, arrived + ttl})
@@ -90,16 +90,16 @@
 
 func (t *simTarget) release(from, to keyspace.Key) {
 	var kept []simGrant
-	for _, h := range t.grants {
-		if h.to < from || to < h.from {
-			kept = append(kept, h)
+	for _, g := range t.grants {
+		if g.to < from || to < g.from {
+			kept = append(kept, g)
 			continue
 		}
-		if h.from < from {
-			kept = append(kept, simGrant{h.from, from - 1, h.token, h.expiry})
+		if g.from < from {
+			kept = append(kept, simGrant{g.from, from - 1, g.token, g.expiry})
 		}
-		if h.to > to {
-			kept = append(kept, simGrant{to + 1, h.to, h.token, h.expiry})
+		if g.to > to {
+			kept = append(kept, simGrant{to + 1, g.to, g.token, g.expiry})
 		}
 	}
 	t.grants = kept
@@ -109,8 +109,8 @@
 	if !t.running {
 		return false
 	}
-	for _, h := range t.grants {
-		if h.from <= k && k <= h.to && now < h.expiry {
+	for _, g := range t.grants {
+		if g.from <= k && k <= g.to && now < g.expiry {
 			return true
 		}
 	}
@@ -205,7 +205,7 @@
 	var all []directory.Target
 	for _, t := range sim.targets {
 		if t.registered {
-			all = append(all, directory.Target{ID: t.id, Born: t.born, Service: "s", Address: t.id, Slots: 4, Draining: t.draining})
+			all = append(all, directory.Target{ID: t.id, Born: t.instance, Service: "s", Address: t.id, Slots: 4, Draining: t.draining})
 		}
 	}
 	return all
@@ -306,9 +306,9 @@
 	if mayLose && sim.chance(8) { // executed seconds later, without an answer
 		t.lastLoss = sim.now
 		sim.schedule(orderTimeout, unanswered)
-		born := t.born
+		instance := t.instance
 		sim.schedule(time.Duration(2000+sim.random(10000))*time.Millisecond, func() {
-			if t.running && t.born == born {
+			if t.running && t.instance == instance {
 				t.execute(o, arrived)
 			}
 		})
@@ -325,7 +325,7 @@
 
 func (sim *simulation) target(h keyspace.Holder) *simTarget {
 	for _, t := range sim.targets {
-		if t.id == h.Target && t.born == h.Born {
+		if t.id == h.Target && t.instance == h.Born {
 			return t
 		}
 	}
@@ -383,7 +383,7 @@
 }
 
 func (sim *simulation) restartTarget(t *simTarget) {
-	t.born++
+	t.instance++
 	t.running, t.registered, t.draining = true, true, false
 	t.grants, t.seenTokens = nil, nil
 }
@@ -445,20 +445,20 @@
 				continue
 			}
 			if holder != "" {
-				panic(twoHoldersError(fmt.Sprintf("at %v %s and %s hold key %d", sim.now, holder, t.id, k)))
+				panic(twoHoldersFault(fmt.Sprintf("at %v %s and %s hold key %d", sim.now, holder, t.id, k)))
 			}
 			holder = t.id
 		}
 	}
 }
 
-// twoHoldersError describes a key with two holders, the fault that the simulation looks for.
-type twoHoldersError string
+// twoHoldersFault describes a key with two holders, the fault that the simulation looks for.
+type twoHoldersFault string
 
 func newSimulation(seed uint64, mutant string) *simulation {
 	sim := &simulation{rngState: seed, mutant: mutant}
 	for i := range 4 {
-		sim.targets = append(sim.targets, &simTarget{id: fmt.Sprintf("t%d", i), born: 1, registered: true, running: true, unreachableFrom: map[int]bool{}})
+		sim.targets = append(sim.targets, &simTarget{id: fmt.Sprintf("t%d", i), instance: 1, registered: true, running: true, unreachableFrom: map[int]bool{}})
 	}
 	sim.startLeader()
 	return sim
@@ -469,7 +469,7 @@
 func findTwoHolders(sim *simulation) (fault string) {
 	defer func() {
 		if r := recover(); r != nil {
-			two, ok := r.(twoHoldersError)
+			two, ok := r.(twoHoldersFault)
 			if !ok {
 				panic(r)
 			}
