--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -9,21 +9,23 @@
 	DefaultMinPerSecond = 1
 )
 
-// BudgetConfig bounds the retries of one service over all routers. The zero value
+// BudgetConfig bounds the retries of one service across all routers. The zero value
 // of a field means its default.
 type BudgetConfig struct {
-	// Share is the number of retries that each success pays for; a negative share
+	// Share is the number of retry tokens that each success adds; a negative share
 	// allows no retries at all.
 	Share float64
-	// Burst bounds what a router can save up, in retries. It is also what all routers
-	// together may have at once without any success, but for one a router.
+	// Burst is the capacity of a router's token bucket, in retries. It also bounds the
+	// tokens that all routers together can hold without any success, except that each
+	// router can always hold one.
 	Burst float64
-	// Shared divides also what successes pay for among the routers: what they save up
-	// together is then bounded by Burst, whatever their number. Without it each may save a
-	// Burst of its own, which they spend at one moment when a target fails.
+	// Shared also divides the capacity for tokens from successes among the routers, so
+	// that Burst bounds the tokens of all routers together, whatever their number (each
+	// can still hold one). Without it each router can save up to Burst tokens, and all of
+	// them spend these at the same moment when a target fails.
 	Shared bool
-	// MinPerSecond is given to all routers together without any success, so that a
-	// service with little load can retry too.
+	// MinPerSecond is the rate at which all routers together receive tokens without any
+	// success, so that a service with little load can retry too.
 	MinPerSecond float64
 }
 
@@ -43,80 +45,82 @@
 	return c
 }
 
-// Budget is one router's token bucket for one service, which successes fill. It
-// bounds retries to a share of what works: when a target or the store is out, nothing
+// Budget is one router's token bucket for one service, filled by successful requests. It
+// bounds retries to a share of the successes: when a target or the store is down, nothing
 // succeeds, and without the bound each router would multiply the load just when there
-// is least capacity. One notices such a storm as attempts per request that rise with
-// the error rate.
+// is least capacity. Such a retry storm shows in the metrics as a number of attempts per
+// request that rises with the error rate.
 //
-// What is given without any success is divided by the number of routers. Were it each
-// router's own, it would grow with the fleet and not with the load: twelve routers
-// would put twelve retries a second on a service that has twenty requests.
+// The tokens that are added over time, without any success, are divided by the number of
+// routers. If each router had the whole rate, retries would grow with the number of
+// routers and not with the load: twelve routers would send twelve retries a second to a
+// service that receives twenty requests a second.
 type Budget struct {
 	cfg BudgetConfig
-	// routers is the number of live routers that share what is given.
+	// routers is the number of live routers that share the tokens added over time.
 	routers float64
-	// given and earned are the tokens that time and successes brought.
-	given, earned float64
-	last          time.Time
-	taken         uint64
-	denied        uint64
+	// timeTokens are the tokens added over time, successTokens those added by successes.
+	timeTokens, successTokens float64
+	// lastRefill is when timeTokens were last refilled.
+	lastRefill time.Time
+	// taken and denied count the retries that Take allowed and refused.
+	taken, denied uint64
 }
 
-// NewBudget returns the bucket of one of a number of live routers, with its part of
-// what is given.
+// NewBudget returns the bucket of one of several live routers, holding its share of the
+// tokens that need no success.
 func NewBudget(cfg BudgetConfig, routers int) *Budget {
 	b := &Budget{cfg: cfg.withDefaults()}
 	b.SetRouters(routers)
-	b.given = b.maxGiven()
+	b.timeTokens = b.maxTimeTokens()
 	return b
 }
 
-// SetRouters tells the present number of live routers, this one included.
+// SetRouters sets the current number of live routers, including this one.
 func (b *Budget) SetRouters(n int) {
 	b.routers = float64(max(n, 1))
-	b.given = min(b.given, b.maxGiven())
+	b.timeTokens = min(b.timeTokens, b.maxTimeTokens())
 }
 
-// maxGiven is this router's part of the burst, but at least one retry: a lone request
-// must be able to be retried wherever it enters.
-func (b *Budget) maxGiven() float64 {
+// maxTimeTokens is this router's share of the burst, but at least one retry: a single
+// request must be retryable through whichever router it arrives.
+func (b *Budget) maxTimeTokens() float64 {
 	return min(max(b.cfg.Burst/b.routers, 1), b.cfg.Burst)
 }
 
-// Success pays in for one request that was answered.
+// Success adds the tokens of one request that was answered.
 func (b *Budget) Success() {
-	most := b.cfg.Burst
+	capacity := b.cfg.Burst
 	if b.cfg.Shared {
-		most = b.maxGiven()
+		capacity = b.maxTimeTokens()
 	}
-	b.earned = max(min(b.earned+b.cfg.Share, most-b.given), b.earned)
+	b.successTokens = max(min(b.successTokens+b.cfg.Share, capacity-b.timeTokens), b.successTokens)
 }
 
-// Take takes one retry and reports whether there was one.
+// Take removes the token for one retry and reports whether there was one.
 func (b *Budget) Take(now time.Time) bool {
-	b.giveUntil(now)
-	if b.given+b.earned < 1 {
+	b.refill(now)
+	if b.timeTokens+b.successTokens < 1 {
 		b.denied++
 		return false
 	}
-	fromGiven := min(b.given, 1)
-	b.given -= fromGiven
-	b.earned -= 1 - fromGiven
+	fromTime := min(b.timeTokens, 1)
+	b.timeTokens -= fromTime
+	b.successTokens -= 1 - fromTime
 	b.taken++
 	return true
 }
 
-// giveUntil adds what time has brought since the last call.
-func (b *Budget) giveUntil(now time.Time) {
-	if !b.last.IsZero() && now.After(b.last) {
-		more := now.Sub(b.last).Seconds() * b.cfg.MinPerSecond / b.routers
-		b.given = min(b.given+more, b.maxGiven())
+// refill adds the tokens for the time since the last call.
+func (b *Budget) refill(now time.Time) {
+	if !b.lastRefill.IsZero() && now.After(b.lastRefill) {
+		added := now.Sub(b.lastRefill).Seconds() * b.cfg.MinPerSecond / b.routers
+		b.timeTokens = min(b.timeTokens+added, b.maxTimeTokens())
 	}
-	if b.last.IsZero() || now.After(b.last) {
-		b.last = now
+	if b.lastRefill.IsZero() || now.After(b.lastRefill) {
+		b.lastRefill = now
 	}
 }
 
-// Counts returns how many retries were taken and denied.
+// Counts returns how many retries Take allowed and how many it denied.
 func (b *Budget) Counts() (taken, denied uint64) { return b.taken, b.denied }
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -1,5 +1,6 @@
-// Package retry decides whether a failed attempt is made again. It is the only
-// retry layer: the entry router asks it, and nothing below repeats anything.
+// Package retry decides whether a failed attempt is retried. It is the only retry
+// layer: the router that received the request from its caller uses it, and no layer
+// below retries anything.
 //
 // The package is deterministic: time and the random source are parameters.
 package retry
@@ -22,8 +23,8 @@
 type Config struct {
 	// MaxAttempts counts the first attempt too.
 	MaxAttempts int
-	// BaseBackoff and MaxBackoff bound the longest wait before a retry, which doubles
-	// with each attempt.
+	// BaseBackoff is the upper bound of the delay before the first retry; the bound doubles
+	// with each attempt, up to MaxBackoff.
 	BaseBackoff, MaxBackoff time.Duration
 }
 
@@ -41,7 +42,7 @@
 	return c
 }
 
-// Attempt is what is known after one attempt failed.
+// Attempt describes a failed attempt.
 type Attempt struct {
 	// Number counts from one.
 	Number int
@@ -51,27 +52,29 @@
 	Fault *fault.Fault
 	// Deadline is when the answer must have begun; the zero time means none.
 	Deadline time.Time
-	// EstimatedService is the least time that a further attempt needs.
+	// EstimatedService is the least time that another attempt is expected to take.
 	EstimatedService time.Duration
 }
 
-// Reason says why a decision came out as it did.
+// Reason is the reason for a decision.
 type Reason uint8
 
-// The reasons; Allowed alone means retry.
+// The reasons. Only Allowed means that the request is retried.
 const (
 	Allowed Reason = iota
-	// KindFinal means that another attempt can't end differently.
+	// KindFinal means that the kind of error is not retryable: another attempt would fail
+	// in the same way.
 	KindFinal
-	// MayHaveRun means that the request may not be repeated and may have run.
+	// MayHaveRun means that the request may have run and must not run twice.
 	MayHaveRun
-	// AnswerBegan means that the caller already has a part of an answer.
+	// AnswerBegan means that the target ran the request and its answer began, so that the
+	// caller may already have a part of it.
 	AnswerBegan
 	// TooManyAttempts means that MaxAttempts is reached.
 	TooManyAttempts
-	// NoTime means that wait and service do not fit before the deadline.
+	// NoTime means that the retry delay and the service time do not fit before the deadline.
 	NoTime
-	// BudgetSpent means that retries already make up their share of the load.
+	// BudgetSpent means that the retry budget has no token left.
 	BudgetSpent
 )
 
@@ -87,21 +90,23 @@
 	return reasons[r]
 }
 
-// Decision says whether and after which wait to try again.
+// Decision says whether to retry.
 type Decision struct {
-	Retry  bool
+	Retry bool
+	// After is the delay before the retry.
 	After  time.Duration
 	Reason Reason
 }
 
-// Policy decides within Config.
+// Policy decides on retries within the bounds of its Config.
 type Policy struct{ cfg Config }
 
-// NewPolicy returns a policy.
+// NewPolicy returns a policy with the bounds of cfg.
 func NewPolicy(cfg Config) *Policy { return &Policy{cfg: cfg.withDefaults()} }
 
-// Permitted says whether the outcome of an attempt allows another one at all,
-// whatever the time, the count and the budget.
+// Permitted returns Allowed if an attempt that failed with f may be followed by another
+// one, and otherwise the reason against it. It ignores the deadline, the number of
+// attempts and the budget.
 func Permitted(f *fault.Fault, repeatable bool) Reason {
 	switch {
 	case f.Ran == fault.RanFully:
@@ -115,8 +120,8 @@
 	}
 }
 
-// Decide says whether to try again; a yes takes one token from the budget. The
-// budget is asked last, so that an attempt that could not be made costs nothing.
+// Decide returns whether to retry; a retry takes one token from the budget. The budget
+// is checked last, so that a retry refused for another reason costs no token.
 func (p *Policy) Decide(now time.Time, a Attempt, budget *Budget, random *rand.Rand) Decision {
 	if reason := Permitted(a.Fault, a.Repeatable); reason != Allowed {
 		return Decision{Reason: reason}
@@ -124,20 +129,20 @@
 	if a.Number >= p.cfg.MaxAttempts {
 		return Decision{Reason: TooManyAttempts}
 	}
-	wait := p.backoff(a, random)
-	if !a.Deadline.IsZero() && now.Add(wait+a.EstimatedService).After(a.Deadline) {
+	delay := p.backoff(a, random)
+	if !a.Deadline.IsZero() && now.Add(delay+a.EstimatedService).After(a.Deadline) {
 		return Decision{Reason: NoTime}
 	}
 	if !budget.Take(now) {
 		return Decision{Reason: BudgetSpent}
 	}
-	return Decision{Retry: true, After: wait, Reason: Allowed}
+	return Decision{Retry: true, After: delay, Reason: Allowed}
 }
 
-// backoff draws the wait evenly from zero to an upper bound that doubles with each
-// attempt (full jitter). Without it the callers of a target that failed at one
-// moment would come back together and fail it again. A wait that the target itself
-// advised is kept as the least, with the jitter on top.
+// backoff returns a retry delay drawn uniformly between zero and an upper bound that
+// doubles with each attempt (full jitter). Without jitter, all requests that failed when a
+// target was overloaded would be retried at the same moment and overload it again. A
+// delay advised by the target is the minimum; the jitter is added to it.
 func (p *Policy) backoff(a Attempt, random *rand.Rand) time.Duration {
 	bound := p.cfg.BaseBackoff
 	for n := 1; n < a.Number && bound < p.cfg.MaxBackoff; n++ {
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -14,8 +14,8 @@
 
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// retryable is written out here and not read from the table of kinds, so that a
-// change of the table has to be made knowingly in both places.
+// retryable is listed here instead of read from the table of kinds, so that a change of
+// the table fails the test until it is made here too.
 var retryable = map[fault.Kind]bool{
 	fault.NotReady: true, fault.Stopping: true, fault.Moving: true, fault.StaleRoute: true,
 	fault.TargetUnreachable: true, fault.TargetRefused: true, fault.TargetLost: true,
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestDenialsCostNoToken(t *testing.T) {
+func TestRefusedRetriesCostNoToken(t *testing.T) {
 	budget := NewBudget(BudgetConfig{Burst: 1}, 1)
 	late := Attempt{Number: 1, Fault: &fault.Fault{Kind: fault.Moving, Ran: fault.NotRun}, Deadline: epoch.Add(-1)}
 	for range 10 {
@@ -108,20 +108,18 @@
 	assert.DeepEqual(t, run(), run())
 }
 
-// Symptom: after an outage of the store the load stays at a multiple of the
-// normal for minutes, although the cause is gone.
-// Sequence: every request fails for 60 s; each may be tried three times; 1000
-// requests arrive a second.
-// Cause: retries that are bounded for each request but not in total.
+// Guards against a retry storm: after a 60 s outage of the store, at 1000 requests a second
+// with up to three attempts each, the load stayed at a multiple of its normal level for
+// minutes, because retries were bounded for each request but not in total.
 func TestRetryStormIsBoundedByShareOfSuccess(t *testing.T) {
 	policy, random := NewPolicy(Config{}), newRandom()
 	budget := NewBudget(BudgetConfig{Share: 0.1, Burst: 20, MinPerSecond: 1}, 1)
 	failed := Attempt{Number: 1, Fault: &fault.Fault{Kind: fault.TargetUnreachable, Ran: fault.NotRun}}
-	retries := func(from time.Time, seconds int, fails bool) int {
+	retries := func(from time.Time, seconds int, outage bool) int {
 		n := 0
 		for i := range seconds * 1000 {
 			now := from.Add(time.Duration(i) * time.Millisecond)
-			if !fails && i%5 != 0 {
+			if !outage && i%5 != 0 {
 				budget.Success()
 				continue
 			}
@@ -131,27 +129,26 @@
 		}
 		return n
 	}
-	outage := retries(epoch, 60, true)
-	assert.Assert(t, outage >= 60 && outage <= 20+60+1, "retries in the outage: %d of 60000", outage)
+	during := retries(epoch, 60, true)
+	assert.Assert(t, during >= 60 && during <= 20+60+1, "%d retries of 60000 requests during the outage", during)
 	after := retries(epoch.Add(time.Minute), 10, false)
-	assert.Assert(t, after >= 790 && after <= 20+800+11, "a fifth fails, 8000 succeed: %d retries", after)
+	assert.Assert(t, after >= 790 && after <= 20+800+11, "%d retries after the outage, with 8000 successes and 2000 failures", after)
 }
 
-// Symptom: during an outage the retries of a small service exceed its load.
-// Sequence: 20 requests a second enter at 12 routers; every one fails for 60 s, then
-// all succeed; further routers join meanwhile.
-// Cause: each router had a least rate and a burst of its own, which add up.
+// Guards against retries that exceed the load of a small service: with 20 requests a second
+// through 12 routers, all failing for 60 s, each router had a minimum rate and a burst of its
+// own, which added up.
 func TestRetriesOfAllRoutersTogetherAreBounded(t *testing.T) {
 	const requests, seconds = 20, 60
 	cfg := BudgetConfig{Share: 0.1, Burst: 20, MinPerSecond: 1}
 	for _, routers := range []int{1, 12, 40} {
 		budgets := make([]*Budget, routers)
 		for i := range budgets {
-			// Each begins alone and learns of the others later.
+			// A router starts without knowing of the others.
 			budgets[i] = NewBudget(cfg, 1)
 			budgets[i].SetRouters(routers)
 		}
-		// A router that was idle must not find more than its part saved up.
+		// A router that was idle must not have saved more than its share.
 		now := epoch.Add(time.Hour)
 		retries := 0
 		for i := range requests * seconds {
@@ -160,23 +157,23 @@
 				retries++
 			}
 		}
-		most := max(int(cfg.Burst), routers) + seconds
-		assert.Assert(t, retries <= most, "%d routers: %d retries of %d requests, most is %d", routers, retries, requests*seconds, most)
+		limit := max(int(cfg.Burst), routers) + seconds
+		assert.Assert(t, retries <= limit, "%d routers: %d retries of %d requests, limit %d", routers, retries, requests*seconds, limit)
 		assert.Assert(t, retries >= seconds/2, "%d routers: %d retries", routers, retries)
 		for i := range 100 * routers {
 			budgets[i%routers].Success()
 		}
-		earned := 0
+		afterSuccesses := 0
 		for _, b := range budgets {
 			for b.Take(now) {
-				earned++
+				afterSuccesses++
 			}
 		}
-		assert.Assert(t, earned >= 9*routers && earned <= 10*routers+most, "%d routers: %d retries for %d successes", routers, earned, 100*routers)
+		assert.Assert(t, afterSuccesses >= 9*routers && afterSuccesses <= 10*routers+limit, "%d routers: %d retries for %d successes", routers, afterSuccesses, 100*routers)
 	}
 }
 
-func TestLoneRequestIsRetriedWhereverItEnters(t *testing.T) {
+func TestSingleRequestCanBeRetriedThroughAnyRouter(t *testing.T) {
 	assert.Assert(t, NewBudget(BudgetConfig{}, 5600).Take(epoch))
 }
 
@@ -188,10 +185,9 @@
 	}
 }
 
-// Symptom: retries of all routers together exceed their bound in one window of ten seconds.
-// Sequence: requests succeed for minutes; then a target fails all, and each router spends
-// what it has saved up.
-// Cause: each router may save up as much as all together may spend.
+// Guards against retries of all routers together that exceed their bound in a window of ten
+// seconds: after minutes of successes a target fails all requests, and each router spends
+// saved tokens that, if each may save a whole burst, add up to more than the bound.
 func TestSharedSavingsKeepEachWindowWithinItsBound(t *testing.T) {
 	const routers, perSecond, window = 10, 200, 10
 	const share, free = 0.2, 60.0
@@ -214,7 +210,7 @@
 			retries++
 		}
 	}
-	most := int(share*window*perSecond + free)
-	assert.Assert(t, retries <= most, "%d retries, at most %d", retries, most)
-	assert.Assert(t, retries >= most*3/4, "%d retries of %d are made use of", retries, most)
+	limit := int(share*window*perSecond + free)
+	assert.Assert(t, retries <= limit, "%d retries, at most %d", retries, limit)
+	assert.Assert(t, retries >= limit*3/4, "only %d retries, with a limit of %d", retries, limit)
 }
