--- a/peer/feed/client.go
+++ b/peer/feed/client.go
@@ -12,57 +12,61 @@
 	"tarragongw/peer/feedpb"
 )
 
-// Follower follows one leader.
+// Follower is the end of a feed at a router that follows one leader.
+//
+// A follower that can't reach the store backs its leader if that can't reach it either: it
+// promises to follow no other leader until BackedFor after the heartbeat that it answers.
 type Follower struct {
 	// Router is this router's name.
 	Router string
-	// Address and Term are the leader's.
+	// Address is the leader's address for followers, and Term its term.
 	Address string
 	Term    uint64
-	// Promised is for how long this router still backs another leader.
+	// Promised is for how long this router is still bound by having backed another leader.
 	Promised time.Duration
-	// Update is given what the leader sends, heartbeats included.
+	// Update is called with each update from the leader, heartbeats included.
 	Update func(u *Update)
-	// Reports returns what is to be reported since the last call.
+	// Reports returns what has to be reported since the last call.
 	Reports func() []Report
-	// Backs says whether this router doesn't reach the store, so that it backs a leader
-	// that doesn't either; Backed is called until when it does so.
+	// Backs says whether this router can't reach the store, so that it backs the leader;
+	// Backed is called with the time until which it does.
 	Backs  func() bool
 	Backed func(until time.Time)
 
-	// mu guards the last beat and when it came.
-	mu     sync.Mutex
-	beat   uint64
-	beatAt time.Time
+	// mu guards the number of the last heartbeat and when it arrived.
+	mu          sync.Mutex
+	heartbeat   uint64
+	heartbeatAt time.Time
 }
 
-// Run follows until ctx ends or the leader is lost, which the error explains.
+// Run follows the leader until ctx ends or the feed fails; the error says why.
 func (f *Follower) Run(ctx context.Context) error {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", f.Address)
 	if err != nil {
-		return errors.Wrap(err, "reach the leader")
+		return errors.Wrap(err, "connect to the leader")
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	hello := &feedpb.Hello{Router: f.Router, Term: f.Term, PromisedMs: f.Promised.Milliseconds(), Unpacks: true}
-	if err := write(conn, hello); err != nil {
+	if err := writeMessage(conn, hello); err != nil {
 		return err
 	}
 	var reporting sync.WaitGroup
 	reporting.Add(1)
 	go func() {
 		defer reporting.Done()
-		f.report(ctx, conn)
+		f.sendReports(ctx, conn)
 	}()
-	// No report may leave once Run has returned: another leader may be followed then.
+	// No report may be sent after Run has returned: this router may follow another leader by
+	// then.
 	defer reporting.Wait()
 	defer cancel()
-	return f.listen(conn)
+	return f.receiveUpdates(conn)
 }
 
-func (f *Follower) listen(conn net.Conn) error {
+func (f *Follower) receiveUpdates(conn net.Conn) error {
 	reader, tables := newUpdateReader(conn), map[string]*keyspace.Table{}
 	for {
 		p, err := reader.next()
@@ -70,7 +74,7 @@
 			return err
 		}
 		f.mu.Lock()
-		f.beat, f.beatAt = p.GetBeat(), time.Now()
+		f.heartbeat, f.heartbeatAt = p.GetBeat(), time.Now()
 		f.mu.Unlock()
 		u, err := decodeUpdate(p, tables)
 		if err != nil {
@@ -80,9 +84,10 @@
 	}
 }
 
-// report sends the leader which keys were asked for, and whether it is backed. A report
-// that can't be written is lost with the connection, whose end Run notices.
-func (f *Follower) report(ctx context.Context, conn net.Conn) {
+// sendReports regularly reports to the leader the requested keys, the service times, and
+// whether this router backs it. A report that can't be written ends the loop; Run notices
+// the broken connection itself.
+func (f *Follower) sendReports(ctx context.Context, conn net.Conn) {
 	ticker := time.NewTicker(reportEvery)
 	defer ticker.Stop()
 	for {
@@ -92,11 +97,11 @@
 			return
 		}
 		p := encodeReports(f.Reports())
-		f.back(p)
+		f.addBacking(p)
 		if len(p.Heat)+len(p.ServiceTimes) == 0 && !p.Backs {
 			continue
 		}
-		if err := write(conn, p); err != nil {
+		if err := writeMessage(conn, p); err != nil {
 			return
 		}
 	}
@@ -119,17 +124,17 @@
 	return p
 }
 
-// back puts into a report that this router backs the leader, where it does.
-func (f *Follower) back(p *feedpb.Report) {
+// addBacking adds to a report that this router backs the leader, if it does.
+func (f *Follower) addBacking(p *feedpb.Report) {
 	if !f.Backs() {
 		return
 	}
 	f.mu.Lock()
-	beat, at := f.beat, f.beatAt
+	heartbeat, at := f.heartbeat, f.heartbeatAt
 	f.mu.Unlock()
-	if beat == 0 {
+	if heartbeat == 0 {
 		return
 	}
-	p.Backs, p.Beat = true, beat
+	p.Backs, p.Beat = true, heartbeat
 	f.Backed(at.Add(BackedFor))
 }
--- a/peer/feed/deflate.go
+++ b/peer/feed/deflate.go
@@ -9,31 +9,32 @@
 )
 
 const (
-	// maxDeflated bounds what a feed carries of a configuration: to some hundred routers it
-	// must not take a link for longer than Silence. Longer ones are read from the store.
-	maxDeflated = 64 << 10
-	// maxInflated bounds a configuration, as the store does.
-	maxInflated = 1 << 20
+	// maxCompressedConfig is the largest compressed configuration that a feed carries: sent to
+	// several hundred routers, it must not fill a link for longer than Silence. Followers
+	// read a larger one from the store.
+	maxCompressedConfig = 64 << 10
+	// maxConfigSize is the largest configuration; the store has the same limit.
+	maxConfigSize = 1 << 20
 )
 
-// deflate packs a configuration, which repeats itself from route to route; nil where it is
-// too long for a feed.
-func deflate(value []byte) []byte {
-	packed, err := deflateAll(value)
-	if err != nil || len(packed) > maxDeflated {
+// compressConfig compresses a configuration, whose routes resemble each other; it returns
+// nil if the result is too large for a feed.
+func compressConfig(value []byte) []byte {
+	compressed, err := deflate(value)
+	if err != nil || len(compressed) > maxCompressedConfig {
 		return nil
 	}
-	return packed
+	return compressed
 }
 
-func inflate(packed []byte) ([]byte, error) {
-	value, err := inflateAll(packed, maxInflated)
+func decompressConfig(compressed []byte) ([]byte, error) {
+	value, err := inflate(compressed, maxConfigSize)
 	return value, errors.Wrap(err, "configuration")
 }
 
-func deflateAll(data []byte) ([]byte, error) {
-	var packed bytes.Buffer
-	w, err := flate.NewWriter(&packed, flate.BestSpeed)
+func deflate(data []byte) ([]byte, error) {
+	var compressed bytes.Buffer
+	w, err := flate.NewWriter(&compressed, flate.BestSpeed)
 	if err != nil {
 		return nil, errors.Wrap(err, "deflate")
 	}
@@ -43,17 +44,17 @@
 	if err := w.Close(); err != nil {
 		return nil, errors.Wrap(err, "deflate")
 	}
-	return packed.Bytes(), nil
+	return compressed.Bytes(), nil
 }
 
-// inflateAll returns at most so many bytes; more are an error.
-func inflateAll(packed []byte, most int) ([]byte, error) {
-	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), int64(most)+1))
+// inflate decompresses data; a result of more than limit bytes is an error.
+func inflate(compressed []byte, limit int) ([]byte, error) {
+	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), int64(limit)+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "inflate")
 	}
-	if len(data) > most {
-		return nil, errors.New("inflate: too long")
+	if len(data) > limit {
+		return nil, errors.New("inflate: data too long")
 	}
 	return data, nil
 }
--- a/peer/feed/feed.go
+++ b/peer/feed/feed.go
@@ -1,9 +1,9 @@
-// Package feed carries what the leader knows to the other routers, and what they see of
-// the keys' load to the leader. It spares each router the watches of the store by which
-// it would else learn the same: every heartbeat of every target ends such a watch.
+// Package feed streams the leader's state to the other routers, its followers, and their
+// reports on requested keys and service times to the leader. With it, followers don't need
+// watches of their own on the store, each of which every heartbeat of every target ends.
 //
-// One stream goes each way over one connection, so that there is nothing to multiplex:
-// frames are protobuf messages with their length in front.
+// One connection carries one stream in each direction, so that there is nothing to
+// multiplex. Frames are protobuf messages, each preceded by its length.
 package feed
 
 import (
@@ -19,35 +19,36 @@
 )
 
 const (
-	// HeartbeatEvery is how often the leader says at least that it lives and hears from the
-	// store; each wakes both ends.
+	// HeartbeatEvery is the longest time between two updates from the leader. Each says that
+	// the leader is alive and whether it reaches the store, and wakes both ends.
 	HeartbeatEvery = 250 * time.Millisecond
-	// Silence is how long a follower believes in a leader that says nothing: two heartbeats
-	// may be late. With a watch of its own it then still learns of a leaving target within
-	// two seconds.
+	// Silence is the time without an update after which a follower considers the leader lost;
+	// two heartbeats may be late. It is short enough that a follower that then watches the
+	// store itself still learns within two seconds of a target that is leaving.
 	Silence = 700 * time.Millisecond
-	// BackedFor is how long a router that backs a leader follows no other one, from the
-	// beat that it answers: a few reports may be lost.
+	// BackedFor is for how long a router that backs a leader follows no other one, counted
+	// from the heartbeat that it answers. It allows for a few lost reports.
 	BackedFor = time.Second
 	// dialTimeout bounds opening a connection between routers.
 	dialTimeout = 300 * time.Millisecond
-	// writeTimeout ends the feed of a follower that doesn't read.
+	// writeTimeout bounds one write; it ends the feed of a follower that doesn't read.
 	writeTimeout = 500 * time.Millisecond
-	// reportEvery is how often a follower reports to the leader which keys were asked for.
+	// reportEvery is how often a follower sends a report to the leader.
 	reportEvery = 200 * time.Millisecond
-	// maxFrame bounds a frame: the targets and tables of the largest fleet that one leader
-	// tells of, 20,000 targets of some 100 bytes.
+	// maxFrame is the largest frame in bytes. It has room for the targets and tables of the
+	// largest fleet that one leader publishes, 20,000 targets of some 100 bytes each.
 	maxFrame = 4 << 20
 )
 
-// Table is the division of a service's keys with the store's revision of it, and the count
-// of what the leader published of that revision; zero is the store's own word.
+// Table is the key table of a service. Revision is the store's revision of it; Sequence
+// counts the tables that the leader published on top of that revision, and is zero for the
+// table as the store has it.
 type Table struct {
 	Revision, Sequence uint64
 	Table              *keyspace.Table
 }
 
-// Newer reports whether the table says more than the old one.
+// Newer reports whether the table is newer than old.
 func (t *Table) Newer(old *Table) bool {
 	if t.Revision != old.Revision {
 		return t.Revision > old.Revision
@@ -55,25 +56,28 @@
 	return t.Sequence > old.Sequence
 }
 
-// Update is what has changed since the update before.
+// Update is what has changed since the previous update on the connection.
 type Update struct {
-	// Whole says that Targets are all there are.
+	// Whole says that Targets is the complete list and not only what has changed.
 	Whole   bool
 	Targets []directory.Target
-	Gone    []string
-	Tables  []Table
+	// Gone are the IDs of targets that don't exist any more.
+	Gone   []string
+	Tables []Table
 	// Config is the version of the configuration that the leader has in force.
 	Config uint64
-	// ConfigValue is that configuration as the store has it; nil where it has not changed.
+	// ConfigValue is that configuration as it is stored; nil if it has not changed or is too
+	// large for the feed.
 	ConfigValue []byte
-	// Routers is the number of live routers; zero where it isn't known.
+	// Routers is the number of live routers; zero means unknown.
 	Routers int
-	// Stale says that the leader doesn't hear from the store: there are tables at most.
+	// Stale says that the leader can't reach the store, or has not read all targets from it
+	// yet; such an update has tables at most.
 	Stale bool
-	// ServiceTimes are how fast targets are.
+	// ServiceTimes are the changed service times of targets.
 	ServiceTimes []ServiceTimes
-	// Limits are the keys that are asked for more than their holders can do, of the services
-	// for which that has changed.
+	// Limits are the limited keys of each service for which these have changed: keys with
+	// more requests than their holders can serve.
 	Limits []Limits
 }
 
@@ -83,14 +87,14 @@
 	Limits  []keyspace.Limit
 }
 
-// ServiceTimes are how fast targets of one service are.
+// ServiceTimes are the service times of targets of one service.
 type ServiceTimes struct {
 	Service string
 	Targets []dispatch.TargetStats
 }
 
-// Report is what a router saw of one service: the keys that were asked for, and what
-// answers told of the targets' speed.
+// Report is what a follower observed of one service: the requested keys, and the targets'
+// service times by their answers.
 type Report struct {
 	Service      string
 	Keys         []keyspace.Key
@@ -98,10 +102,10 @@
 }
 
 func encodeTarget(t *directory.Target, now time.Time) *feedpb.Target {
-	cold := max(t.ColdUntil.Sub(now), 0)
+	coldFor := max(t.ColdUntil.Sub(now), 0)
 	return &feedpb.Target{
 		Id: t.ID, Born: t.Born, Address: t.Address, Service: t.Service, DataCentre: t.DataCentre,
-		Slots: int32(t.Slots), Draining: t.Draining, ColdMs: cold.Milliseconds(),
+		Slots: int32(t.Slots), Draining: t.Draining, ColdMs: coldFor.Milliseconds(),
 	}
 }
 
@@ -114,10 +118,10 @@
 
 func encodeServiceTimes(service string, serviceTimes []dispatch.TargetStats) *feedpb.ServiceTimes {
 	p := &feedpb.ServiceTimes{Service: service}
-	for _, sample := range serviceTimes {
+	for _, stats := range serviceTimes {
 		p.Targets = append(p.Targets, &feedpb.TargetStats{
-			Target: sample.Target, Answers: uint32(sample.Answers), MeanUs: uint32(min(sample.Mean.Microseconds(), math.MaxUint32)),
-			Waiting: uint32(sample.Waiting), Failed: uint32(sample.Failed), StalledMs: uint32(sample.Stalled.Milliseconds()),
+			Target: stats.Target, Answers: uint32(stats.Answers), MeanUs: uint32(min(stats.Mean.Microseconds(), math.MaxUint32)),
+			Waiting: uint32(stats.Waiting), Failed: uint32(stats.Failed), StalledMs: uint32(stats.Stalled.Milliseconds()),
 		})
 	}
 	return p
@@ -125,10 +129,10 @@
 
 func decodeServiceTimes(p *feedpb.ServiceTimes) ServiceTimes {
 	serviceTimes := ServiceTimes{Service: p.GetService()}
-	for _, sample := range p.GetTargets() {
+	for _, stats := range p.GetTargets() {
 		serviceTimes.Targets = append(serviceTimes.Targets, dispatch.TargetStats{
-			Target: sample.GetTarget(), Answers: int(sample.GetAnswers()), Mean: time.Duration(sample.GetMeanUs()) * time.Microsecond,
-			Waiting: int(sample.GetWaiting()), Failed: int(sample.GetFailed()), Stalled: time.Duration(sample.GetStalledMs()) * time.Millisecond,
+			Target: stats.GetTarget(), Answers: int(stats.GetAnswers()), Mean: time.Duration(stats.GetMeanUs()) * time.Microsecond,
+			Waiting: int(stats.GetWaiting()), Failed: int(stats.GetFailed()), Stalled: time.Duration(stats.GetStalledMs()) * time.Millisecond,
 		})
 	}
 	return serviceTimes
@@ -176,20 +180,20 @@
 	}
 }
 
-// encodePatch returns what makes the new table of the old one: the segments that the old one
-// doesn't have. Moves change some segments here and there of hundreds, and each change goes
-// to all routers.
+// encodePatch returns the patch from the old table to t: the segments that the old one doesn't
+// have. A move changes a few of hundreds of segments, which may lie far apart, and each
+// change is sent to all routers.
 func encodePatch(old, t Table) *feedpb.Table {
 	patch := &feedpb.Table{
 		Service: t.Table.Service, Revision: t.Revision, Sequence: t.Sequence, NextToken: t.Table.NextToken, Patch: true,
 	}
-	before := old.Table.Segments
+	oldSegments := old.Table.Segments
 	for i := range t.Table.Segments {
 		s := &t.Table.Segments[i]
-		for len(before) > 0 && before[0].To < s.From {
-			before = before[1:]
+		for len(oldSegments) > 0 && oldSegments[0].To < s.From {
+			oldSegments = oldSegments[1:]
 		}
-		if len(before) > 0 && before[0] == *s {
+		if len(oldSegments) > 0 && oldSegments[0] == *s {
 			continue
 		}
 		changed := encodeSegment(s)
@@ -199,17 +203,17 @@
 	return patch
 }
 
-var errNoBase = errors.New("feed: a patch of a table that was not sent")
+var errNoBase = errors.New("feed: received a patch of a table that was not sent")
 
-// decodeTable makes a table of what was sent, and of the table before where it is a patch.
-// A table that doesn't cover all keys is an error.
-func decodeTable(p *feedpb.Table, before *keyspace.Table) (Table, error) {
+// decodeTable decodes a table; a patch is applied to the old table, which is nil if none was
+// received before. A table that doesn't cover all keys is an error.
+func decodeTable(p *feedpb.Table, old *keyspace.Table) (Table, error) {
 	t := &keyspace.Table{Service: p.GetService(), NextToken: p.GetNextToken()}
 	if p.GetPatch() {
-		if before == nil {
+		if old == nil {
 			return Table{}, errNoBase
 		}
-		t.Segments = patched(before.Segments, p.GetSegments())
+		t.Segments = applyPatch(old.Segments, p.GetSegments())
 		return Table{p.GetRevision(), p.GetSequence(), t}, t.Check()
 	}
 	from := 0
@@ -220,30 +224,30 @@
 	return Table{p.GetRevision(), p.GetSequence(), t}, t.Check()
 }
 
-// patched returns the segments before without those whose keys are changed, and the changed
-// ones.
-func patched(before []keyspace.Segment, changed []*feedpb.Segment) []keyspace.Segment {
+// applyPatch returns the old segments with those whose keys are in a changed segment replaced
+// by the changed ones.
+func applyPatch(old []keyspace.Segment, changed []*feedpb.Segment) []keyspace.Segment {
 	var all []keyspace.Segment
 	for _, c := range changed {
 		s := decodeSegment(int(c.GetFirst()), c)
-		for len(before) > 0 && before[0].To < s.From {
-			all = append(all, before[0])
-			before = before[1:]
+		for len(old) > 0 && old[0].To < s.From {
+			all = append(all, old[0])
+			old = old[1:]
 		}
-		for len(before) > 0 && before[0].From <= s.To {
-			before = before[1:]
+		for len(old) > 0 && old[0].From <= s.To {
+			old = old[1:]
 		}
 		all = append(all, s)
 	}
-	return append(all, before...)
+	return append(all, old...)
 }
 
-// decodeUpdate reads an update; tables are those that came before on the same connection,
-// which it replaces.
+// decodeUpdate decodes an update. tables has the last table of each service received on the
+// connection; decodeUpdate replaces those that the update has.
 func decodeUpdate(p *feedpb.Update, tables map[string]*keyspace.Table) (*Update, error) {
 	u := &Update{Whole: p.GetWhole(), Gone: p.GetGone(), Config: p.GetConfig(), Stale: p.GetStale(), Routers: int(p.GetRouters())}
 	if len(p.GetConfigValue()) > 0 {
-		value, err := inflate(p.GetConfigValue())
+		value, err := decompressConfig(p.GetConfigValue())
 		if err != nil {
 			return nil, err
 		}
--- a/peer/feed/feed_test.go
+++ b/peer/feed/feed_test.go
@@ -25,7 +25,7 @@
 	"tarragongw/peer/feedpb"
 )
 
-// drawTable cuts and gives away some ranges of a table.
+// drawTable returns a copy of the table in which some random ranges have a new holder.
 func drawTable(t *rapid.T, table *keyspace.Table) *keyspace.Table {
 	next := table.Clone()
 	for range rapid.IntRange(0, 5).Draw(t, "changes") {
@@ -38,15 +38,16 @@
 	return next
 }
 
-// received returns what a follower gets, through the bytes on the wire, and then knows.
-func received(t interface {
+// receive encodes the update for a follower in the state and decodes it as the follower does;
+// it returns the update and the follower's new state.
+func receive(t interface {
 	assert.TestingT
 	Helper()
-}, source *Source, known sentState, stale bool) (*feedpb.Update, sentState) {
+}, source *Source, state sentState, stale bool) (*feedpb.Update, sentState) {
 	t.Helper()
-	f, _, err := source.frameSince(known, true, stale)
+	f, _, err := source.frameSince(state, true, stale)
 	assert.NilError(t, err)
-	data, err := f.withBeat(3)
+	data, err := f.withHeartbeat(3)
 	assert.NilError(t, err)
 	u := &feedpb.Update{}
 	assert.NilError(t, unmarshalFrom(bufio.NewReader(bytes.NewReader(data)), u))
@@ -56,12 +57,13 @@
 	return u, f.after
 }
 
-// Whatever changes, and however far a follower is behind, it ends with the leader's table.
-func TestFollowersEndWithTheLeadersTable(t *testing.T) {
+// Whatever changes, and however many tables a follower misses, it has the leader's table after
+// its next update.
+func TestFollowersReachTheLeadersTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source := NewSource()
 		source.SetKnown()
-		seen, known := map[string]*keyspace.Table{}, sentState{}
+		tables, state := map[string]*keyspace.Table{}, sentState{}
 		table := keyspace.New("s")
 		for i := range rapid.IntRange(1, 30).Draw(t, "steps") {
 			table = drawTable(t, table)
@@ -70,25 +72,25 @@
 				continue
 			}
 			var p *feedpb.Update
-			p, known = received(t, source, known, rapid.Bool().Draw(t, "stale"))
-			_, err := decodeUpdate(p, seen)
+			p, state = receive(t, source, state, rapid.Bool().Draw(t, "stale"))
+			_, err := decodeUpdate(p, tables)
 			assert.NilError(t, err)
-			assert.DeepEqual(t, seen["s"], table)
+			assert.DeepEqual(t, tables["s"], table)
 		}
 	})
 }
 
-func TestPatchOfNothingIsRefused(t *testing.T) {
+func TestPatchWithoutBaseOrWithGapIsRefused(t *testing.T) {
 	_, err := decodeTable(&feedpb.Table{Patch: true}, nil)
 	assert.Equal(t, err, errNoBase)
 	gap := &feedpb.Table{Patch: true, Segments: []*feedpb.Segment{{First: 10, Last: 20}}}
 	_, err = decodeTable(gap, keyspace.New("s"))
-	assert.Assert(t, err != nil, "the keys beside the patch have no segment")
+	assert.Assert(t, err != nil, "accepted a patch that leaves keys without a segment")
 }
 
-// Guards against moves that send nearly the whole table to every router because the first
-// and the last of them lie far apart.
-func TestPatchHasJustTheSegmentsThatChanged(t *testing.T) {
+// Guards against patches that contain nearly the whole table because the first and the last
+// of the changed segments lie far apart.
+func TestPatchHasOnlyChangedSegments(t *testing.T) {
 	before := keyspace.New("s")
 	for k := keyspace.Key(100); k < 60000; k += 100 {
 		before.Carve(k, k+99).Holder = keyspace.Holder{Target: "a", Born: int64(k)}
@@ -104,52 +106,55 @@
 	assert.DeepEqual(t, decoded.Table, after)
 }
 
-// harness is a leader that serves one source.
-type harness struct {
+// testLeader is a leader of term 7 that serves one source over TCP.
+type testLeader struct {
 	source *Source
-	fresh  atomic.Bool
-	heat   chan Report
-	joined chan time.Duration
-	backed chan time.Duration
-	away   atomic.Bool
-	addr   string
-	term   context.Context
-	end    context.CancelFunc
+	// fresh says whether the leader reaches the store, and followerCutOff that its followers
+	// don't.
+	fresh, followerCutOff atomic.Bool
+	// reports, joined and backed receive the arguments of the server's callbacks.
+	reports chan Report
+	joined  chan time.Duration
+	backed  chan time.Duration
+	addr    string
+	termCtx context.Context
+	endTerm context.CancelFunc
 }
 
-func newHarness(t *testing.T) *harness {
-	h := &harness{source: NewSource(), heat: make(chan Report, 16), joined: make(chan time.Duration, 16), backed: make(chan time.Duration, 256)}
-	h.source.SetKnown()
-	h.fresh.Store(true)
-	h.term, h.end = context.WithCancel(t.Context())
+func newTestLeader(t *testing.T) *testLeader {
+	leader := &testLeader{source: NewSource(), reports: make(chan Report, 16), joined: make(chan time.Duration, 16), backed: make(chan time.Duration, 256)}
+	leader.source.SetKnown()
+	leader.fresh.Store(true)
+	leader.termCtx, leader.endTerm = context.WithCancel(t.Context())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	h.addr = l.Addr().String()
+	leader.addr = l.Addr().String()
 	server := &Server{
 		Lead: func(term uint64) (context.Context, *Source) {
 			if term != 7 {
 				return nil, nil
 			}
-			return h.term, h.source
+			return leader.termCtx, leader.source
 		},
-		Joined: func(router string, term uint64, promised time.Duration) { h.joined <- promised },
-		Backed: func(router string, term uint64, until time.Duration) { h.backed <- until - clock.Boot{}.Now() },
-		Fresh:  h.fresh.Load, Reported: func(r Report) { h.heat <- r }, Clock: clock.Boot{}, Log: slog.New(slog.DiscardHandler),
+		Joined: func(router string, term uint64, promised time.Duration) { leader.joined <- promised },
+		Backed: func(router string, term uint64, until time.Duration) { leader.backed <- until - clock.Boot{}.Now() },
+		Fresh:  leader.fresh.Load, Reported: func(r Report) { leader.reports <- r }, Clock: clock.Boot{}, Log: slog.New(slog.DiscardHandler),
 	}
 	go func() { assert.Check(t, server.Serve(t.Context(), l)) }()
-	return h
+	return leader
 }
 
 var sampleStats = []dispatch.TargetStats{{Target: "a", Answers: 3, Mean: 150 * time.Millisecond}}
 
-// follow follows until the feed ends; updates go to the channel.
-func (h *harness) follow(t *testing.T, term uint64, updates chan<- *Update) <-chan error {
+// follow runs a follower that sends one report, until the feed ends. Updates are sent to the
+// channel; the returned channel receives the result of Run.
+func (leader *testLeader) follow(t *testing.T, term uint64, updates chan<- *Update) <-chan error {
 	ended := make(chan error, 1)
 	reported := false
 	f := &Follower{
-		Router: "r", Address: h.addr, Term: term,
+		Router: "r", Address: leader.addr, Term: term,
 		Update: func(u *Update) { updates <- u }, Promised: 30 * time.Millisecond,
-		Backs: h.away.Load, Backed: func(time.Time) {},
+		Backs: leader.followerCutOff.Load, Backed: func(time.Time) {},
 		Reports: func() []Report {
 			if reported {
 				return nil
@@ -162,135 +167,135 @@
 	return ended
 }
 
-func TestFollowerIsToldAndReports(t *testing.T) {
-	h := newHarness(t)
+func TestFollowerReceivesUpdatesAndReports(t *testing.T) {
+	leader := newTestLeader(t)
 	target := directory.Target{ID: "a", Born: 3, Address: "h:1", Service: "s", DataCentre: "hall", Slots: 6}
-	h.source.SetTargets([]directory.Target{target})
-	h.source.SetConfig(9, nil)
+	leader.source.SetTargets([]directory.Target{target})
+	leader.source.SetConfig(9, nil)
 	updates := make(chan *Update, 64)
-	h.follow(t, 7, updates)
+	leader.follow(t, 7, updates)
 	u := <-updates
 	assert.Assert(t, u.Whole)
 	assert.Equal(t, u.Config, uint64(9))
 	assert.DeepEqual(t, u.Targets, []directory.Target{target})
-	assert.DeepEqual(t, <-h.heat, Report{Service: "s", Keys: []keyspace.Key{1, 1, 65535}})
-	assert.DeepEqual(t, <-h.heat, Report{Service: "s", ServiceTimes: sampleStats})
-	h.source.SetServiceTimes(ServiceTimes{Service: "s", Targets: sampleStats})
-	waittest.Until(t, "the speeds are told", func() bool {
-		told := (<-updates).ServiceTimes
-		return len(told) == 1 && told[0].Service == "s" && len(told[0].Targets) == 1 && told[0].Targets[0] == sampleStats[0]
+	assert.DeepEqual(t, <-leader.reports, Report{Service: "s", Keys: []keyspace.Key{1, 1, 65535}})
+	assert.DeepEqual(t, <-leader.reports, Report{Service: "s", ServiceTimes: sampleStats})
+	leader.source.SetServiceTimes(ServiceTimes{Service: "s", Targets: sampleStats})
+	waittest.Until(t, "the service times are sent", func() bool {
+		times := (<-updates).ServiceTimes
+		return len(times) == 1 && times[0].Service == "s" && len(times[0].Targets) == 1 && times[0].Targets[0] == sampleStats[0]
 	})
-	h.source.SetTargets(nil)
-	waittest.Until(t, "the target's end is told", func() bool { return len((<-updates).Gone) == 1 })
+	leader.source.SetTargets(nil)
+	waittest.Until(t, "the removed target is sent", func() bool { return len((<-updates).Gone) == 1 })
 }
 
-// Symptom: routers send work to targets that left, because their leader doesn't know.
-// Sequence: the leader alone is cut off from the store and goes on to feed the others.
-// Cause: a feed that says nothing new is taken for news that nothing has changed.
-func TestLeaderThatDoesNotHearTheStoreSaysSo(t *testing.T) {
-	h := newHarness(t)
-	h.source.SetConfig(1, nil)
+// Guards against followers that send requests to targets that have left: a leader that alone
+// is cut off from the store still sends heartbeats, and followers that see no change in them
+// conclude that nothing has changed.
+func TestLeaderThatCannotReachTheStoreSendsStaleUpdates(t *testing.T) {
+	leader := newTestLeader(t)
+	leader.source.SetConfig(1, nil)
 	updates := make(chan *Update, 64)
-	h.follow(t, 7, updates)
+	leader.follow(t, 7, updates)
 	assert.Assert(t, !(<-updates).Stale)
-	h.fresh.Store(false)
-	waittest.Until(t, "the leader says that it doesn't know", func() bool { return (<-updates).Stale })
-	h.source.SetConfig(2, nil)
-	h.source.SetTargets([]directory.Target{{ID: "a"}})
-	h.source.SetTable(Table{Revision: 1, Table: keyspace.New("s")})
+	leader.fresh.Store(false)
+	waittest.Until(t, "updates are marked as stale", func() bool { return (<-updates).Stale })
+	leader.source.SetConfig(2, nil)
+	leader.source.SetTargets([]directory.Target{{ID: "a"}})
+	leader.source.SetTable(Table{Revision: 1, Table: keyspace.New("s")})
 	tables := 0
 	for range 4 {
 		u := <-updates
 		assert.Assert(t, u.Stale && u.Config == 0 && len(u.Targets) == 0, "%+v", u)
 		tables += len(u.Tables)
 	}
-	assert.Equal(t, tables, 1, "what the leader itself wrote is true all the same")
-	h.fresh.Store(true)
-	waittest.Until(t, "the leader knows again", func() bool { return (<-updates).Config == 2 })
+	assert.Equal(t, tables, 1, "the leader writes the tables itself, so it has to send them")
+	leader.fresh.Store(true)
+	waittest.Until(t, "updates have the new configuration after the store is reached again", func() bool { return (<-updates).Config == 2 })
 }
 
-// A router that doesn't reach the store backs its leader, from when the beat left that it
-// answers; one that does reach it backs nobody.
-func TestRoutersWithoutTheStoreBackTheirLeader(t *testing.T) {
-	h := newHarness(t)
-	h.source.SetConfig(1, nil)
+// A router that can't reach the store backs its leader, counted from when the heartbeat that it
+// answers was sent; a router that reaches the store backs no leader.
+func TestRoutersThatCannotReachTheStoreBackTheirLeader(t *testing.T) {
+	leader := newTestLeader(t)
+	leader.source.SetConfig(1, nil)
 	updates := make(chan *Update, 256)
-	h.follow(t, 7, updates)
-	assert.Equal(t, <-h.joined, 30*time.Millisecond)
+	leader.follow(t, 7, updates)
+	assert.Equal(t, <-leader.joined, 30*time.Millisecond)
 	time.Sleep(2 * reportEvery)
-	assert.Equal(t, len(h.backed), 0)
-	h.away.Store(true)
-	left := <-h.backed
-	assert.Assert(t, left <= BackedFor && left > BackedFor/4, "%v", left)
+	assert.Equal(t, len(leader.backed), 0)
+	leader.followerCutOff.Store(true)
+	remaining := <-leader.backed
+	assert.Assert(t, remaining <= BackedFor && remaining > BackedFor/4, "%v", remaining)
 }
 
-// Symptom: a router takes all targets for gone when it begins to follow a new leader.
-// Sequence: the leader is asked between its first call of the store and its reading of it.
-func TestTargetsThatWereNotReadYetAreNotToldAsNone(t *testing.T) {
+// Guards against a router that takes all targets for gone when it starts to follow a new leader
+// that has reached the store but has not read the targets yet.
+func TestUpdateIsNotCompleteBeforeTargetsAreRead(t *testing.T) {
 	source := NewSource()
 	source.SetTargets(nil)
-	u, known := received(t, source, sentState{}, false)
+	u, state := receive(t, source, sentState{}, false)
 	assert.Assert(t, u.Stale && !u.Whole)
 	source.SetTargets([]directory.Target{{ID: "a"}})
 	source.SetKnown()
-	u, _ = received(t, source, known, false)
+	u, _ = receive(t, source, state, false)
 	assert.Assert(t, u.Whole && len(u.Targets) == 1)
 }
 
 func TestEndOfTheTermEndsTheFeed(t *testing.T) {
-	h := newHarness(t)
-	h.source.SetConfig(1, nil)
+	leader := newTestLeader(t)
+	leader.source.SetConfig(1, nil)
 	updates := make(chan *Update, 64)
-	ended := h.follow(t, 7, updates)
+	ended := leader.follow(t, 7, updates)
 	<-updates
-	h.end()
+	leader.endTerm()
 	assert.Assert(t, <-ended != nil)
-	assert.Assert(t, <-h.follow(t, 8, updates) != nil, "another term is not fed")
+	assert.Assert(t, <-leader.follow(t, 8, updates) != nil, "a follower of another term was accepted")
 }
 
-// Guards against a follower without a configuration, or with a part of one.
-func TestConfigurationIsSentOnceAndWhole(t *testing.T) {
+// Guards against a follower that has no configuration, or only a part of one.
+func TestConfigurationIsSentOnceAndCompletely(t *testing.T) {
 	source := NewSource()
 	source.SetKnown()
 	value := bytes.Repeat([]byte(`{"name":"a","prefix":"/a/"},`), 4000)
 	source.SetConfig(9, value)
-	decode := func(known sentState) (*Update, sentState) {
-		p, after := received(t, source, known, false)
+	decode := func(state sentState) (*Update, sentState) {
+		p, after := receive(t, source, state, false)
 		u, err := decodeUpdate(p, map[string]*keyspace.Table{})
 		assert.NilError(t, err)
 		return u, after
 	}
-	u, known := decode(sentState{})
+	u, state := decode(sentState{})
 	assert.Equal(t, u.Config, uint64(9))
 	assert.Assert(t, bytes.Equal(u.ConfigValue, value))
-	u, _ = decode(known)
+	u, _ = decode(state)
 	assert.Equal(t, u.Config, uint64(9))
 	assert.Equal(t, len(u.ConfigValue), 0)
-	random := make([]byte, 2*maxDeflated)
+	random := make([]byte, 2*maxCompressedConfig)
 	rand.NewChaCha8([32]byte{1}).Read(random)
 	source.SetConfig(10, random)
-	u, _ = decode(known)
+	u, _ = decode(state)
 	assert.Equal(t, u.Config, uint64(10))
-	assert.Equal(t, len(u.ConfigValue), 0, "too long for a feed")
+	assert.Equal(t, len(u.ConfigValue), 0, "the configuration is too large for a feed")
 }
 
-// Guards against a frame that unpacks to more than a configuration can have.
-func TestPackedConfigurationIsBounded(t *testing.T) {
-	var packed bytes.Buffer
-	w, err := flate.NewWriter(&packed, flate.BestCompression)
+// Guards against data that decompresses to more than the largest configuration.
+func TestCompressedConfigurationIsBounded(t *testing.T) {
+	var compressed bytes.Buffer
+	w, err := flate.NewWriter(&compressed, flate.BestCompression)
 	assert.NilError(t, err)
-	_, err = w.Write(make([]byte, 4*maxInflated))
+	_, err = w.Write(make([]byte, 4*maxConfigSize))
 	assert.NilError(t, err)
 	assert.NilError(t, w.Close())
-	_, err = inflate(packed.Bytes())
+	_, err = decompressConfig(compressed.Bytes())
 	assert.ErrorContains(t, err, "too long")
-	_, err = inflate([]byte{0xff, 1})
+	_, err = decompressConfig([]byte{0xff, 1})
 	assert.Assert(t, err != nil)
 }
 
-// manyTargets is a source that publishes so many targets and a table in which each holds
+// sourceWithTargets returns a source that publishes n targets and a table in which each holds
 // some keys.
-func manyTargets(n int) *Source {
+func sourceWithTargets(n int) *Source {
 	source, table := NewSource(), keyspace.New("s")
 	targets := make([]directory.Target, n)
 	width := (int(keyspace.LastKey) + 1) / n
@@ -307,10 +312,10 @@
 	return source
 }
 
-// Guards against a leader that looks up, encodes and packs for each of hundreds of followers
-// what all of them lack alike.
-func TestFollowersThatKnowTheSameShareAFrame(t *testing.T) {
-	source := manyTargets(10)
+// Guards against a leader that looks up, encodes and compresses the same changes for each of
+// hundreds of followers.
+func TestFollowersInTheSameStateShareAFrame(t *testing.T) {
+	source := sourceWithTargets(10)
 	first, _, err := source.frameSince(sentState{}, true, false)
 	assert.NilError(t, err)
 	for range 300 {
@@ -320,34 +325,35 @@
 	}
 	stale, _, err := source.frameSince(sentState{}, true, true)
 	assert.NilError(t, err)
-	assert.Assert(t, stale != first, "what a stale leader tells is another frame")
+	assert.Assert(t, stale != first, "a stale leader has to send another frame")
 	source.SetLimits(Limits{Service: "s"})
 	next, _, err := source.frameSince(sentState{}, true, false)
 	assert.NilError(t, err)
-	assert.Assert(t, next != first, "what has changed is missing")
+	assert.Assert(t, next != first, "the frame from before the change was sent again")
 }
 
-// Guards against a fleet whose routers all start at once and fill the leader's link for
-// longer than they wait for a word from it.
-func TestWholeStateOfThousandsOfTargetsIsShort(t *testing.T) {
+// Guards against routers that all start at once and for whose complete updates the leader's
+// link is busy for longer than Silence.
+func TestCompleteUpdateOfThousandsOfTargetsIsShort(t *testing.T) {
 	const targets, perTarget = 3000, 60
-	source := manyTargets(targets)
+	source := sourceWithTargets(targets)
 	f, _, err := source.frameSince(sentState{}, true, false)
 	assert.NilError(t, err)
 	assert.Assert(t, len(f.data) < targets*perTarget, "%d bytes", len(f.data))
-	u, _ := received(t, source, sentState{}, false)
+	u, _ := receive(t, source, sentState{}, false)
 	assert.Equal(t, len(u.GetTargets()), targets)
 	assert.Equal(t, len(u.GetTables()), 1)
 }
 
-// Guards against followers that give up a leader whose long update is still coming in over a
-// full link, against waiting for one that has stopped, and against a trickle without end.
-func TestLongFramesAreWaitedForWhileTheyProgress(t *testing.T) {
-	f, _, err := manyTargets(3000).frameSince(sentState{}, true, false)
+// Guards against followers that consider a leader lost while its long update is still arriving
+// over a busy link, and against waiting for a leader that has stopped sending or that sends
+// too slowly to finish.
+func TestLongFramesMayTakeLongerThanSilenceWhileTheyProgress(t *testing.T) {
+	f, _, err := sourceWithTargets(3000).frameSince(sentState{}, true, false)
 	assert.NilError(t, err)
-	data, err := f.withBeat(1)
+	data, err := f.withHeartbeat(1)
 	assert.NilError(t, err)
-	receive := func(parts int, pause time.Duration, sent int) error {
+	readFrame := func(parts int, pause time.Duration, sent int) error {
 		leader, follower := net.Pipe()
 		defer leader.Close()
 		defer follower.Close()
@@ -362,15 +368,15 @@
 		_, err := newUpdateReader(follower).next()
 		return err
 	}
-	assert.NilError(t, receive(6, Silence/4, 6))
-	assert.Assert(t, receive(4, 0, 2) != nil, "a leader that has stopped is waited for")
-	assert.Assert(t, receive(20, Silence/2, 20) != nil, "a trickle is waited for without end")
+	assert.NilError(t, readFrame(6, Silence/4, 6))
+	assert.Assert(t, readFrame(4, 0, 2) != nil, "no error although the leader stopped sending")
+	assert.Assert(t, readFrame(20, Silence/2, 20) != nil, "no error although the frame took longer than frameTimeout")
 }
 
-// Guards against a router of an older version that takes a packed update for an empty one
-// while the fleet is being upgraded.
-func TestFollowerThatDoesNotUnpackIsSentPlainUpdates(t *testing.T) {
-	f, _, err := manyTargets(3000).frameSince(sentState{}, false, false)
+// Guards against a router of an older version, during an upgrade of the fleet, that decodes a
+// packed update as an empty one.
+func TestFollowerThatCannotUnpackIsSentPlainUpdates(t *testing.T) {
+	f, _, err := sourceWithTargets(3000).frameSince(sentState{}, false, false)
 	assert.NilError(t, err)
 	u := &feedpb.Update{}
 	assert.NilError(t, proto.Unmarshal(f.data, u))
@@ -379,7 +385,7 @@
 }
 
 func TestPackedUpdateThatIsTooLongIsRefused(t *testing.T) {
-	packed, err := deflateAll(make([]byte, maxFrame+1))
+	packed, err := deflate(make([]byte, maxFrame+1))
 	assert.NilError(t, err)
 	_, err = unpack(&feedpb.Update{Packed: packed})
 	assert.Assert(t, err != nil)
--- a/peer/feed/frame.go
+++ b/peer/feed/frame.go
@@ -13,33 +13,34 @@
 )
 
 const (
-	// packFrom is the length in bytes from which an update is deflated.
-	packFrom = 2 << 10
-	// frameLife is for how long followers that know the same are sent the same frame. The
-	// times in it count from when it was made.
-	frameLife = HeartbeatEvery
-	// chunk is how many bytes are written at a time, each within writeTimeout.
-	chunk = 16 << 10
-	// frameTimeout bounds the way of a whole frame.
+	// minPackedSize is the length in bytes from which an update is compressed.
+	minPackedSize = 2 << 10
+	// frameTTL is for how long a frame is reused for followers in the same state. Durations in
+	// a frame count from when it was encoded, so an old one would be wrong.
+	frameTTL = HeartbeatEvery
+	// chunkSize is how many bytes are written at a time, each chunk within writeTimeout.
+	chunkSize = 16 << 10
+	// frameTimeout bounds writing or reading a whole frame.
 	frameTimeout = 2 * time.Second
 )
 
-// frame is an update without its beat, as it is sent.
+// frame is an encoded update without its heartbeat number.
 type frame struct {
-	data  []byte
-	after sentState
-	made  time.Time
+	data []byte
+	// after is the state of a follower that has received the frame.
+	after     sentState
+	encodedAt time.Time
 }
 
-// newFrame encodes an update after which a follower is in the state, packed if it is long and
-// the follower unpacks.
+// newFrame encodes an update that brings a follower to the state after. The update is
+// compressed ("packed") if it is long and the follower can unpack it.
 func newFrame(u *feedpb.Update, after sentState, unpacks bool, now time.Time) (*frame, error) {
 	data, err := proto.Marshal(u)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode an update")
 	}
-	if unpacks && len(data) >= packFrom {
-		packed, err := deflateAll(data)
+	if unpacks && len(data) >= minPackedSize {
+		packed, err := deflate(data)
 		if err != nil {
 			return nil, err
 		}
@@ -47,50 +48,51 @@
 			return nil, errors.Wrap(err, "encode a packed update")
 		}
 	}
-	return &frame{data: data, after: after, made: now}, nil
+	return &frame{data: data, after: after, encodedAt: now}, nil
 }
 
-// withBeat returns the frame's bytes with their length in front and the beat behind:
-// fields of one message may be encoded one after the other.
-func (f *frame) withBeat(beat uint64) ([]byte, error) {
-	tail, err := proto.Marshal(&feedpb.Update{Beat: beat})
+// withHeartbeat returns the frame's bytes preceded by their length and followed by the
+// heartbeat number: concatenated encodings of a protobuf message are decoded as one message,
+// so the rest of the frame can be shared.
+func (f *frame) withHeartbeat(heartbeat uint64) ([]byte, error) {
+	tail, err := proto.Marshal(&feedpb.Update{Beat: heartbeat})
 	if err != nil {
-		return nil, errors.Wrap(err, "encode a beat")
+		return nil, errors.Wrap(err, "encode a heartbeat")
 	}
-	sent := protowire.AppendVarint(make([]byte, 0, len(f.data)+len(tail)+protowire.SizeVarint(maxFrame)), uint64(len(f.data)+len(tail)))
-	return append(append(sent, f.data...), tail...), nil
+	data := protowire.AppendVarint(make([]byte, 0, len(f.data)+len(tail)+protowire.SizeVarint(maxFrame)), uint64(len(f.data)+len(tail)))
+	return append(append(data, f.data...), tail...), nil
 }
 
-// unpack returns the update that a received one stands for.
+// unpack decompresses a packed update; it returns any other update unchanged.
 func unpack(u *feedpb.Update) (*feedpb.Update, error) {
 	if len(u.GetPacked()) == 0 {
 		return u, nil
 	}
-	data, err := inflateAll(u.GetPacked(), maxFrame)
+	data, err := inflate(u.GetPacked(), maxFrame)
 	if err != nil {
 		return nil, err
 	}
-	whole := &feedpb.Update{}
-	if err := proto.Unmarshal(data, whole); err != nil {
+	unpacked := &feedpb.Update{}
+	if err := proto.Unmarshal(data, unpacked); err != nil {
 		return nil, errors.Wrap(err, "decode a packed update")
 	}
-	whole.Beat = u.GetBeat()
-	return whole, nil
+	unpacked.Beat = u.GetBeat()
+	return unpacked, nil
 }
 
-// writeAll writes chunk by chunk, so that a long frame on a busy link is given as much time
+// writeInChunks writes chunk by chunk, so that a long frame on a busy link is written as long
 // as it makes progress, up to frameTimeout.
-func writeAll(conn net.Conn, data []byte) error {
-	end := time.Now().Add(frameTimeout)
+func writeInChunks(conn net.Conn, data []byte) error {
+	frameDeadline := time.Now().Add(frameTimeout)
 	for len(data) > 0 {
-		due := time.Now().Add(writeTimeout)
-		if due.After(end) {
-			due = end
+		deadline := time.Now().Add(writeTimeout)
+		if deadline.After(frameDeadline) {
+			deadline = frameDeadline
 		}
-		if err := conn.SetWriteDeadline(due); err != nil {
+		if err := conn.SetWriteDeadline(deadline); err != nil {
 			return errors.Wrap(err, "write to a router")
 		}
-		n, err := conn.Write(data[:min(len(data), chunk)])
+		n, err := conn.Write(data[:min(len(data), chunkSize)])
 		if err != nil {
 			return errors.Wrap(err, "write to a router")
 		}
@@ -99,27 +101,27 @@
 	return nil
 }
 
-// chunkReader ends a connection on which nothing comes for the time of silence, and a frame
-// that takes longer than frameTimeout.
+// chunkReader reads from a connection. A read fails if no bytes arrive within idleTimeout, or
+// if the frame takes longer than frameTimeout.
 type chunkReader struct {
-	conn    net.Conn
-	silence time.Duration
-	// end bounds the frame that is being read; zero before its first bytes.
-	end time.Time
+	conn        net.Conn
+	idleTimeout time.Duration
+	// frameDeadline bounds the frame that is being read; zero before its first bytes.
+	frameDeadline time.Time
 }
 
 // Read implements io.Reader.
 func (r *chunkReader) Read(b []byte) (int, error) {
-	due := time.Now().Add(r.silence)
-	if !r.end.IsZero() && due.After(r.end) {
-		due = r.end
+	deadline := time.Now().Add(r.idleTimeout)
+	if !r.frameDeadline.IsZero() && deadline.After(r.frameDeadline) {
+		deadline = r.frameDeadline
 	}
-	if err := r.conn.SetReadDeadline(due); err != nil {
+	if err := r.conn.SetReadDeadline(deadline); err != nil {
 		return 0, err
 	}
 	n, err := r.conn.Read(b)
-	if n > 0 && r.end.IsZero() {
-		r.end = time.Now().Add(frameTimeout)
+	if n > 0 && r.frameDeadline.IsZero() {
+		r.frameDeadline = time.Now().Add(frameTimeout)
 	}
 	return n, err
 }
@@ -131,12 +133,12 @@
 }
 
 func newUpdateReader(conn net.Conn) *updateReader {
-	chunks := &chunkReader{conn: conn, silence: Silence}
+	chunks := &chunkReader{conn: conn, idleTimeout: Silence}
 	return &updateReader{chunks, bufio.NewReader(chunks)}
 }
 
 func (r *updateReader) next() (*feedpb.Update, error) {
-	r.chunks.end = time.Time{}
+	r.chunks.frameDeadline = time.Time{}
 	u := &feedpb.Update{}
 	if err := unmarshalFrom(r.buffer, u); err != nil {
 		return nil, errors.Wrap(err, "read from a router")
--- a/peer/feed/server.go
+++ b/peer/feed/server.go
@@ -17,20 +17,21 @@
 	"tarragongw/peer/feedpb"
 )
 
-// Server feeds those who follow this router.
+// Server streams this router's state to its followers while it is the leader.
 type Server struct {
 	// Lead returns what this router publishes as the leader of the term, and a context that
-	// ends with the term; nil where it doesn't lead then.
+	// ends with the term; nil if it is not the leader of that term.
 	Lead func(term uint64) (context.Context, *Source)
-	// Fresh says whether this router has had an answer of the store of late. Without that it says
-	// that it doesn't know, and its followers ask the store themselves.
+	// Fresh says whether the store has answered this router recently. If it has not, updates
+	// are marked as stale, and followers read the store themselves.
 	Fresh func() bool
-	// Joined is given who follows, and for how long that router still backs another leader.
+	// Joined is called when a router begins to follow, with the time for which that router is
+	// still bound by having backed another leader.
 	Joined func(router string, term uint64, promised time.Duration)
-	// Backed is called that a router backs this leader until a time of Clock: until then it
+	// Backed is called when a router backs this leader, with the time of Clock until which it
 	// follows no other.
 	Backed func(router string, term uint64, until time.Duration)
-	// Reported is given what a follower reports.
+	// Reported is called with each report of a follower.
 	Reported func(r Report)
 	Clock    clock.Clock
 	Log      *slog.Logger
@@ -52,63 +53,65 @@
 	}
 }
 
-// follower is one connection of a router that follows this one.
+// follower is the connection of one router that follows this one.
 type follower struct {
 	server *Server
 	conn   net.Conn
 	reader *bufio.Reader
 	hello  *feedpb.Hello
 
-	// mu guards sent, the times at which the last beats left.
-	mu   sync.Mutex
-	beat uint64
-	sent [keptBeats]time.Duration
+	// mu guards heartbeat, the number of the last heartbeat, and heartbeatSentAt, the times at
+	// which the last ones were sent, by their number modulo keptHeartbeats.
+	mu              sync.Mutex
+	heartbeat       uint64
+	heartbeatSentAt [keptHeartbeats]time.Duration
 }
 
-// keptBeats is how many beats an answer may be behind: those of more than BackedFor.
-const keptBeats = 64
+// keptHeartbeats is how many heartbeats a follower's answer may be behind. They cover more
+// than BackedFor; an older answer has no effect anyway.
+const keptHeartbeats = 64
 
 func (s *Server) serve(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
 	f := &follower{server: s, conn: conn, reader: bufio.NewReader(conn), hello: &feedpb.Hello{}}
-	if err := read(conn, f.reader, f.hello, Silence); err != nil {
-		s.Log.Info("follower not understood", "from", conn.RemoteAddr().String(), "err", err)
+	if err := readMessage(conn, f.reader, f.hello, Silence); err != nil {
+		s.Log.Info("invalid hello from a follower", "from", conn.RemoteAddr().String(), "err", err)
 		return
 	}
 	term := f.hello.GetTerm()
-	leads, source := s.Lead(term)
+	termCtx, source := s.Lead(term)
 	if source == nil {
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(leads, cancel)()
+	defer context.AfterFunc(termCtx, cancel)()
 	s.Joined(f.hello.GetRouter(), term, time.Duration(f.hello.GetPromisedMs())*time.Millisecond)
 	go func() {
 		defer cancel()
-		f.listen()
+		f.receiveReports()
 	}()
-	s.Log.Info("follower fed", "follower", f.hello.GetRouter(), "term", term)
-	err := f.send(ctx, source)
-	s.Log.Info("follower lost", "follower", f.hello.GetRouter(), "err", err)
+	s.Log.Info("follower connected", "follower", f.hello.GetRouter(), "term", term)
+	err := f.sendUpdates(ctx, source)
+	s.Log.Info("follower disconnected", "follower", f.hello.GetRouter(), "err", err)
 }
 
-// send writes what changes, and a beat at least every HeartbeatEvery.
-func (f *follower) send(ctx context.Context, source *Source) error {
+// sendUpdates writes an update at each change, and at least every HeartbeatEvery.
+func (f *follower) sendUpdates(ctx context.Context, source *Source) error {
 	heartbeat := time.NewTicker(HeartbeatEvery)
 	defer heartbeat.Stop()
-	var known sentState
+	var state sentState
 	for {
-		frame, changed, err := source.frameSince(known, f.hello.GetUnpacks(), !f.server.Fresh())
+		frame, changed, err := source.frameSince(state, f.hello.GetUnpacks(), !f.server.Fresh())
 		if err != nil {
 			return err
 		}
-		known = frame.after
-		data, err := frame.withBeat(f.nextBeat())
+		state = frame.after
+		data, err := frame.withHeartbeat(f.nextHeartbeat())
 		if err != nil {
 			return err
 		}
-		if err := writeAll(f.conn, data); err != nil {
+		if err := writeInChunks(f.conn, data); err != nil {
 			return err
 		}
 		select {
@@ -120,21 +123,21 @@
 	}
 }
 
-// nextBeat counts an update that leaves now.
-func (f *follower) nextBeat() uint64 {
+// nextHeartbeat returns the number of the update that is sent now and records the time.
+func (f *follower) nextHeartbeat() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.beat++
-	f.sent[f.beat%keptBeats] = f.server.Clock.Now()
-	return f.beat
+	f.heartbeat++
+	f.heartbeatSentAt[f.heartbeat%keptHeartbeats] = f.server.Clock.Now()
+	return f.heartbeat
 }
 
-// listen takes a follower's reports until it is gone.
-func (f *follower) listen() {
+// receiveReports handles the follower's reports until the connection ends.
+func (f *follower) receiveReports() {
 	for {
 		p := &feedpb.Report{}
-		if err := read(f.conn, f.reader, p, 0); err != nil {
-			return // the feed's own end is logged
+		if err := readMessage(f.conn, f.reader, p, 0); err != nil {
+			return // serve logs the end of the feed
 		}
 		for _, h := range p.GetHeat() {
 			r := Report{Service: h.GetService()}
@@ -148,24 +151,24 @@
 			f.server.Reported(Report{Service: decoded.Service, ServiceTimes: decoded.Targets})
 		}
 		if p.GetBacks() {
-			f.backed(p.GetBeat())
+			f.recordBacking(p.GetBeat())
 		}
 	}
 }
 
-// backed notes that the follower backs this leader, from when the beat left that it
-// answers: an answer that was held up on its way is worth no more than its beat.
-func (f *follower) backed(beat uint64) {
+// recordBacking records that the follower backs this leader, counted from when the heartbeat
+// that it answers was sent: an answer that was delayed on its way must not extend the time.
+func (f *follower) recordBacking(heartbeat uint64) {
 	f.mu.Lock()
-	known := beat > 0 && beat <= f.beat && f.beat-beat < keptBeats
-	sent := f.sent[beat%keptBeats]
+	known := heartbeat > 0 && heartbeat <= f.heartbeat && f.heartbeat-heartbeat < keptHeartbeats
+	sentAt := f.heartbeatSentAt[heartbeat%keptHeartbeats]
 	f.mu.Unlock()
 	if known {
-		f.server.Backed(f.hello.GetRouter(), f.hello.GetTerm(), sent+BackedFor)
+		f.server.Backed(f.hello.GetRouter(), f.hello.GetTerm(), sentAt+BackedFor)
 	}
 }
 
-func write(conn net.Conn, m proto.Message) error {
+func writeMessage(conn net.Conn, m proto.Message) error {
 	if err := conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return errors.Wrap(err, "write to a router")
 	}
@@ -173,13 +176,13 @@
 	return errors.Wrap(err, "write to a router")
 }
 
-// read reads a frame; a timeout of zero waits for ever.
-func read(conn net.Conn, reader *bufio.Reader, m proto.Message, timeout time.Duration) error {
-	var until time.Time
+// readMessage reads a frame; with a timeout of zero it waits without a limit.
+func readMessage(conn net.Conn, reader *bufio.Reader, m proto.Message, timeout time.Duration) error {
+	var deadline time.Time
 	if timeout > 0 {
-		until = time.Now().Add(timeout)
+		deadline = time.Now().Add(timeout)
 	}
-	if err := conn.SetReadDeadline(until); err != nil {
+	if err := conn.SetReadDeadline(deadline); err != nil {
 		return errors.Wrap(err, "read from a router")
 	}
 	return errors.Wrap(unmarshalFrom(reader, m), "read from a router")
--- a/peer/feed/source.go
+++ b/peer/feed/source.go
@@ -9,39 +9,43 @@
 	"tarragongw/peer/feedpb"
 )
 
-// Source is what a leader publishes, with what changed when, so that each follower gets just
-// what it doesn't have. It is safe for concurrent use.
+// Source holds the state that a leader publishes, and at which version each part of it last
+// changed, so that a follower is sent only what it doesn't have. It is safe for concurrent use.
 type Source struct {
-	mu      sync.Mutex
+	mu sync.Mutex
+	// version grows with each change of the state.
 	version uint64
 	targets map[string]versionedTarget
-	gone    map[string]uint64
-	// tables are the last ones of each service, in order; followers that have one of them
-	// get just what has changed since.
+	// gone has the version at which each target that doesn't exist any more was removed.
+	gone map[string]uint64
+	// tables are the last tables of each service, oldest first; a follower that has one of
+	// them is sent a patch.
 	tables map[string][]versionedTable
+	// config is the version number of the configuration in force.
 	config uint64
-	// configValue is the configuration, deflated once somebody needs it, and configChanged
-	// the version at which it came.
-	configValue   []byte
-	configPacked  bool
-	configChanged uint64
-	routers       int
+	// configValue is that configuration, which is compressed when a follower first needs it
+	// (configCompressed), and configChanged the version at which it was set.
+	configValue      []byte
+	configCompressed bool
+	configChanged    uint64
+	routers          int
 	// serviceTimes are by service and target.
 	serviceTimes map[string]map[string]versionedServiceTime
 	// limits are by service.
 	limits map[string]versionedLimits
-	// known says that the targets have been read from the store once.
-	known   bool
+	// targetsComplete says that all targets have been read from the store once.
+	targetsComplete bool
+	// changed is closed and replaced at each change that wakes the feeds.
 	changed chan struct{}
-	// frames are the updates of this version that were encoded already: followers that know
-	// the same share them.
+	// frames are the updates already encoded at this version, shared by followers in the same
+	// state.
 	frames map[frameKey]*frame
 }
 
-// frameKey is what a follower knows, whether it unpacks, and whether it is told that the
-// leader is stale.
+// frameKey identifies a frame by the state of the follower, whether that unpacks compressed
+// updates, and whether the update is marked as stale.
 type frameKey struct {
-	known          sentState
+	state          sentState
 	unpacks, stale bool
 }
 
@@ -56,7 +60,7 @@
 }
 
 type versionedServiceTime struct {
-	sample  dispatch.TargetStats
+	stats   dispatch.TargetStats
 	version uint64
 }
 
@@ -65,7 +69,7 @@
 	version uint64
 }
 
-// NewSource returns a source that has nothing to publish yet.
+// NewSource returns a source without any state.
 func NewSource() *Source {
 	return &Source{
 		targets: map[string]versionedTarget{}, gone: map[string]uint64{}, tables: map[string][]versionedTable{},
@@ -74,27 +78,28 @@
 	}
 }
 
-// nextVersion begins a new version; the lock is held.
+// nextVersion starts a new version; the caller holds the lock.
 func (s *Source) nextVersion() {
 	s.version++
 	clear(s.frames)
 }
 
-// bump begins a new version and wakes the followers' feeds; the lock is held.
-func (s *Source) bump() {
+// nextVersionAndWake starts a new version and wakes the feeds, so that they send it at once;
+// the caller holds the lock.
+func (s *Source) nextVersionAndWake() {
 	s.nextVersion()
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// SetTargets publishes all targets that there are.
+// SetTargets publishes the complete list of targets.
 func (s *Source) SetTargets(targets []directory.Target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.bump()
-	there := make(map[string]bool, len(targets))
+	s.nextVersionAndWake()
+	present := make(map[string]bool, len(targets))
 	for _, t := range targets {
-		there[t.ID] = true
+		present[t.ID] = true
 		t.Seq = 0
 		if old, known := s.targets[t.ID]; !known || old.target != t {
 			s.targets[t.ID] = versionedTarget{t, s.version}
@@ -102,7 +107,7 @@
 		delete(s.gone, t.ID)
 	}
 	for id, t := range s.targets {
-		if !there[id] {
+		if !present[id] {
 			delete(s.targets, id)
 			delete(s.serviceTimes[t.target.Service], id)
 			s.gone[id] = s.version
@@ -110,29 +115,30 @@
 	}
 }
 
-// SetKnown says that the targets are all there are. Before, a follower would take those
-// that have been read so far for all, and the others for gone.
+// SetKnown records that all targets have been read from the store. Until then updates are
+// stale: a follower would take those read so far for the complete list, and the others for
+// gone.
 func (s *Source) SetKnown() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.known {
-		s.known = true
-		s.bump()
+	if !s.targetsComplete {
+		s.targetsComplete = true
+		s.nextVersionAndWake()
 	}
 }
 
-// SetConfig publishes the configuration that is in force, and its version.
+// SetConfig publishes the configuration in force and its version.
 func (s *Source) SetConfig(version uint64, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.bump()
-	s.config, s.configValue, s.configPacked, s.configChanged = version, value, false, s.version
+	s.nextVersionAndWake()
+	s.config, s.configValue, s.configCompressed, s.configChanged = version, value, false, s.version
 }
 
-// packedConfig is the configuration as a feed carries it; the lock is held.
-func (s *Source) packedConfig() []byte {
-	if !s.configPacked {
-		s.configValue, s.configPacked = deflate(s.configValue), true
+// compressedConfig returns the configuration as a feed carries it; the caller holds the lock.
+func (s *Source) compressedConfig() []byte {
+	if !s.configCompressed {
+		s.configValue, s.configCompressed = compressConfig(s.configValue), true
 	}
 	return s.configValue
 }
@@ -141,35 +147,35 @@
 func (s *Source) SetRouters(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.bump()
+	s.nextVersionAndWake()
 	s.routers = n
 }
 
-// SetServiceTimes publishes how fast some targets of a service are. It wakes nobody: the next beat
-// brings it soon enough.
+// SetServiceTimes publishes the service times of some targets of a service. It doesn't wake the
+// feeds: the next heartbeat carries them soon enough.
 func (s *Source) SetServiceTimes(p ServiceTimes) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.nextVersion()
-	of := s.serviceTimes[p.Service]
-	if of == nil {
-		of = map[string]versionedServiceTime{}
-		s.serviceTimes[p.Service] = of
+	byTarget := s.serviceTimes[p.Service]
+	if byTarget == nil {
+		byTarget = map[string]versionedServiceTime{}
+		s.serviceTimes[p.Service] = byTarget
 	}
-	for _, sample := range p.Targets {
-		of[sample.Target] = versionedServiceTime{sample, s.version}
+	for _, stats := range p.Targets {
+		byTarget[stats.Target] = versionedServiceTime{stats, s.version}
 	}
 }
 
-// SetLimits publishes which keys of a service are limited.
+// SetLimits publishes the limited keys of a service.
 func (s *Source) SetLimits(l Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.bump()
+	s.nextVersionAndWake()
 	s.limits[l.Service] = versionedLimits{l, s.version}
 }
 
-// SetTable publishes a division that the store has.
+// SetTable publishes a key table if it is newer than the last one published.
 func (s *Source) SetTable(t Table) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,18 +184,19 @@
 	if n := len(kept); n > 0 && !t.Newer(&kept[n-1].table) {
 		return
 	}
-	s.bump()
+	s.nextVersionAndWake()
 	if len(kept) == keptTables {
 		kept = append(kept[:0], kept[1:]...)
 	}
 	s.tables[name] = append(kept, versionedTable{t, s.version})
 }
 
-// keptTables is how many tables of a service are kept to make patches of: followers are
+// keptTables is how many tables of a service are kept as a base for patches: followers are
 // rarely more than a few changes behind.
 const keptTables = 8
 
-// tableSince returns what a follower at the version needs of a service's tables, or nil.
+// tableSince returns the patch or table that brings a follower at the version to the last of
+// a service's tables; nil if it has that.
 func tableSince(kept []versionedTable, version uint64) *feedpb.Table {
 	last := kept[len(kept)-1]
 	if last.version <= version {
@@ -203,26 +210,27 @@
 	return encodeTable(last.table)
 }
 
-// sentState is what a follower has been sent last.
+// sentState is what a follower has been sent so far.
 type sentState struct {
-	// all and tables are the versions up to which it knows everything, and the tables.
+	// all is the version up to which everything was sent, and tables the version up to which
+	// the tables were; a stale leader sends only these.
 	all, tables uint64
 }
 
-// frameSince returns what a follower doesn't know as it is sent, and what is closed at the
-// next change.
+// frameSince returns the frame with what a follower in the state has not been sent, and a
+// channel that is closed at the next change.
 //
-// It answers hundreds of followers that each change wakes at one moment: what they lack is
-// looked up among thousands of targets, encoded and deflated once for all that know the
-// same, not once for each.
-func (s *Source) frameSince(t sentState, unpacks, stale bool) (*frame, <-chan struct{}, error) {
+// Each change wakes hundreds of followers at the same moment. Followers in the same state
+// share a frame, so that the changes are looked up among thousands of targets, encoded and
+// compressed only once.
+func (s *Source) frameSince(state sentState, unpacks, stale bool) (*frame, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	key, now := frameKey{t, unpacks, stale || !s.known}, time.Now()
-	if f := s.frames[key]; f != nil && now.Sub(f.made) < frameLife {
+	key, now := frameKey{state, unpacks, stale || !s.targetsComplete}, time.Now()
+	if f := s.frames[key]; f != nil && now.Sub(f.encodedAt) < frameTTL {
 		return f, s.changed, nil
 	}
-	u, after := s.since(t, key.stale)
+	u, after := s.updateSince(state, key.stale)
 	f, err := newFrame(u, after, unpacks, now)
 	if err != nil {
 		return nil, nil, err
@@ -231,29 +239,31 @@
 	return f, s.changed, nil
 }
 
-// since returns what a follower doesn't know, and what it knows after it; the lock is held.
-// A stale source publishes tables alone: these are true by the leader's own writes.
-func (s *Source) since(t sentState, stale bool) (*feedpb.Update, sentState) {
+// updateSince returns the update for a follower in the state, and the follower's state after
+// it; the caller holds the lock. A stale leader sends only tables: it writes these itself, so
+// they are right without an answer from the store.
+func (s *Source) updateSince(state sentState, stale bool) (*feedpb.Update, sentState) {
 	u := &feedpb.Update{Stale: stale}
 	for _, kept := range s.tables {
-		if table := tableSince(kept, t.tables); table != nil {
+		if table := tableSince(kept, state.tables); table != nil {
 			u.Tables = append(u.Tables, table)
 		}
 	}
-	t.tables = s.version
+	state.tables = s.version
 	if !stale {
-		s.addTargets(u, t.all)
-		t.all = s.version
+		s.addChanges(u, state.all)
+		state.all = s.version
 	}
-	return u, t
+	return u, state
 }
 
-// addTargets adds the targets and the configuration after a version; the lock is held.
-func (s *Source) addTargets(u *feedpb.Update, version uint64) {
+// addChanges adds everything but the tables that has changed after the version; the caller
+// holds the lock.
+func (s *Source) addChanges(u *feedpb.Update, version uint64) {
 	now := time.Now()
 	u.Whole, u.Config, u.Routers = version == 0, s.config, uint32(s.routers)
 	if s.configChanged > version {
-		u.ConfigValue = s.packedConfig()
+		u.ConfigValue = s.compressedConfig()
 	}
 	for _, t := range s.targets {
 		if t.version > version {
@@ -270,15 +280,15 @@
 			u.Limits = append(u.Limits, encodeLimits(l.limits))
 		}
 	}
-	for service, of := range s.serviceTimes {
-		var news []dispatch.TargetStats
-		for _, p := range of {
-			if p.version > version {
-				news = append(news, p.sample)
+	for service, byTarget := range s.serviceTimes {
+		var changed []dispatch.TargetStats
+		for _, t := range byTarget {
+			if t.version > version {
+				changed = append(changed, t.stats)
 			}
 		}
-		if len(news) > 0 {
-			u.ServiceTimes = append(u.ServiceTimes, encodeServiceTimes(service, news))
+		if len(changed) > 0 {
+			u.ServiceTimes = append(u.ServiceTimes, encodeServiceTimes(service, changed))
 		}
 	}
 }
