--- a/core/dispatch/choose.go
+++ b/core/dispatch/choose.go
@@ -3,79 +3,82 @@
 import "time"
 
 const (
-	// candidates is how many targets of a large service are compared for one request,
-	// beside those of the own data centre: comparing all costs a router with hundreds of
-	// targets more than the better choice brings.
-	candidates = 8
-	// tieBreak spreads routers over targets that look alike, in parts of the cost.
+	// sampleSize is how many targets in this router's data centre, and how many in others, are
+	// compared for one request of a large service. With hundreds of targets, comparing all of
+	// them would cost the router more than the better choice saves.
+	sampleSize = 8
+	// tieBreak is the random part that is added to the cost, at most this share of it, so that
+	// routers spread over targets of about the same cost.
 	tieBreak = 0.2
-	// noRoomPenalty puts full targets behind all that have room.
+	// noRoomPenalty makes targets without room cost more than any target with room.
 	noRoomPenalty = 10 * time.Second
-	// crossingPerByte is the time that a byte to or from another data centre counts for in
-	// the choice of a target. With 12 us, answers of 5 kB stay unless 60 ms are to be gained:
-	// a quarter fewer bytes cross than with 2.5 us, and as many answers are in time.
-	crossingPerByte = 12 * time.Microsecond
-	// maxCrossing bounds that for long bodies, which would else stay where they are late.
-	maxCrossing = 150 * time.Millisecond
-	// newConnShare is what a new connection counts for, in service times. It costs a round
-	// trip and a part of a slot; and a router that stays with a few targets hears more often
-	// from each how busy it is. Beside no such part, half of a service time makes a third
-	// fewer connections, and answers that earned 0.906 of their worth earn 0.912 (mean of
-	// five mixed loads and four seeds). With a whole one, slow targets are kept at low load.
-	newConnShare = 0.5
+	// crossDCCostPerByte is the cost of a byte to or from another data centre, as a latency.
+	// With 12 us, a request with a 5 kB answer leaves the data centre only if that saves 60 ms.
+	// Compared with 2.5 us, a quarter fewer bytes cross, and as many answers are in time.
+	crossDCCostPerByte = 12 * time.Microsecond
+	// maxCrossDCCost bounds that cost: without it, requests with long bodies would stay in the
+	// data centre even if their answers are late there.
+	maxCrossDCCost = 150 * time.Millisecond
+	// newConnCost is the cost of a new connection, in service times. A connection costs a
+	// round trip and a part of a slot, and a router that uses only a few targets gets more
+	// frequent load reports from each. With half a service time a third fewer connections are
+	// opened than with zero, and answers earn 0.912 instead of 0.906 of their value. With a
+	// whole service time, routers keep using slow targets at low load.
+	newConnCost = 0.5
 )
 
-// best returns the target from which the answer is expected first, or nil.
+// best returns the target with the lowest cost, or nil if there is none.
 //
-// It answers load that many routers put on few slots: the least expected time prefers
-// fast targets in proportion, passes by those that fail or have just started, and leaves
-// the own data centre where the way costs less than the wait.
-func (s *Service) best(now time.Time, r *Request) *Load {
-	var best *Load
-	var least float64
-	for _, l := range s.sample() {
-		if l.Draining || l.away(now) || l.ID == r.Avoid && len(s.order) > 1 {
+// Many routers share few slots at each target. The expected latency prefers fast targets in
+// proportion to their speed, avoids those that fail or have just started, and chooses another data
+// centre if the longer network path costs less than the wait.
+func (s *Service) best(now time.Time, r *Request) *targetState {
+	var best *targetState
+	var lowest float64
+	for _, t := range s.sample() {
+		if t.Draining || t.inConnectBackoff(now) || t.ID == r.Avoid && len(s.targetList) > 1 {
 			continue
 		}
-		cost := s.cost(now, r, l)
-		if best == nil || cost < least {
-			best, least = l, cost
+		cost := s.cost(now, r, t)
+		if best == nil || cost < lowest {
+			best, lowest = t, cost
 		}
 	}
 	return best
 }
 
-// cost is the time in seconds after which the target's answer is expected, with what its
-// choice costs otherwise.
-func (s *Service) cost(now time.Time, r *Request, l *Load) float64 {
-	cost := l.expected(now, s.mean) * (1 + tieBreak*s.random.Float64())
-	if l.DataCentre != s.dataCentre {
-		cost += min(time.Duration(r.Bytes)*crossingPerByte, maxCrossing).Seconds()
+// cost returns the expected latency of the target's answer in seconds, plus the costs of crossing
+// data centres, of a new connection and of a target without room.
+func (s *Service) cost(now time.Time, r *Request, t *targetState) float64 {
+	cost := t.expectedLatency(now, s.meanServiceTime) * (1 + tieBreak*s.random.Float64())
+	if t.DataCentre != s.dataCentre {
+		cost += min(time.Duration(r.Bytes)*crossDCCostPerByte, maxCrossDCCost).Seconds()
 	}
-	if l.opens(now) {
-		cost += newConnShare * s.mean
+	if t.needsNewConn(now) {
+		cost += newConnCost * s.meanServiceTime
 	}
-	if !l.hasRoom(now) {
+	if !t.hasRoom(now) {
 		cost += noRoomPenalty.Seconds()
 	}
 	return cost
 }
 
-// sample returns the targets to compare.
-func (s *Service) sample() []*Load {
-	if len(s.order) <= 2*candidates {
-		return s.order
+// sample returns the targets to compare: all of a small service, and random ones of a large one.
+func (s *Service) sample() []*targetState {
+	if len(s.targetList) <= 2*sampleSize {
+		return s.targetList
 	}
-	chosen := make([]*Load, 0, 2*candidates)
-	chosen = s.draw(chosen, s.order[:s.near])
-	return s.draw(chosen, s.order[s.near:])
+	chosen := make([]*targetState, 0, 2*sampleSize)
+	chosen = s.appendSample(chosen, s.targetList[:s.localTargets])
+	return s.appendSample(chosen, s.targetList[s.localTargets:])
 }
 
-func (s *Service) draw(chosen, from []*Load) []*Load {
-	if len(from) <= candidates {
+// appendSample appends sampleSize random targets, with repetition, or all if there are not more.
+func (s *Service) appendSample(chosen, from []*targetState) []*targetState {
+	if len(from) <= sampleSize {
 		return append(chosen, from...)
 	}
-	for range candidates {
+	for range sampleSize {
 		chosen = append(chosen, from[s.random.IntN(len(from))])
 	}
 	return chosen
--- a/core/dispatch/dispatch_test.go
+++ b/core/dispatch/dispatch_test.go
@@ -26,8 +26,8 @@
 	return s
 }
 
-// keyed is a service whose keys one target holds.
-func keyed(holder string, targets ...directory.Target) (*Service, *keyspace.Key) {
+// newKeyedService returns a service whose keys are all held by one target, and a key.
+func newKeyedService(holder string, targets ...directory.Target) (*Service, *keyspace.Key) {
 	s := New("here", true, rand.New(rand.NewPCG(1, 2)))
 	s.SetTargets(targets)
 	table := keyspace.New("s")
@@ -36,12 +36,12 @@
 	return s, new(keyspace.Key)
 }
 
-func request(id uint64) Request {
+func newRequest(id uint64) Request {
 	return Request{ID: id, Due: at(400), Deadline: at(1200)}
 }
 
-// spread offers n requests and counts where they are sent.
-func spread(s *Service, n int) map[string]int {
+// countSends offers n requests and returns how many are sent to each target.
+func countSends(s *Service, n int) map[string]int {
 	sent := map[string]int{}
 	for i := range n {
 		d := s.Offer(start, Request{ID: uint64(i), Deadline: at(10_000)})
@@ -52,46 +52,45 @@
 	return sent
 }
 
-// learn has a target answer some requests in the time.
-func learn(s *Service, id string, took time.Duration) {
+// recordManyAnswers records enough answers of a target to determine its mean service time.
+func recordManyAnswers(s *Service, id string, took time.Duration) {
 	for range 30 {
-		s.loads[id].inFlight++
+		s.targets[id].inFlight++
 		s.Done(start, id, Answered, took, 1)
 	}
 }
 
 func TestFastTargetsGetMore(t *testing.T) {
 	s := newService(target("fast", "here"), target("slow", "here"))
-	learn(s, "fast", 50*time.Millisecond)
-	learn(s, "slow", 200*time.Millisecond)
-	sent := spread(s, 5)
+	recordManyAnswers(s, "fast", 50*time.Millisecond)
+	recordManyAnswers(s, "slow", 200*time.Millisecond)
+	sent := countSends(s, 5)
 	assert.Assert(t, sent["fast"] > sent["slow"], "%v", sent)
 }
 
-// A body of 60 kB stays in its data centre while there is room; a short one goes where the
-// answer comes first.
+// A request with a body of 60 kB stays in its data centre while there is room; one with a short
+// body is sent to the target whose answer is expected first.
 func TestLongBodiesStayInTheirDataCentre(t *testing.T) {
 	s := newService(target("near", "here"), target("far", "there"))
-	learn(s, "near", 150*time.Millisecond)
-	learn(s, "far", 100*time.Millisecond)
+	recordManyAnswers(s, "near", 150*time.Millisecond)
+	recordManyAnswers(s, "far", 100*time.Millisecond)
 	assert.Equal(t, s.Offer(start, Request{ID: 1, Bytes: 60_000}).Target.ID, "near")
 	assert.Equal(t, s.Offer(start, Request{ID: 2, Bytes: 600}).Target.ID, "far")
 }
 
-// However long a body is, it doesn't stay where its answer comes much later.
-func TestLongBodiesLeaveAFullDataCentre(t *testing.T) {
+// Even a request with a very long body leaves its data centre if its answer would come much later
+// there.
+func TestLongBodiesLeaveASlowDataCentre(t *testing.T) {
 	s := newService(target("near", "here"), target("far", "there"))
-	learn(s, "near", 400*time.Millisecond)
-	learn(s, "far", 100*time.Millisecond)
+	recordManyAnswers(s, "near", 400*time.Millisecond)
+	recordManyAnswers(s, "far", 100*time.Millisecond)
 	assert.Equal(t, s.Offer(start, Request{ID: 1, Bytes: 500_000}).Target.ID, "far")
 }
 
-// Symptom: half as many connections to targets are opened as requests sent, and what a
-// router knows of a target's work is seconds old.
-// Sequence: nine routers share a load of 60 requests a second to eight targets that look
-// alike; each sends to all of them in turn, one request to each in a second.
-// Cause: a target with a resting connection is worth no more than one without.
-func TestRouterStaysWithFewTargetsAtLowLoad(t *testing.T) {
+// Guards against a choice of targets without regard to idle connections: nine routers that sent
+// 60 requests a second to eight equal targets used all of them in turn, opened a connection for
+// every second request, and had load reports that were seconds old.
+func TestRouterUsesFewTargetsAtLowLoad(t *testing.T) {
 	var targets []directory.Target
 	for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
 		targets = append(targets, target(id, "here"))
@@ -106,43 +105,42 @@
 		s.Done(now.Add(100*time.Millisecond), d.Target.ID, Answered, 100*time.Millisecond, d.Turns)
 	}
 	assert.Assert(t, len(used) <= 2, "%v", used)
-	// More at once than its slots goes on to others.
-	assert.Assert(t, len(spread(s, 8)) >= 4)
+	// More simultaneous requests than these targets have slots are spread over others.
+	assert.Assert(t, len(countSends(s, 8)) >= 4)
 }
 
-// Symptom: some targets of a service break connections off while others have room.
-// Sequence: many routers send to the one that was idle when they last heard of it.
-// Cause: the others' work is not reckoned with.
-func TestReportsOfOthersWorkCount(t *testing.T) {
+// Guards against routers that ignore each other's work: they all send to the target that was idle
+// at its last report, and it closes connections while other targets have room.
+func TestWorkOfOtherRoutersCounts(t *testing.T) {
 	s := newService(target("a", "here"), target("b", "here"))
 	s.Report(start, "a", Report{Running: 2, Waiting: 4, Slots: 2})
-	assert.Equal(t, spread(s, 2)["b"], 2)
-	assert.Assert(t, s.loads["a"].othersNow(at(0)) > s.loads["a"].othersNow(at(5000))-1e-9)
+	assert.Equal(t, countSends(s, 2)["b"], 2)
+	assert.Assert(t, s.targets["a"].othersWork(at(0)) > s.targets["a"].othersWork(at(5000))-1e-9)
 }
 
-// A target that breaks off when it is full gets less at a time, and more again later.
-func TestDepthFollowsRefusals(t *testing.T) {
+// A target that refuses requests gets fewer at a time, and more again when it has answered some.
+func TestQueueLimitFollowsRefusalsAndAnswers(t *testing.T) {
 	s := newService(target("a", "here"))
-	l := s.loads["a"]
-	before := l.depth
+	l := s.targets["a"]
+	before := l.queueLimit
 	l.inFlight = 2
 	s.Done(start, "a", Shed, 0, 1)
 	s.Done(start, "a", Shed, 0, 1)
-	assert.Assert(t, l.depth < before/2+minDepth)
-	learn(s, "a", 100*time.Millisecond)
-	assert.Assert(t, l.depth > before/2)
+	assert.Assert(t, l.queueLimit < before/2+minQueueLimit)
+	recordManyAnswers(s, "a", 100*time.Millisecond)
+	assert.Assert(t, l.queueLimit > before/2)
 }
 
-// Symptom: requests are kept for seconds and refused in the end.
-// Sequence: one key's holder is asked for more than it can do, through many routers.
-// Cause: the wait is reckoned from the target's queue alone, not from the router's own.
-func TestWhatCanNotBeInTimeIsRefusedAtOnce(t *testing.T) {
-	s, key := keyed("a", target("a", "here"))
-	learn(s, "a", 200*time.Millisecond)
+// Guards against requests that are queued for seconds and then refused: many routers have more
+// requests for a key than its holder can serve, and the expected wait is computed from the
+// target's queue alone, without the router's own.
+func TestRequestsThatCannotBeInTimeAreRefusedAtOnce(t *testing.T) {
+	s, key := newKeyedService("a", target("a", "here"))
+	recordManyAnswers(s, "a", 200*time.Millisecond)
 	s.Report(start, "a", Report{Running: 2, Waiting: 4, Slots: 2})
 	var sent, waiting, refused int
 	for i := range 40 {
-		r := request(uint64(i))
+		r := newRequest(uint64(i))
 		r.Key = key
 		switch d := s.Offer(start, r); d.Verdict {
 		case Send:
@@ -156,15 +154,15 @@
 		}
 	}
 	assert.Assert(t, sent >= 1 && waiting >= 1, "%d sent, %d wait", sent, waiting)
-	assert.Assert(t, waiting <= 4, "%d wait for a target that takes a second for each", waiting)
+	assert.Assert(t, waiting <= 4, "%d wait for a target at which each takes a second", waiting)
 	assert.Equal(t, sent+waiting+refused, 40)
 }
 
-// Urgent requests go first, then those that can still be in time, then the oldest.
-func TestOrderOfThoseThatWait(t *testing.T) {
+// Urgent requests go first, then those that are not late, then the oldest.
+func TestQueueOrder(t *testing.T) {
 	q := queue{}
-	add := func(id uint64, rank, since, due int) {
-		q.add(&Request{ID: id, Rank: rank, since: at(since), Due: at(due)})
+	add := func(id uint64, rank, arrivedAt, due int) {
+		q.add(&Request{ID: id, Rank: rank, arrivedAt: at(arrivedAt), Due: at(due)})
 	}
 	add(1, 1, 0, 50)
 	add(2, 1, 20, 500)
@@ -177,13 +175,13 @@
 	assert.DeepEqual(t, order, []uint64{4, 3, 2, 1})
 }
 
-// Requests that wait get their place when work ends.
-func TestPlacesThatComeFreeAreGivenOut(t *testing.T) {
-	s, key := keyed("a", target("a", "here"))
-	learn(s, "a", 50*time.Millisecond)
+// A queued request is sent when another one ends.
+func TestFreePlacesGoToQueuedRequests(t *testing.T) {
+	s, key := newKeyedService("a", target("a", "here"))
+	recordManyAnswers(s, "a", 50*time.Millisecond)
 	var waiting []uint64
 	for i := uint64(1); len(waiting) < 2; i++ {
-		r := request(i)
+		r := newRequest(i)
 		r.Key = key
 		if s.Offer(start, r).Verdict == Wait {
 			waiting = append(waiting, i)
@@ -197,81 +195,81 @@
 	assert.Assert(t, !s.Cancel(waiting[0]))
 }
 
-// Keys that are being handed over are waited for, those of a lost holder are not.
-func TestMovingAndLostKeys(t *testing.T) {
-	s, key := keyed("a", target("a", "here"))
+// A request for a key that is moving is queued; one for a key of a lost holder is refused.
+func TestRequestsForMovingKeysWaitAndForLostOnesDoNot(t *testing.T) {
+	s, key := newKeyedService("a", target("a", "here"))
 	s.table.Segments[0].Moving = true
-	r := request(1)
+	r := newRequest(1)
 	r.Key = key
 	assert.Equal(t, s.Offer(start, r).Verdict, Wait)
-	decided := s.Poll(start.Add(movePatience + time.Millisecond))
+	decided := s.Poll(start.Add(maxHandoverWait + time.Millisecond))
 	assert.Equal(t, decided[1].Fault, fault.Moving)
 	s.table.Segments[0].Lost = true
 	r.ID = 2
 	d := s.Offer(start, r)
 	assert.Equal(t, d.Verdict, Refuse)
-	assert.Equal(t, d.RetryAfter, lapseRetryAfter)
+	assert.Equal(t, d.RetryAfter, grantExpiryRetryAfter)
 }
 
-// A target that can't be reached is left alone, a little longer each time, until it answers.
-func TestUnreachableTargetIsLeftAlone(t *testing.T) {
-	s, key := keyed("a", target("a", "here"))
-	r := request(1)
+// A target to which no connection can be opened gets no requests for a while, longer each time,
+// until it answers.
+func TestUnreachableTargetIsTriedWithBackoff(t *testing.T) {
+	s, key := newKeyedService("a", target("a", "here"))
+	r := newRequest(1)
 	r.Key = key
 	assert.Equal(t, s.Offer(start, r).Verdict, Send)
 	s.Done(start, "a", Unreached, 0, 1)
 	r.ID = 2
 	assert.Equal(t, s.Offer(start, r).Verdict, Refuse)
-	assert.Equal(t, s.Offer(start.Add(minUnreached), r).Verdict, Send)
-	s.Done(start.Add(minUnreached), "a", Unreached, 0, 1)
-	assert.Equal(t, s.Offer(start.Add(2*minUnreached), r).Verdict, Refuse)
-	s.Done(start.Add(3*minUnreached), "a", Answered, time.Millisecond, 1)
-	assert.Equal(t, s.Offer(start.Add(3*minUnreached), r).Verdict, Send)
+	assert.Equal(t, s.Offer(start.Add(minConnectBackoff), r).Verdict, Send)
+	s.Done(start.Add(minConnectBackoff), "a", Unreached, 0, 1)
+	assert.Equal(t, s.Offer(start.Add(2*minConnectBackoff), r).Verdict, Refuse)
+	s.Done(start.Add(3*minConnectBackoff), "a", Answered, time.Millisecond, 1)
+	assert.Equal(t, s.Offer(start.Add(3*minConnectBackoff), r).Verdict, Send)
 }
 
-// Targets that fail are passed by, and tried again once that is some seconds ago.
-func TestFailingTargetsArePassedByForAWhile(t *testing.T) {
+// Targets that fail are avoided, and tried again after some seconds.
+func TestFailingTargetsAreAvoidedForAWhile(t *testing.T) {
 	s := newService(target("good", "here"), target("bad", "here"))
-	learn(s, "good", 100*time.Millisecond)
-	learn(s, "bad", 100*time.Millisecond)
+	recordManyAnswers(s, "good", 100*time.Millisecond)
+	recordManyAnswers(s, "bad", 100*time.Millisecond)
 	for range 10 {
-		s.loads["bad"].inFlight++
+		s.targets["bad"].inFlight++
 		s.Done(start, "bad", Failed, time.Millisecond, 1)
 	}
-	assert.Equal(t, spread(s, 2)["good"], 2)
-	assert.Assert(t, s.loads["bad"].failingNow(at(10_000)) < 0.05)
+	assert.Equal(t, countSends(s, 2)["good"], 2)
+	assert.Assert(t, s.targets["bad"].currentFailureRate(at(10_000)) < 0.05)
 }
 
-// A new life of a target is not judged by the one before.
-func TestNewLifeBeginsAnew(t *testing.T) {
+// A target that has restarted is not judged by its previous instance.
+func TestNewInstanceStartsWithNewState(t *testing.T) {
 	s := newService(target("a", "here"))
-	s.loads["a"].inFlight = 2
-	again := target("a", "here")
-	again.Born = 7
-	s.SetTargets([]directory.Target{again})
-	assert.Equal(t, s.loads["a"].inFlight, 0)
+	s.targets["a"].inFlight = 2
+	restarted := target("a", "here")
+	restarted.Born = 7
+	s.SetTargets([]directory.Target{restarted})
+	assert.Equal(t, s.targets["a"].inFlight, 0)
 }
 
-// Symptom: one key is hot, and all of its answers are late although its holder is never idle.
-// Sequence: the holder's queue is kept full, so that each request waits longer than its
-// objective.
-// Cause: places in the queue are given to requests that will be late.
-func TestHotKeyIsAnsweredInTimeNotInFull(t *testing.T) {
+// Guards against a hot key of which all answers are late although its holder is never idle: if
+// requests that will be late get places in the holder's queue, the queue stays full, and each
+// request waits longer than its objective.
+func TestHotKeyGetsFewerAnswersButInTime(t *testing.T) {
 	const service, perSecond = 100 * time.Millisecond, 60
-	s, key := keyed("a", target("a", "here"))
-	learn(s, "a", service)
-	type work struct {
-		sent, ends time.Time
-		turns      float64
+	s, key := newKeyedService("a", target("a", "here"))
+	recordManyAnswers(s, "a", service)
+	type sentRequest struct {
+		sentAt, endsAt time.Time
+		turns          float64
 	}
-	var running []work
+	var sent []sentRequest
 	inTime, late := 0, 0
 	for i := range 5 * perSecond {
 		now := start.Add(time.Duration(i) * time.Second / perSecond)
-		for len(running) > 0 && !running[0].ends.After(now) {
-			done := running[0]
-			running = running[1:]
-			s.Done(now, "a", Answered, done.ends.Sub(done.sent), done.turns)
+		for len(sent) > 0 && !sent[0].endsAt.After(now) {
+			done := sent[0]
+			sent = sent[1:]
+			s.Done(now, "a", Answered, done.endsAt.Sub(done.sentAt), done.turns)
 		}
 		r := Request{ID: uint64(i), Key: key, Due: now.Add(220 * time.Millisecond), Deadline: now.Add(1200 * time.Millisecond)}
 		d := s.Offer(now, r)
@@ -279,32 +277,32 @@
 			s.Cancel(r.ID)
 			continue
 		}
-		begins := now
-		if n := len(running); n >= 2 && running[n-2].ends.After(now) {
-			begins = running[n-2].ends
+		startsAt := now
+		if n := len(sent); n >= 2 && sent[n-2].endsAt.After(now) {
+			startsAt = sent[n-2].endsAt
 		}
-		ends := begins.Add(service)
-		running = append(running, work{now, ends, d.Turns})
-		if ends.After(r.Due) {
+		endsAt := startsAt.Add(service)
+		sent = append(sent, sentRequest{now, endsAt, d.Turns})
+		if endsAt.After(r.Due) {
 			late++
 		} else {
 			inTime++
 		}
 	}
 	assert.Assert(t, late <= inTime/20, "%d in time, %d late", inTime, late)
-	assert.Assert(t, inTime >= 5*20*9/10, "%d in time; the target can do 100", inTime)
+	assert.Assert(t, inTime >= 5*20*9/10, "%d in time; the target can answer 100", inTime)
 }
 
-// Symptom: a target gets two fifths of a service's keys for ten seconds and refuses most.
-// Sequence: its first answer is a short one; from then on it is always full.
-// Cause: its speed is known by the answers that did not wait alone.
-func TestSpeedOfAFullTargetIsLearnt(t *testing.T) {
+// Guards against a service time that rests only on answers that did not wait for a slot: a target
+// whose first request was short and that was full from then on got two fifths of the service's
+// keys for ten seconds and refused most requests.
+func TestServiceTimeOfAFullTargetIsMeasured(t *testing.T) {
 	s := newService(target("a", "here"))
-	s.loads["a"].inFlight = 1
+	s.targets["a"].inFlight = 1
 	s.Done(start, "a", Answered, 10*time.Millisecond, 1)
-	assert.Assert(t, s.ServiceTime("a") > 0.1, "one answer says little")
+	assert.Assert(t, s.ServiceTime("a") > 0.1, "one short answer changed the mean too much")
 	for range 50 {
-		s.loads["a"].inFlight = 1
+		s.targets["a"].inFlight = 1
 		s.Done(start, "a", Answered, 600*time.Millisecond, 3)
 	}
 	assert.Assert(t, s.ServiceTime("a") > 0.19 && s.ServiceTime("a") < 0.21, "%v", s.ServiceTime("a"))
--- a/core/dispatch/limits_test.go
+++ b/core/dispatch/limits_test.go
@@ -16,35 +16,37 @@
 
 const (
 	hotKey = keyspace.Key(30000)
-	// A holder of holderSlots takes holderQueue requests more, each of workTime.
+	// The holder runs holderSlots requests, each for serviceTime, and queues holderQueue more.
 	holderSlots = 6
 	holderQueue = 24
-	workTime    = 480 * time.Millisecond
-	// hotRate is the requests a second for the hot key, through all routers.
+	serviceTime = 480 * time.Millisecond
+	// hotRate is the number of requests a second for the hot key, through all routers together.
 	hotRate = 480
-	// reportDelay is how long after a request the leader knows of it.
+	// reportDelay is the time from a request until the leader knows of it, and limitsEvery the time
+	// between two calculations of the limits.
 	reportDelay = 200 * time.Millisecond
-	lookEvery   = 250 * time.Millisecond
+	limitsEvery = 250 * time.Millisecond
 )
 
 var hotStart = time.Unix(7000, 0)
 
-// hotFleet is routers that send requests for one key to its holder.
+// hotFleet simulates routers that send requests for one key to its holder.
 type hotFleet struct {
 	routers []*dispatch.Service
 	leader  *assign.Assigner
 	random  *rand.Rand
 	now     time.Time
-	// ends are when the requests end that the holder has, and where they came from.
-	ends []hotWork
+	// atHolder are the requests that run or wait at the holder, in the order in which they end.
+	atHolder []heldRequest
 	// offered, served and shed count requests.
 	offered, served, shed int
-	// pressedAt is when the holder last turned a request away or had slots' worth waiting.
-	pressedAt time.Time
+	// overloadedAt is when the holder last refused a request or had at least as many waiting
+	// requests as slots.
+	overloadedAt time.Time
 }
 
-type hotWork struct {
-	at     time.Time
+type heldRequest struct {
+	endsAt time.Time
 	router int
 }
 
@@ -67,66 +69,66 @@
 	return f
 }
 
-// arrive has the holder take a request, or turn it away.
+// arrive simulates the arrival of a request at the holder, which accepts or refuses it.
 func (f *hotFleet) arrive(router int) {
-	if len(f.ends) >= 2*holderSlots {
-		f.pressedAt = f.now
+	if len(f.atHolder) >= 2*holderSlots {
+		f.overloadedAt = f.now
 	}
-	if len(f.ends) >= holderSlots+holderQueue {
+	if len(f.atHolder) >= holderSlots+holderQueue {
 		f.shed++
 		f.routers[router].Done(f.now, "0", dispatch.Shed, time.Millisecond, 1)
 		return
 	}
-	begins := f.now
-	if n := len(f.ends); n >= holderSlots {
-		begins = f.ends[n-holderSlots].at
+	startsAt := f.now
+	if n := len(f.atHolder); n >= holderSlots {
+		startsAt = f.atHolder[n-holderSlots].endsAt
 	}
-	f.ends = append(f.ends, hotWork{begins.Add(workTime), router})
+	f.atHolder = append(f.atHolder, heldRequest{startsAt.Add(serviceTime), router})
 }
 
-// end has the holder answer what has ended.
-func (f *hotFleet) end() {
-	for len(f.ends) > 0 && !f.ends[0].at.After(f.now) {
+// answerEnded simulates the answers of the requests that have ended.
+func (f *hotFleet) answerEnded() {
+	for len(f.atHolder) > 0 && !f.atHolder[0].endsAt.After(f.now) {
 		f.served++
-		f.routers[f.ends[0].router].Done(f.now, "0", dispatch.Answered, workTime, 1)
-		f.ends = f.ends[1:]
+		f.routers[f.atHolder[0].router].Done(f.now, "0", dispatch.Answered, serviceTime, 1)
+		f.atHolder = f.atHolder[1:]
 	}
 }
 
-// run plays the load for a time; limited says that the leader limits the key.
+// run simulates the load for a time; limited says whether the leader limits the key.
 func (f *hotFleet) run(length time.Duration, limited bool) {
 	const step = time.Millisecond
-	var seen []time.Time
-	look := f.now
+	var unreported []time.Time
+	lastLimits := f.now
 	for end := f.now.Add(length); f.now.Before(end); f.now = f.now.Add(step) {
-		f.end()
+		f.answerEnded()
 		if f.random.Float64() < hotRate*step.Seconds() {
 			f.offered++
-			seen = append(seen, f.now)
+			unreported = append(unreported, f.now)
 			router, key := f.random.IntN(len(f.routers)), hotKey
 			r := dispatch.Request{ID: uint64(f.offered), Key: &key, Deadline: f.now.Add(12 * time.Second)}
 			if f.routers[router].Offer(f.now, r).Verdict == dispatch.Send {
 				f.arrive(router)
 			}
 		}
-		if !limited || f.now.Sub(look) < lookEvery {
+		if !limited || f.now.Sub(lastLimits) < limitsEvery {
 			continue
 		}
-		look = f.now
-		for len(seen) > 0 && f.now.Sub(seen[0]) >= reportDelay {
-			f.leader.Load().Add(seen[0], hotKey, 1)
-			seen = seen[1:]
+		lastLimits = f.now
+		for len(unreported) > 0 && f.now.Sub(unreported[0]) >= reportDelay {
+			f.leader.Load().Add(unreported[0], hotKey, 1)
+			unreported = unreported[1:]
 		}
-		pressed := func(string) bool { return f.now.Sub(f.pressedAt) < reportDelay+lookEvery }
-		limits := f.leader.Limits(f.now, func(string) float64 { return workTime.Seconds() }, pressed, 1)
+		overloaded := func(string) bool { return f.now.Sub(f.overloadedAt) < reportDelay+limitsEvery }
+		limits := f.leader.Limits(f.now, func(string) float64 { return serviceTime.Seconds() }, overloaded, 1)
 		for _, s := range f.routers {
 			s.SetLimits(f.now, limits)
 		}
 	}
 }
 
-// Guards against hundreds of routers that together overrun the holder of one popular key,
-// while each of them has hardly a request there.
+// Guards against hundreds of routers that together overload the holder of one popular key, while
+// each of them has hardly a request there.
 func TestHotKeyDoesNotOverrunItsHolderWhateverTheNumberOfRouters(t *testing.T) {
 	for _, routers := range []int{10, 100, 300} {
 		without, with := newHotFleet(routers), newHotFleet(routers)
@@ -134,16 +136,17 @@
 		with.run(5*time.Second, true)
 		t.Logf("%d routers: of %d requests %d served and %d shed without limits, %d and %d with",
 			routers, with.offered, without.served, without.shed, with.served, with.shed)
-		// Until the first limit has come, all that come are sent on.
-		const first = (reportDelay + 2*lookEvery) * hotRate / time.Second
-		assert.Assert(t, with.shed < int(first), "%d routers: %d shed", routers, with.shed)
+		// All requests are sent until the first limit arrives.
+		const beforeFirstLimit = (reportDelay + 2*limitsEvery) * hotRate / time.Second
+		assert.Assert(t, with.shed < int(beforeFirstLimit), "%d routers: %d shed", routers, with.shed)
 		assert.Assert(t, float64(with.served) > 0.7*float64(without.served), "%d routers: %d of %d served", routers, with.served, without.served)
 	}
 }
 
-// Guards against callers of a limited key who all come back at one moment, who are kept
-// waiting, or of whom none is served; and against limits that outlive their leader.
-func TestLimitedKeyIsRefusedAtOnceButForItsPart(t *testing.T) {
+// Guards against requests for a limited key that are all advised to retry at the same moment, that
+// have to wait, or of which none is served; and against limits that don't expire when their
+// leader is lost.
+func TestRequestsOverTheLimitOfAKeyAreRefusedAtOnce(t *testing.T) {
 	s := newHotFleet(1).routers[0]
 	s.SetLimits(hotStart, []keyspace.Limit{{Key: hotKey, Admit: 0.1}})
 	other, key := hotKey+1, hotKey
--- a/core/dispatch/queue.go
+++ b/core/dispatch/queue.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// queue holds the requests that wait for a place at any target.
+// queue holds the requests that wait for a place at a target.
 type queue struct {
 	all []*Request
 }
@@ -24,24 +24,23 @@
 	return false
 }
 
-// waitingFor is the number of requests that wait for the target and go before one that
-// comes now; those that are late already don't.
-func (q *queue) waitingFor(target *Load, now time.Time) int {
+// waitingFor returns the number of requests that wait for the target, or for any if it is nil, and
+// go before a new one. Requests that are already late go after it and don't count.
+func (q *queue) waitingFor(target *targetState, now time.Time) int {
 	n := 0
 	for _, r := range q.all {
-		if r.target == target && !r.late(now) {
+		if r.waitsFor == target && !r.late(now) {
 			n++
 		}
 	}
 	return n
 }
 
-// ordered returns the requests in the order in which they are to be placed: urgent ones
-// first, among equals those whose answer can still be in time before those for which it
-// is late already, then the oldest.
+// ordered returns the requests in the order in which they get places: by rank, then those that
+// are not late before those that are, then by age.
 //
-// It answers a burst: in order of arrival alone, a queue that has grown beyond the time
-// in which answers have their worth makes every later answer late as well.
+// In order of arrival alone, after a burst that makes the wait longer than the objective, every
+// later answer would be late as well.
 func (q *queue) ordered(now time.Time) []*Request {
 	sorted := append([]*Request(nil), q.all...)
 	sort.SliceStable(sorted, func(i, j int) bool {
@@ -52,9 +51,10 @@
 		if late := a.late(now); late != b.late(now) {
 			return !late
 		}
-		return a.since.Before(b.since)
+		return a.arrivedAt.Before(b.arrivedAt)
 	})
 	return sorted
 }
 
+// late reports whether the request has missed its objective.
 func (r *Request) late(now time.Time) bool { return !r.Due.IsZero() && now.After(r.Due) }
--- a/core/dispatch/service.go
+++ b/core/dispatch/service.go
@@ -10,45 +10,47 @@
 )
 
 const (
-	// initialService is the service time assumed before any answer came.
+	// initialService is the service time in seconds that is assumed before the first answer.
 	initialService = 0.15
-	// meanGain is the weight of a new answer in the service's mean.
+	// meanGain is the weight of a new answer in the mean service time of the whole service.
 	meanGain = 0.02
-	// movePatience is how long a request waits for a key that is being handed over; the
-	// work that runs on it has to end first.
-	movePatience = 800 * time.Millisecond
-	// lapseRetryAfter is the advice where a key's holder is lost and its grant has to lapse.
-	lapseRetryAfter = 700 * time.Millisecond
-	// emptyRetryAfter is the advice where no target is there at all.
-	emptyRetryAfter = 500 * time.Millisecond
-	// minRetryAfter is the least advice where all targets are full.
+	// maxHandoverWait is how long a request waits for a key that is moving to another holder;
+	// requests for the key that are still running have to end first.
+	maxHandoverWait = 800 * time.Millisecond
+	// grantExpiryRetryAfter is the advised wait if a key's holder is lost and its grant has to
+	// expire before the key gets another one.
+	grantExpiryRetryAfter = 700 * time.Millisecond
+	// noTargetRetryAfter is the advised wait if there is no target that could take the request.
+	noTargetRetryAfter = 500 * time.Millisecond
+	// minRetryAfter is the shortest advised wait if targets have no room.
 	minRetryAfter = 100 * time.Millisecond
 )
 
-// Request asks for a place.
+// Request is a request to be sent to a target.
 type Request struct {
-	// ID names the request among all that the Service holds.
+	// ID identifies the request among all that the Service has queued.
 	ID uint64
-	// Key is set for services that are divided by key.
+	// Key is set if the service divides its work by key.
 	Key *keyspace.Key
-	// Rank is the urgency, zero the highest.
+	// Rank is the priority; zero is the most urgent.
 	Rank int
-	// Due is when the answer loses most of its worth, and Deadline when it must have
-	// begun; zero means never.
+	// Due is the time of the objective, after which the answer loses most of its value, and
+	// Deadline is when the answer must have begun; the zero time means none.
 	Due, Deadline time.Time
-	// Bytes is the expected size of request and answer.
+	// Bytes is the expected size of the request and its answer.
 	Bytes int64
-	// Avoid names the target of the attempt before, which is taken only where no other is.
+	// Avoid is the target of the previous attempt, which is chosen only if there is no other.
 	Avoid string
-	// Admitted says that the request was sent before, so that no limit applies to it.
+	// Admitted says that the request was sent before, so that the limit of its key does not
+	// apply again.
 	Admitted bool
-	// since is when the request came.
-	since time.Time
-	// target is the one that it waits for; nil where any will do.
-	target *Load
+	// arrivedAt is when the request was offered.
+	arrivedAt time.Time
+	// waitsFor is the target for which the request is queued; nil means any.
+	waitsFor *targetState
 }
 
-// Verdict is what becomes of a request.
+// Verdict is the decision on a request: to send, queue or refuse it.
 type Verdict uint8
 
 // The verdicts.
@@ -58,129 +60,140 @@
 	Refuse
 )
 
-// Decision answers a request.
+// Decision is the answer to an offered request.
 type Decision struct {
 	Verdict Verdict
-	// Target is where to send; its work counts from now on until Done.
+	// Target is where to send the request, which counts as in flight there until Done.
 	Target directory.Target
-	// Work is what was expected at the target, and ReportAge how old the last report of
-	// it was; negative where there was none.
+	// Work is the expected number of requests at the target before this one, and ReportAge
+	// the age of its last load report; negative means that there was none.
 	Work      float64
 	ReportAge time.Duration
-	// Turns is how many service times the request is expected to stay there.
+	// Turns is how many service times the request is expected to stay at the target.
 	Turns float64
-	// Fault and RetryAfter say why and for how long a request is refused.
+	// Fault is the kind of error of a refused request, RetryAfter the advised wait, and Detail
+	// the text for the caller.
 	Fault      fault.Kind
 	RetryAfter time.Duration
 	Detail     string
 }
 
-// Result is how work at a target ended.
+// Result is how a request that was sent to a target ended.
 type Result uint8
 
 // The results.
 const (
-	// Answered work has its answer, whatever its status.
+	// Answered requests have an answer, whatever its status.
 	Answered Result = iota
-	// Failed work has none that holds.
+	// Failed requests have no valid answer.
 	Failed
-	// Shed work was not run for want of room.
+	// Shed requests were refused by the target because it had no room.
 	Shed
-	// Misplaced work was not run because the target doesn't hold the key.
+	// Misplaced requests were refused by the target because it doesn't hold the key.
 	Misplaced
-	// TimedOut work was sent and had no answer when its time was over.
+	// TimedOut requests were sent and had no answer by their deadline.
 	TimedOut
-	// Unreached work was not sent, because no connection could be opened.
+	// Unreached requests were not sent, because no connection could be opened.
 	Unreached
-	// Left work ended because the caller did or its time was over.
+	// Left requests ended without an answer because the caller closed the connection or the
+	// deadline passed before they were sent; they say nothing about the target.
 	Left
 )
 
-// Service decides for all requests of one service. It is not safe for concurrent use.
+// Service makes the decisions of one router for all requests of one service. It is not safe for
+// concurrent use.
 type Service struct {
 	dataCentre string
 	byKey      bool
-	table      *keyspace.Table
-	loads      map[string]*Load
-	order      []*Load
-	near       int
-	mean       float64
-	random     *rand.Rand
-	queue      queue
-	// serviceTimes are what answers showed since DrainServiceTimes.
-	serviceTimes map[string]*TargetStats
+	// table is the key table; nil until it is known.
+	table *keyspace.Table
+	// targets are all targets by ID, and targetList the same with those of this router's data
+	// centre first; localTargets is the number of these.
+	targets      map[string]*targetState
+	targetList   []*targetState
+	localTargets int
+	// meanServiceTime is the mean over all targets, in seconds.
+	meanServiceTime float64
+	random          *rand.Rand
+	// queue holds the requests with the verdict Wait.
+	queue queue
+	// pendingStats are the statistics of targets since the last DrainServiceTimes.
+	pendingStats map[string]*TargetStats
 	limits       limits
 }
 
-// New returns the decisions of a router in the data centre.
+// New returns a Service for a router in the data centre; byKey says that the keys are divided
+// among its targets.
 func New(dataCentre string, byKey bool, random *rand.Rand) *Service {
 	return &Service{
-		dataCentre: dataCentre, byKey: byKey, loads: map[string]*Load{}, mean: initialService, random: random,
-		serviceTimes: map[string]*TargetStats{},
+		dataCentre: dataCentre, byKey: byKey, targets: map[string]*targetState{}, meanServiceTime: initialService, random: random,
+		pendingStats: map[string]*TargetStats{},
 	}
 }
 
-// SetTargets puts the targets that there are in force; what is known of those that stay is kept.
+// SetTargets sets the complete list of targets. The state of known ones is kept, unless they have
+// restarted: a new instance starts with a new state.
 func (s *Service) SetTargets(targets []directory.Target) {
-	loads := make(map[string]*Load, len(targets))
-	s.order, s.near = s.order[:0], 0
+	byID := make(map[string]*targetState, len(targets))
+	s.targetList, s.localTargets = s.targetList[:0], 0
 	for _, t := range targets {
-		l, known := s.loads[t.ID]
-		if !known || l.Born != t.Born {
-			l = newLoad(t)
+		state, known := s.targets[t.ID]
+		if !known || state.Born != t.Born {
+			state = newTargetState(t)
 		}
-		l.Target = t
-		loads[t.ID] = l
-		s.order = append(s.order, l)
+		state.Target = t
+		byID[t.ID] = state
+		s.targetList = append(s.targetList, state)
 		if t.DataCentre == s.dataCentre {
-			last := len(s.order) - 1
-			s.order[s.near], s.order[last] = s.order[last], s.order[s.near]
-			s.near++
+			last := len(s.targetList) - 1
+			s.targetList[s.localTargets], s.targetList[last] = s.targetList[last], s.targetList[s.localTargets]
+			s.localTargets++
 		}
 	}
-	s.loads = loads
-	for id := range s.serviceTimes {
-		if loads[id] == nil {
-			delete(s.serviceTimes, id)
+	s.targets = byID
+	for id := range s.pendingStats {
+		if byID[id] == nil {
+			delete(s.pendingStats, id)
 		}
 	}
 }
 
-// SetTable puts the division of the keys in force.
+// SetTable sets the key table.
 func (s *Service) SetTable(t *keyspace.Table) { s.table = t }
 
-// Offer decides on a new request. One that waits is answered by Poll.
+// Offer decides on a new request. If the verdict is Wait, a later Poll returns the final decision.
 func (s *Service) Offer(now time.Time, r Request) Decision {
-	r.since = now
-	if refusal, over := s.overLimit(now, &r); over {
+	r.arrivedAt = now
+	if refusal, over := s.refuseOverLimit(now, &r); over {
 		return refusal
 	}
 	d, blocked := s.place(now, &r)
 	if blocked == nil {
 		return d
 	}
-	blocked.behind(s.queue.waitingFor(blocked.target, now))
-	if refusal, hopeless := s.hopeless(now, &r, blocked); hopeless {
+	blocked.setWait(s.queue.waitingFor(blocked.target, now))
+	if refusal, hopeless := s.refuseIfHopeless(now, &r, blocked); hopeless {
 		return refusal
 	}
-	r.target = blocked.target
+	r.waitsFor = blocked.target
 	s.queue.add(&r)
 	return Decision{Verdict: Wait}
 }
 
-// Poll returns the decisions on requests that need not wait any longer.
+// Poll decides on the queued requests again and returns the decisions to send or refuse, by
+// request ID.
 func (s *Service) Poll(now time.Time) map[uint64]Decision {
 	if s.queue.empty() {
 		return nil
 	}
-	decided, ahead := map[uint64]Decision{}, map[*Load]int{}
+	decided, ahead := map[uint64]Decision{}, map[*targetState]int{}
 	for _, r := range s.queue.ordered(now) {
 		d, blocked := s.place(now, r)
 		if blocked != nil {
-			blocked.behind(ahead[blocked.target])
+			blocked.setWait(ahead[blocked.target])
 			ahead[blocked.target]++
-			r.target = blocked.target
-			refusal, hopeless := s.hopeless(now, r, blocked)
+			r.waitsFor = blocked.target
+			refusal, hopeless := s.refuseIfHopeless(now, r, blocked)
 			if !hopeless {
 				continue
 			}
@@ -192,200 +205,207 @@
 	return decided
 }
 
-// Cancel forgets a request that waits; false means that it was decided already.
+// Cancel removes a queued request; false means that it has already been decided.
 func (s *Service) Cancel(id uint64) bool { return s.queue.remove(id) }
 
-// Report notes what an answer of the target tells of its work.
+// Report records the load report in an answer of the target. It has to be called before Done.
 func (s *Service) Report(now time.Time, id string, r Report) {
-	if l := s.loads[id]; l != nil {
-		l.report(now, r)
-		s.notePressed(now, l, r.Waiting, 0)
+	if t := s.targets[id]; t != nil {
+		t.recordReport(now, r)
+		s.recordOverload(now, t, r.Waiting, 0)
 	}
 }
 
-// Done ends work at a target that took so long; turns are those of its Decision.
+// Done records the result of a request at a target and how long it took; turns is its
+// Decision.Turns.
 func (s *Service) Done(now time.Time, id string, result Result, took time.Duration, turns float64) {
-	l := s.loads[id]
-	if l == nil {
+	t := s.targets[id]
+	if t == nil {
 		return
 	}
-	l.end(now)
-	sample := took.Seconds() / max(l.stayed(now, turns), 1)
+	t.recordEnd(now)
+	sample := took.Seconds() / max(t.actualServiceMultiple(now, turns), 1)
 	switch result {
 	case Answered:
-		l.outcome(now, 0)
-		l.answered(sample, s.mean)
-		s.mean += (sample - s.mean) * meanGain
-		s.note(id, sample)
+		t.recordOutcome(now, 0)
+		t.recordAnswer(sample, s.meanServiceTime)
+		s.meanServiceTime += (sample - s.meanServiceTime) * meanGain
+		s.recordServiceTime(id, sample)
 	case TimedOut:
-		l.outcome(now, 1)
-		l.full()
-		if l.overran(sample, s.mean) {
-			s.note(id, sample)
+		t.recordOutcome(now, 1)
+		t.cutQueueLimit()
+		if t.recordTimeout(sample, s.meanServiceTime) {
+			s.recordServiceTime(id, sample)
 		}
 	case Failed:
-		l.outcome(now, 1)
-		l.full()
-		s.notePressed(now, l, 0, 1)
+		t.recordOutcome(now, 1)
+		t.cutQueueLimit()
+		s.recordOverload(now, t, 0, 1)
 	case Shed:
-		l.outcome(now, shedFailure)
-		l.full()
-		s.notePressed(now, l, 0, 1)
+		t.recordOutcome(now, shedFailure)
+		t.cutQueueLimit()
+		s.recordOverload(now, t, 0, 1)
 	case Unreached:
-		l.outcome(now, 1)
-		l.unreachable(now)
+		t.recordOutcome(now, 1)
+		t.recordUnreachable(now)
 	case Misplaced, Left:
 	}
 }
 
-// shedFailure is what a refusal for want of room counts as: it costs a try, not the work.
+// shedFailure is the weight of a refusal for lack of room in the failure rate: it costs an attempt,
+// but the request can still be sent elsewhere.
 const shedFailure = 0.5
 
-// block says why a request can't be placed now.
+// block says why a request can't be sent now.
 type block struct {
 	kind   fault.Kind
 	detail string
-	// target is the one that is full; nil where it is all of them, or another thing.
-	target *Load
-	// turn is the time in seconds after which one request after the other that waits here
-	// gets a place.
-	turn float64
-	// wait is the time until a place is expected, in seconds; negative means that it is
-	// not to be waited for.
+	// target is the target without room; nil if it is all of them or if the reason is another.
+	target *targetState
+	// placeInterval is the time in seconds between two places that become free for queued
+	// requests.
+	placeInterval float64
+	// wait is the expected time until a place is free, in seconds; negative means that the
+	// request must not be queued.
 	wait float64
-	// patience bounds the wait; zero means by the request's own times.
-	patience time.Duration
-	// advice is what a refusal says at least.
-	advice time.Duration
+	// maxWait is how long the request may be queued; zero means until its deadline allows no
+	// more.
+	maxWait time.Duration
+	// retryAfter is the shortest advised wait of a refusal.
+	retryAfter time.Duration
 }
 
-// place finds the target for a request and counts the work, or says what is in the way.
+// place selects the target for a request and counts the request there, or returns why it can't be
+// sent now.
 func (s *Service) place(now time.Time, r *Request) (Decision, *block) {
-	l, blocked := s.find(now, r)
+	t, blocked := s.selectTarget(now, r)
 	if blocked != nil {
 		return Decision{}, blocked
 	}
-	if !l.hasRoom(now) {
-		return Decision{}, s.full(now, l)
+	if !t.hasRoom(now) {
+		return Decision{}, s.noRoom(now, t)
 	}
-	if l.inFlight > 0 && !s.worthwhile(now, r, l) {
-		return Decision{}, s.tooLate(now, l)
+	if t.inFlight > 0 && !s.worthQueueing(now, r, t) {
+		return Decision{}, s.tooLate(now, t)
 	}
-	d := Decision{Verdict: Send, Target: l.Target, Work: l.work(now), ReportAge: -1, Turns: l.turns(now)}
-	if !l.lastReport.IsZero() {
-		d.ReportAge = now.Sub(l.lastReport)
+	d := Decision{Verdict: Send, Target: t.Target, Work: t.totalWork(now), ReportAge: -1, Turns: t.serviceMultiple(now)}
+	if !t.lastReport.IsZero() {
+		d.ReportAge = now.Sub(t.lastReport)
 	}
-	l.send(now)
+	t.recordSend(now)
 	return d, nil
 }
 
-// full says how long a request waits where the target has no room.
+// noRoom returns the block for a request whose target has no room, with the expected wait.
 //
-// It answers load beyond what a target can do, which comes through many routers: this one
-// gets a place each time that one of its own requests there ends. The queue at the target
-// alone would tell of a short wait, while the routers' own grow; requests are then kept
-// until their time is over and refused in the end.
-func (s *Service) full(now time.Time, l *Load) *block {
-	b := &block{kind: fault.QueueFull, detail: "target " + l.ID, target: l, advice: minRetryAfter}
-	b.turn = l.stay(now, s.mean) / float64(max(l.inFlight, 1))
+// Under overload from many routers, this router gets a place whenever one of its own requests at
+// the target ends, so the wait depends on these and on the router's own queue. The target's queue
+// alone would suggest a short wait, and requests would stay in growing queues of the routers until
+// their deadline and be refused then.
+func (s *Service) noRoom(now time.Time, t *targetState) *block {
+	b := &block{kind: fault.QueueFull, detail: "target " + t.ID, target: t, retryAfter: minRetryAfter}
+	b.placeInterval = t.timeAtTarget(now, s.meanServiceTime) / float64(max(t.inFlight, 1))
 	if s.byKey {
 		return b
 	}
-	// The next place at any target will do.
-	b.target, b.turn = nil, 0
-	for _, other := range s.order {
+	// Any target can take the request, so the places at all of them count. placeInterval is the
+	// places per second until it is inverted below.
+	b.target, b.placeInterval = nil, 0
+	for _, other := range s.targetList {
 		if other.inFlight > 0 {
-			b.turn += float64(other.inFlight) / other.stay(now, s.mean)
+			b.placeInterval += float64(other.inFlight) / other.timeAtTarget(now, s.meanServiceTime)
 		}
 	}
-	b.turn = 1 / max(b.turn, 1/l.stay(now, s.mean))
+	b.placeInterval = 1 / max(b.placeInterval, 1/t.timeAtTarget(now, s.meanServiceTime))
 	return b
 }
 
-// worthwhile reports whether a place in the target's queue is well spent on the request.
+// worthQueueing reports whether the request may take a place in the target's queue: it may if its
+// answer can still meet the objective, or if no other request has to wait for it.
 //
-// It answers one key that is asked for more than its holder can do. With a long queue each
-// answer comes late and is worth a third; as many are given in time with a short one. So a
-// request that would be late goes only where nobody else has to wait for it.
-func (s *Service) worthwhile(now time.Time, r *Request, l *Load) bool {
-	if r.Due.IsZero() || l.waiting(now) == 0 {
+// With more requests for a key than its holder can serve, a long queue makes every answer late,
+// and a late answer is worth a third. With a short queue as many answers are given, and in time.
+func (s *Service) worthQueueing(now time.Time, r *Request, t *targetState) bool {
+	if r.Due.IsZero() || t.queuedAhead(now) == 0 {
 		return true
 	}
-	stay := time.Duration(l.stay(now, s.mean) * float64(time.Second))
-	return !now.Add(stay).After(r.Due)
+	timeAtTarget := time.Duration(t.timeAtTarget(now, s.meanServiceTime) * float64(time.Second))
+	return !now.Add(timeAtTarget).After(r.Due)
 }
 
-// tooLate refuses a request at once that is to come back when nobody waits for the target.
-// Kept for 120 ms, most were refused in the end, and late.
-func (s *Service) tooLate(now time.Time, l *Load) *block {
+// tooLate returns the block that refuses a request at once because it would miss its objective;
+// the advised wait is the time until the target's queue is expected to be empty. When such
+// requests were queued for 120 ms instead, most were still refused, only later.
+func (s *Service) tooLate(now time.Time, t *targetState) *block {
 	return &block{
-		kind: fault.QueueFull, detail: "target " + l.ID + ", too late for its objective", target: l, wait: -1,
-		advice: max(time.Duration(l.wait(now, s.mean)*float64(time.Second)), minRetryAfter),
+		kind: fault.QueueFull, detail: "target " + t.ID + ", too late for its objective", target: t, wait: -1,
+		retryAfter: max(time.Duration(t.wait(now, s.meanServiceTime)*float64(time.Second)), minRetryAfter),
 	}
 }
 
-// behind sets the wait of a request that so many others go before.
-func (b *block) behind(ahead int) {
-	if b.wait >= 0 && b.turn > 0 {
-		b.wait = float64(ahead+1) * b.turn
+// setWait sets the expected wait of a request that has a number of others ahead of it.
+func (b *block) setWait(ahead int) {
+	if b.wait >= 0 && b.placeInterval > 0 {
+		b.wait = float64(ahead+1) * b.placeInterval
 	}
 }
 
-func (s *Service) find(now time.Time, r *Request) (*Load, *block) {
+// selectTarget returns the holder of the request's key, or else the best target.
+func (s *Service) selectTarget(now time.Time, r *Request) (*targetState, *block) {
 	if s.byKey {
 		return s.holder(now, r)
 	}
-	if l := s.best(now, r); l != nil {
-		return l, nil
+	if t := s.best(now, r); t != nil {
+		return t, nil
 	}
-	return nil, &block{kind: fault.NoOwner, detail: "no target takes work", wait: -1, advice: emptyRetryAfter}
+	return nil, &block{kind: fault.NoOwner, detail: "no target takes work", wait: -1, retryAfter: noTargetRetryAfter}
 }
 
 // holder returns the target that holds the request's key.
-func (s *Service) holder(now time.Time, r *Request) (*Load, *block) {
+func (s *Service) holder(now time.Time, r *Request) (*targetState, *block) {
 	if s.table == nil {
-		return nil, &block{kind: fault.NotReady, detail: "the division of the keys is not known yet", wait: -1, advice: emptyRetryAfter}
+		return nil, &block{kind: fault.NotReady, detail: "the division of the keys is not known yet", wait: -1, retryAfter: noTargetRetryAfter}
 	}
 	segment := s.table.Find(*r.Key)
 	if segment.Moving {
 		if segment.Lost {
-			return nil, &block{kind: fault.NoOwner, detail: "the grant of " + segment.Target + " has to lapse", wait: -1, advice: lapseRetryAfter}
+			return nil, &block{kind: fault.NoOwner, detail: "the grant of " + segment.Target + " has to lapse", wait: -1, retryAfter: grantExpiryRetryAfter}
 		}
-		return nil, &block{kind: fault.Moving, detail: "from " + segment.Target, patience: movePatience, advice: minRetryAfter}
+		return nil, &block{kind: fault.Moving, detail: "from " + segment.Target, maxWait: maxHandoverWait, retryAfter: minRetryAfter}
 	}
-	l := s.loads[segment.Target]
-	if l == nil || l.Holder() != segment.Holder {
-		return nil, &block{kind: fault.NoOwner, detail: "target " + segment.Target + " is not there", wait: -1, advice: emptyRetryAfter}
+	t := s.targets[segment.Target]
+	if t == nil || t.Holder() != segment.Holder {
+		return nil, &block{kind: fault.NoOwner, detail: "target " + segment.Target + " is not there", wait: -1, retryAfter: noTargetRetryAfter}
 	}
-	if l.away(now) {
-		return nil, &block{kind: fault.NoOwner, detail: "target " + l.ID + " can't be reached", wait: -1, advice: l.triedAgain.Sub(now) + minRetryAfter}
+	if t.inConnectBackoff(now) {
+		return nil, &block{kind: fault.NoOwner, detail: "target " + t.ID + " can't be reached", wait: -1, retryAfter: t.nextConnectAt.Sub(now) + minRetryAfter}
 	}
-	return l, nil
+	return t, nil
 }
 
-// hopeless refuses a request whose answer can't be in time any more. Refused at once it
-// may be back while there is time left; kept, it would take the place of one that can.
-func (s *Service) hopeless(now time.Time, r *Request, b *block) (Decision, bool) {
+// refuseIfHopeless refuses a request that can't be answered in time any more. Its caller can then
+// retry while there is time left; queued, it would take the place of a request that can be
+// answered in time.
+func (s *Service) refuseIfHopeless(now time.Time, r *Request, b *block) (Decision, bool) {
 	hopeless := b.wait < 0
 	if !r.Deadline.IsZero() {
 		left := r.Deadline.Sub(now).Seconds()
-		hopeless = hopeless || b.wait+s.mean > left
+		hopeless = hopeless || b.wait+s.meanServiceTime > left
 	}
-	if b.patience > 0 && now.Sub(r.since) > b.patience {
+	if b.maxWait > 0 && now.Sub(r.arrivedAt) > b.maxWait {
 		hopeless = true
 	}
 	if !hopeless {
 		return Decision{}, false
 	}
-	advice := max(time.Duration(max(b.wait, 0)*float64(time.Second)), b.advice)
-	return Decision{Verdict: Refuse, Fault: b.kind, RetryAfter: advice, Detail: b.detail}, true
+	retryAfter := max(time.Duration(max(b.wait, 0)*float64(time.Second)), b.retryAfter)
+	return Decision{Verdict: Refuse, Fault: b.kind, RetryAfter: retryAfter, Detail: b.detail}, true
 }
 
-// ServiceTime is how long the target takes for a request, in seconds; zero where no answer
-// came yet.
+// ServiceTime returns the target's mean service time in seconds; zero before its first answer.
 func (s *Service) ServiceTime(id string) float64 {
-	if l := s.loads[id]; l != nil {
-		return l.service
+	if t := s.targets[id]; t != nil {
+		return t.meanServiceTime
 	}
 	return 0
 }
--- a/core/dispatch/targetstats.go
+++ b/core/dispatch/targetstats.go
@@ -5,157 +5,162 @@
 	"time"
 )
 
-// TargetStats is what a number of answers tell of how long a target takes for a request, its wait
-// not counted.
+// TargetStats are the statistics of a target over a number of answers.
 type TargetStats struct {
 	Target string
-	// Answers is how many the mean rests on.
+	// Answers is the number of answers, and Mean their mean service time, the wait for a slot
+	// not included.
 	Answers int
 	Mean    time.Duration
-	// Waiting is the most requests that the target said wait for its slots, and Failed counts
-	// those that it turned away or broke off.
+	// Waiting is the largest number of waiting requests that the target reported, and Failed
+	// the number of requests that it refused for lack of room or that failed.
 	Waiting, Failed int
-	// Stalled is for how long work at the target has made no progress; zero where it has.
+	// Stalled is for how long no request at the target has ended; zero if it is not stalled.
 	Stalled time.Duration
 }
 
-// stallGain is the weight of a stall that a router reports in the mean service time of a
-// target. It is some answers' worth: a target that answers others at its usual speed has a
-// request or two that got lost, one that doesn't has become slow.
+// stallGain is the weight in a target's mean service time of a stall that a router reports. It
+// equals that of a few answers: if other routers still get answers at the usual speed, a request
+// or two were lost and their answers outweigh the stall; otherwise the target has become slow.
 const stallGain = 0.1
 
-// pressedFor is for how long a target counts as pressed after the last sign of it.
-const pressedFor = 500 * time.Millisecond
+// overloadedFor is for how long a target counts as overloaded after the last sign of it.
+const overloadedFor = 500 * time.Millisecond
 
-// serviceTimeChange is by which part a target's service time must have changed to be published again;
-// the time of one request differs from the next by more than that.
+// serviceTimeChange is the share by which a target's mean service time must have changed to be
+// published again; single requests differ from each other by more than that.
 const serviceTimeChange = 0.15
 
-// sharedGain is the weight of a new answer in the mean service time of a target where the
-// answers of all routers count; it remembers about the last thirty.
+// sharedGain is the weight of an answer that another router reports in a target's mean service
+// time, which then covers about the last thirty answers of all routers.
 const sharedGain = 0.03
 
-// recoveryGain is that of an answer which took less than half of the mean.
+// recoveryGain replaces sharedGain for answers that took less than half of the mean.
 const recoveryGain = 0.15
 
-// note remembers an answer's service time for DrainServiceTimes, where the speeds decide who holds
-// which keys.
-func (s *Service) note(id string, sample float64) {
+// recordServiceTime adds an answer's service time to the pending statistics. Only services with
+// divided keys need them, because the service times decide which target holds which keys.
+func (s *Service) recordServiceTime(id string, sample float64) {
 	if !s.byKey {
 		return
 	}
-	p := s.serviceTimeOf(id)
-	p.Answers++
-	p.Mean += (time.Duration(sample*float64(time.Second)) - p.Mean) / time.Duration(p.Answers)
+	stats := s.pendingStatsOf(id)
+	stats.Answers++
+	stats.Mean += (time.Duration(sample*float64(time.Second)) - stats.Mean) / time.Duration(stats.Answers)
 }
 
-func (s *Service) serviceTimeOf(id string) *TargetStats {
-	p := s.serviceTimes[id]
-	if p == nil {
-		p = &TargetStats{Target: id}
-		s.serviceTimes[id] = p
+func (s *Service) pendingStatsOf(id string) *TargetStats {
+	stats := s.pendingStats[id]
+	if stats == nil {
+		stats = &TargetStats{Target: id}
+		s.pendingStats[id] = stats
 	}
-	return p
+	return stats
 }
 
-// notePressed remembers a sign that a target has too much to do, for DrainServiceTimes and Pressed.
-func (s *Service) notePressed(now time.Time, l *Load, waiting, failed int) {
-	if !s.byKey || waiting < l.Slots && failed == 0 {
+// recordOverload records a sign of overload for DrainServiceTimes and Pressed: at least as many
+// waiting requests as slots, or a failed request.
+func (s *Service) recordOverload(now time.Time, t *targetState, waiting, failed int) {
+	if !s.byKey || waiting < t.Slots && failed == 0 {
 		return
 	}
-	l.pressedAt = now
-	p := s.serviceTimeOf(l.ID)
-	p.Waiting = max(p.Waiting, waiting)
-	p.Failed += failed
+	t.overloadedAt = now
+	stats := s.pendingStatsOf(t.ID)
+	stats.Waiting = max(stats.Waiting, waiting)
+	stats.Failed += failed
 }
 
-// Pressed reports whether a target had requests waiting for all of its slots, or turned some
-// away, of late; by the answers of all routers where they report them.
+// Pressed reports whether a target was overloaded recently: it had at least as many waiting
+// requests as slots, or refused or failed requests. If other routers report their answers by
+// LearnServiceTimes, these count too.
 func (s *Service) Pressed(now time.Time, id string) bool {
-	l := s.loads[id]
-	return l != nil && !l.pressedAt.IsZero() && now.Sub(l.pressedAt) < pressedFor
+	t := s.targets[id]
+	return t != nil && !t.overloadedAt.IsZero() && now.Sub(t.overloadedAt) < overloadedFor
 }
 
-// DrainServiceTimes returns what answers showed since the last call.
+// DrainServiceTimes returns the statistics of targets since the last call, for the router that
+// assigns the keys.
 //
-// It answers a target that is half as fast as the others, or turns slow: one router of
-// nine gets an answer of it every two seconds, and knows after twenty seconds what all of
-// them together know after two.
+// Routers together notice sooner that a target is slower than the others: one of nine routers
+// gets an answer from it every two seconds, and knows after twenty seconds what all of them
+// together know after two.
 func (s *Service) DrainServiceTimes(now time.Time) []TargetStats {
-	s.noteStalls(now)
+	s.recordStalls(now)
 	var all []TargetStats
-	for id, p := range s.serviceTimes {
-		all = append(all, *p)
-		delete(s.serviceTimes, id)
+	for id, stats := range s.pendingStats {
+		all = append(all, *stats)
+		delete(s.pendingStats, id)
 	}
 	return all
 }
 
-// answerGain is the weight of another router's answers that took so long on average, in
-// seconds. A target that was slow and has few keys left gets few requests; that it is fast
-// again must show by those.
-func (l *Load) answerGain(mean float64) float64 {
-	if mean < l.service/2 {
+// answerGain returns the weight of another router's answers with the mean service time in seconds.
+// Fast answers have a larger weight: a target that was slow has few keys left and gets few
+// requests, and these must suffice to show that it is fast again.
+func (t *targetState) answerGain(mean float64) float64 {
+	if mean < t.meanServiceTime/2 {
 		return recoveryGain
 	}
 	return sharedGain
 }
 
-// noteStalls remembers work that makes no progress, once for each time its stall has doubled.
-func (s *Service) noteStalls(now time.Time) {
+// recordStalls adds stalls of targets to the pending statistics; a stall is reported again whenever
+// its duration has doubled.
+func (s *Service) recordStalls(now time.Time) {
 	if !s.byKey {
 		return
 	}
-	for _, l := range s.order {
-		if l.inFlight == 0 {
+	for _, t := range s.targetList {
+		if t.inFlight == 0 {
 			continue
 		}
-		usual := math.Max(l.service, s.mean)
-		stall := time.Duration(l.stall(now, usual*l.stayed(now, 1)) * float64(time.Second))
-		if stall > 0 && stall >= 2*l.stallReported {
-			l.stallReported = stall
-			s.serviceTimeOf(l.ID).Stalled = stall
+		usual := math.Max(t.meanServiceTime, s.meanServiceTime)
+		stall := time.Duration(t.stall(now, usual*t.actualServiceMultiple(now, 1)) * float64(time.Second))
+		if stall > 0 && stall >= 2*t.stallReported {
+			t.stallReported = stall
+			s.pendingStatsOf(t.ID).Stalled = stall
 		}
 	}
 }
 
-// LearnServiceTimes takes in what another router learned from answers.
-func (s *Service) LearnServiceTimes(now time.Time, serviceTimes []TargetStats) {
-	for _, p := range serviceTimes {
-		l := s.loads[p.Target]
-		if l == nil {
+// LearnServiceTimes merges statistics that another router has drained.
+func (s *Service) LearnServiceTimes(now time.Time, all []TargetStats) {
+	for _, stats := range all {
+		t := s.targets[stats.Target]
+		if t == nil {
 			continue
 		}
-		if p.Answers > 0 && p.Mean > 0 {
-			l.learn(p.Answers, p.Mean.Seconds(), s.mean, l.answerGain(p.Mean.Seconds()))
+		if stats.Answers > 0 && stats.Mean > 0 {
+			t.updateServiceTime(stats.Answers, stats.Mean.Seconds(), s.meanServiceTime, t.answerGain(stats.Mean.Seconds()))
 		}
-		if p.Stalled.Seconds() > math.Max(l.service, s.mean) {
-			l.learn(1, p.Stalled.Seconds(), s.mean, stallGain)
+		if stats.Stalled.Seconds() > math.Max(t.meanServiceTime, s.meanServiceTime) {
+			t.updateServiceTime(1, stats.Stalled.Seconds(), s.meanServiceTime, stallGain)
 		}
-		if p.Failed > 0 || p.Waiting >= l.Slots && p.Waiting > 0 {
-			l.pressedAt = now
+		if stats.Failed > 0 || stats.Waiting >= t.Slots && stats.Waiting > 0 {
+			t.overloadedAt = now
 		}
 	}
 }
 
-// ChangedServiceTimes returns the service times that have changed since they were last returned.
+// ChangedServiceTimes returns the mean service times that have changed by at least
+// serviceTimeChange since they were last returned.
 func (s *Service) ChangedServiceTimes() []TargetStats {
 	var all []TargetStats
-	for _, l := range s.order {
-		if l.service == 0 || l.published != 0 && math.Abs(l.service-l.published) < serviceTimeChange*l.published {
+	for _, t := range s.targetList {
+		if t.meanServiceTime == 0 || t.publishedServiceTime != 0 && math.Abs(t.meanServiceTime-t.publishedServiceTime) < serviceTimeChange*t.publishedServiceTime {
 			continue
 		}
-		l.published = l.service
-		all = append(all, TargetStats{Target: l.ID, Mean: time.Duration(l.service * float64(time.Second))})
+		t.publishedServiceTime = t.meanServiceTime
+		all = append(all, TargetStats{Target: t.ID, Mean: time.Duration(t.meanServiceTime * float64(time.Second))})
 	}
 	return all
 }
 
-// SetServiceTimes puts in force what all routers together know.
-func (s *Service) SetServiceTimes(serviceTimes []TargetStats) {
-	for _, p := range serviceTimes {
-		if l := s.loads[p.Target]; l != nil && p.Mean > 0 {
-			l.service = p.Mean.Seconds()
+// SetServiceTimes replaces mean service times by those that the leader has merged from all routers.
+func (s *Service) SetServiceTimes(all []TargetStats) {
+	for _, stats := range all {
+		if t := s.targets[stats.Target]; t != nil && stats.Mean > 0 {
+			t.meanServiceTime = stats.Mean.Seconds()
 		}
 	}
 }
--- a/core/dispatch/targetstats_test.go
+++ b/core/dispatch/targetstats_test.go
@@ -11,74 +11,74 @@
 	"tarragongw/core/directory"
 )
 
-// served has a router get answers of the target, each after the time.
-func served(s *Service, id string, answers int, took time.Duration) {
+// recordAnswers records a number of answers of a target, each after the given time.
+func recordAnswers(s *Service, id string, answers int, took time.Duration) {
 	for range answers {
-		s.loads[id].inFlight++
+		s.targets[id].inFlight++
 		s.Done(start, id, Answered, took, 1)
 	}
 }
 
-// Symptom: a target that is slower than the others keeps as many keys for twenty seconds,
-// and most requests for them are late.
-// Sequence: nine routers share the load of a slow and a fast target, which each answer a
-// router once in two seconds; the one that divides the keys looks after four seconds.
-// Cause: it knows of its own two answers alone.
-func TestRoutersTogetherLearnWhichTargetIsSlow(t *testing.T) {
+// Guards against a leader that assigns keys by its own answers alone: with nine routers, to each
+// of which a slow and a fast target answer once in two seconds, it has two answers of each after
+// four seconds. The slow target kept as many keys as the fast one for twenty seconds, and most
+// requests for them were late.
+func TestRoutersTogetherMeasureWhichTargetIsSlow(t *testing.T) {
 	const slow, fast = 420 * time.Millisecond, 180 * time.Millisecond
-	leader, _ := keyed("slow", target("slow", "here"), target("fast", "here"))
-	served(leader, "slow", 2, slow)
-	served(leader, "fast", 2, fast)
+	leader, _ := newKeyedService("slow", target("slow", "here"), target("fast", "here"))
+	recordAnswers(leader, "slow", 2, slow)
+	recordAnswers(leader, "fast", 2, fast)
 	alone := leader.ServiceTime("slow") / leader.ServiceTime("fast")
 	assert.Assert(t, alone < 1.5, "%v", alone)
 	for range 8 {
-		follower, _ := keyed("slow", target("slow", "here"), target("fast", "here"))
-		served(follower, "slow", 2, slow)
-		served(follower, "fast", 2, fast)
+		follower, _ := newKeyedService("slow", target("slow", "here"), target("fast", "here"))
+		recordAnswers(follower, "slow", 2, slow)
+		recordAnswers(follower, "fast", 2, fast)
 		leader.LearnServiceTimes(start, follower.DrainServiceTimes(start))
 	}
 	together := leader.ServiceTime("slow") / leader.ServiceTime("fast")
 	assert.Assert(t, together > 1.6, "%v of %v", together, slow.Seconds()/fast.Seconds())
 
-	newcomer, _ := keyed("slow", target("slow", "here"), target("fast", "here"))
+	newcomer, _ := newKeyedService("slow", target("slow", "here"), target("fast", "here"))
 	newcomer.SetServiceTimes(leader.ChangedServiceTimes())
 	assert.Assert(t, newcomer.ServiceTime("slow") > 1.6*newcomer.ServiceTime("fast"))
-	assert.Equal(t, len(leader.ChangedServiceTimes()), 0, "what has not changed is not told again")
-	assert.Equal(t, len(newcomer.DrainServiceTimes(start)), 0, "what was heard is not reported as an answer")
+	assert.Equal(t, len(leader.ChangedServiceTimes()), 0, "an unchanged service time was returned again")
+	assert.Equal(t, len(newcomer.DrainServiceTimes(start)), 0, "service times from the leader were returned as answers")
 }
 
-// What answers of targets that are gone told is not kept, however many come and go.
-func TestPacesOfGoneTargetsAreForgotten(t *testing.T) {
-	s, _ := keyed("a", target("a", "here"), target("b", "here"))
-	served(s, "a", 1, time.Second)
-	served(s, "b", 1, time.Second)
+// The statistics of removed targets are dropped, so that they don't accumulate when many targets
+// come and go.
+func TestStatsOfRemovedTargetsAreDropped(t *testing.T) {
+	s, _ := newKeyedService("a", target("a", "here"), target("b", "here"))
+	recordAnswers(s, "a", 1, time.Second)
+	recordAnswers(s, "b", 1, time.Second)
 	s.SetTargets([]directory.Target{target("b", "here")})
 	serviceTimes := s.DrainServiceTimes(start)
 	assert.Equal(t, len(serviceTimes), 1)
 	assert.Equal(t, serviceTimes[0].Target, "b")
 }
 
-// Symptom: a target of which a third of the requests end without an answer keeps its keys.
-// Sequence: its queue is longer than the time that requests have, so that none is answered.
-// Cause: only answers tell of its speed; it stays what was assumed of it.
+// Guards against a target that keeps its keys although a third of its requests time out: its queue
+// takes longer than the requests' deadlines, and without time-outs in the service time only answers
+// count, so that its service time stays as assumed at first.
 func TestTargetThatAnswersNothingInTimeCountsAsSlow(t *testing.T) {
-	s, _ := keyed("a", target("a", "here"), target("b", "here"))
+	s, _ := newKeyedService("a", target("a", "here"), target("b", "here"))
 	for range 5 {
-		s.loads["a"].inFlight++
+		s.targets["a"].inFlight++
 		s.Done(start, "a", TimedOut, 1300*time.Millisecond, 1)
 	}
 	assert.Assert(t, s.ServiceTime("a") > 3*initialService, "%v", s.ServiceTime("a"))
-	served(s, "b", 20, 200*time.Millisecond)
+	recordAnswers(s, "b", 20, 200*time.Millisecond)
 	before := s.ServiceTime("b")
-	s.loads["b"].inFlight++
+	s.targets["b"].inFlight++
 	s.Done(start, "b", TimedOut, 20*time.Millisecond, 1)
-	assert.Equal(t, s.ServiceTime("b"), before, "a request with little time left says nothing")
+	assert.Equal(t, s.ServiceTime("b"), before, "a time-out after a short time changed the service time")
 }
 
-// Guards against a target that is taken to be slow for as long as others fill its queue.
-func TestWaitInAQueueOfOthersIsNotTakenForServiceTime(t *testing.T) {
+// Guards against a target that is taken for slow as long as other routers fill its queue.
+func TestWaitBehindOtherRoutersIsNotServiceTime(t *testing.T) {
 	const service = 200 * time.Millisecond
-	s, _ := keyed("busy", target("busy", "here"))
+	s, _ := newKeyedService("busy", target("busy", "here"))
 	for i := range 60 {
 		now := at(1000 * i)
 		d := s.Offer(now, Request{ID: uint64(i), Key: new(keyspace.Key)})
@@ -89,19 +89,19 @@
 	assert.Assert(t, s.ServiceTime("busy") < 1.3*service.Seconds(), "%v", s.ServiceTime("busy"))
 }
 
-// Guards against a target that turns many times slower and keeps its keys until the first of
-// its late answers, and against one that is fast again and isn't given any.
-func TestTargetThatTurnsSlowShowsBeforeItsFirstLateAnswer(t *testing.T) {
+// Guards against a target that becomes many times slower and keeps its keys until its first late
+// answer, and against one that is fast again but still counts as slow.
+func TestSlowTargetIsNoticedBeforeItsFirstLateAnswer(t *testing.T) {
 	const usual = 400 * time.Millisecond
-	leader, _ := keyed("a", target("a", "here"), target("b", "here"))
+	leader, _ := newKeyedService("a", target("a", "here"), target("b", "here"))
 	for _, id := range []string{"a", "b"} {
-		served(leader, id, 40, usual)
+		recordAnswers(leader, id, 40, usual)
 	}
 	before := leader.ServiceTime("a")
 	var routers []*Service
 	for i := range 20 {
-		r, key := keyed("a", target("a", "here"), target("b", "here"))
-		served(r, "a", 40, usual)
+		r, key := newKeyedService("a", target("a", "here"), target("b", "here"))
+		recordAnswers(r, "a", 40, usual)
 		r.DrainServiceTimes(start)
 		assert.Equal(t, r.Offer(at(50*i), Request{ID: 1, Key: key}).Verdict, Send)
 		routers = append(routers, r)
