--- a/core/dispatch/choose.go
+++ b/core/dispatch/choose.go
@@ -50,12 +50,12 @@
 // cost returns the expected latency of the target's answer in seconds, plus the costs of crossing
 // data centres, of a new connection and of a target without room.
 func (s *Service) cost(now time.Time, r *Request, t *targetState) float64 {
-	cost := t.expectedLatency(now, s.meanServiceTime) * (1 + tieBreak*s.random.Float64())
+	cost := t.expectedLatency(now, s.overallServiceTime) * (1 + tieBreak*s.random.Float64())
 	if t.DataCentre != s.dataCentre {
 		cost += min(time.Duration(r.Bytes)*crossDCCostPerByte, maxCrossDCCost).Seconds()
 	}
 	if t.needsNewConn(now) {
-		cost += newConnCost * s.meanServiceTime
+		cost += newConnCost * s.overallServiceTime
 	}
 	if !t.hasRoom(now) {
 		cost += noRoomPenalty.Seconds()
--- a/core/dispatch/dispatch_test.go
+++ b/core/dispatch/dispatch_test.go
@@ -55,7 +55,7 @@
 // recordManyAnswers records enough answers of a target to determine its mean service time.
 func recordManyAnswers(s *Service, id string, took time.Duration) {
 	for range 30 {
-		s.targets[id].inFlight++
+		s.targetByID[id].inFlight++
 		s.Done(start, id, Answered, took, 1)
 	}
 }
@@ -115,13 +115,13 @@
 	s := newService(target("a", "here"), target("b", "here"))
 	s.Report(start, "a", Report{Running: 2, Waiting: 4, Slots: 2})
 	assert.Equal(t, countSends(s, 2)["b"], 2)
-	assert.Assert(t, s.targets["a"].othersWork(at(0)) > s.targets["a"].othersWork(at(5000))-1e-9)
+	assert.Assert(t, s.targetByID["a"].othersWork(at(0)) > s.targetByID["a"].othersWork(at(5000))-1e-9)
 }
 
 // A target that refuses requests gets fewer at a time, and more again when it has answered some.
 func TestQueueLimitFollowsRefusalsAndAnswers(t *testing.T) {
 	s := newService(target("a", "here"))
-	l := s.targets["a"]
+	l := s.targetByID["a"]
 	before := l.queueLimit
 	l.inFlight = 2
 	s.Done(start, "a", Shed, 0, 1)
@@ -234,21 +234,21 @@
 	recordManyAnswers(s, "good", 100*time.Millisecond)
 	recordManyAnswers(s, "bad", 100*time.Millisecond)
 	for range 10 {
-		s.targets["bad"].inFlight++
+		s.targetByID["bad"].inFlight++
 		s.Done(start, "bad", Failed, time.Millisecond, 1)
 	}
 	assert.Equal(t, countSends(s, 2)["good"], 2)
-	assert.Assert(t, s.targets["bad"].currentFailureRate(at(10_000)) < 0.05)
+	assert.Assert(t, s.targetByID["bad"].currentFailureRate(at(10_000)) < 0.05)
 }
 
 // A target that has restarted is not judged by its previous instance.
 func TestNewInstanceStartsWithNewState(t *testing.T) {
 	s := newService(target("a", "here"))
-	s.targets["a"].inFlight = 2
+	s.targetByID["a"].inFlight = 2
 	restarted := target("a", "here")
 	restarted.Born = 7
 	s.SetTargets([]directory.Target{restarted})
-	assert.Equal(t, s.targets["a"].inFlight, 0)
+	assert.Equal(t, s.targetByID["a"].inFlight, 0)
 }
 
 // Guards against a hot key of which all answers are late although its holder is never idle: if
@@ -298,11 +298,11 @@
 // keys for ten seconds and refused most requests.
 func TestServiceTimeOfAFullTargetIsMeasured(t *testing.T) {
 	s := newService(target("a", "here"))
-	s.targets["a"].inFlight = 1
+	s.targetByID["a"].inFlight = 1
 	s.Done(start, "a", Answered, 10*time.Millisecond, 1)
 	assert.Assert(t, s.ServiceTime("a") > 0.1, "one short answer changed the mean too much")
 	for range 50 {
-		s.targets["a"].inFlight = 1
+		s.targetByID["a"].inFlight = 1
 		s.Done(start, "a", Answered, 600*time.Millisecond, 3)
 	}
 	assert.Assert(t, s.ServiceTime("a") > 0.19 && s.ServiceTime("a") < 0.21, "%v", s.ServiceTime("a"))
--- a/core/dispatch/limits.go
+++ b/core/dispatch/limits.go
@@ -50,7 +50,7 @@
 	if !limited || s.random.Float64() < admit {
 		return Decision{}, false
 	}
-	wait := max(s.meanServiceTime/max(admit, s.meanServiceTime/maxLimitRetryAfter.Seconds()), minLimitRetryAfter.Seconds())
+	wait := max(s.overallServiceTime/max(admit, s.overallServiceTime/maxLimitRetryAfter.Seconds()), minLimitRetryAfter.Seconds())
 	jitter := 1 + limitRetryJitter*(2*s.random.Float64()-1)
 	return Decision{
 		Verdict: Refuse, Fault: fault.QueueFull, RetryAfter: time.Duration(wait * jitter * float64(time.Second)),
--- a/core/dispatch/queue.go
+++ b/core/dispatch/queue.go
@@ -29,7 +29,7 @@
 func (q *queue) waitingFor(target *targetState, now time.Time) int {
 	n := 0
 	for _, r := range q.all {
-		if r.waitsFor == target && !r.late(now) {
+		if r.target == target && !r.late(now) {
 			n++
 		}
 	}
--- a/core/dispatch/service.go
+++ b/core/dispatch/service.go
@@ -46,8 +46,8 @@
 	Admitted bool
 	// arrivedAt is when the request was offered.
 	arrivedAt time.Time
-	// waitsFor is the target for which the request is queued; nil means any.
-	waitsFor *targetState
+	// target is the target for which the request is queued; nil means any.
+	target *targetState
 }
 
 // Verdict is the decision on a request: to send, queue or refuse it.
@@ -107,14 +107,14 @@
 	byKey      bool
 	// table is the key table; nil until it is known.
 	table *keyspace.Table
-	// targets are all targets by ID, and targetList the same with those of this router's data
+	// targetByID has all targets, and targetList the same with those of this router's data
 	// centre first; localTargets is the number of these.
-	targets      map[string]*targetState
+	targetByID   map[string]*targetState
 	targetList   []*targetState
 	localTargets int
-	// meanServiceTime is the mean over all targets, in seconds.
-	meanServiceTime float64
-	random          *rand.Rand
+	// overallServiceTime is the mean service time over all targets, in seconds.
+	overallServiceTime float64
+	random             *rand.Rand
 	// queue holds the requests with the verdict Wait.
 	queue queue
 	// pendingStats are the statistics of targets since the last DrainServiceTimes.
@@ -126,7 +126,7 @@
 // among its targets.
 func New(dataCentre string, byKey bool, random *rand.Rand) *Service {
 	return &Service{
-		dataCentre: dataCentre, byKey: byKey, targets: map[string]*targetState{}, meanServiceTime: initialService, random: random,
+		dataCentre: dataCentre, byKey: byKey, targetByID: map[string]*targetState{}, overallServiceTime: initialService, random: random,
 		pendingStats: map[string]*TargetStats{},
 	}
 }
@@ -137,7 +137,7 @@
 	byID := make(map[string]*targetState, len(targets))
 	s.targetList, s.localTargets = s.targetList[:0], 0
 	for _, t := range targets {
-		state, known := s.targets[t.ID]
+		state, known := s.targetByID[t.ID]
 		if !known || state.Born != t.Born {
 			state = newTargetState(t)
 		}
@@ -150,7 +150,7 @@
 			s.localTargets++
 		}
 	}
-	s.targets = byID
+	s.targetByID = byID
 	for id := range s.pendingStats {
 		if byID[id] == nil {
 			delete(s.pendingStats, id)
@@ -175,7 +175,7 @@
 	if refusal, hopeless := s.refuseIfHopeless(now, &r, blocked); hopeless {
 		return refusal
 	}
-	r.waitsFor = blocked.target
+	r.target = blocked.target
 	s.queue.add(&r)
 	return Decision{Verdict: Wait}
 }
@@ -192,7 +192,7 @@
 		if blocked != nil {
 			blocked.setWait(ahead[blocked.target])
 			ahead[blocked.target]++
-			r.waitsFor = blocked.target
+			r.target = blocked.target
 			refusal, hopeless := s.refuseIfHopeless(now, r, blocked)
 			if !hopeless {
 				continue
@@ -210,7 +210,7 @@
 
 // Report records the load report in an answer of the target. It has to be called before Done.
 func (s *Service) Report(now time.Time, id string, r Report) {
-	if t := s.targets[id]; t != nil {
+	if t := s.targetByID[id]; t != nil {
 		t.recordReport(now, r)
 		s.recordOverload(now, t, r.Waiting, 0)
 	}
@@ -219,7 +219,7 @@
 // Done records the result of a request at a target and how long it took; turns is its
 // Decision.Turns.
 func (s *Service) Done(now time.Time, id string, result Result, took time.Duration, turns float64) {
-	t := s.targets[id]
+	t := s.targetByID[id]
 	if t == nil {
 		return
 	}
@@ -228,13 +228,13 @@
 	switch result {
 	case Answered:
 		t.recordOutcome(now, 0)
-		t.recordAnswer(sample, s.meanServiceTime)
-		s.meanServiceTime += (sample - s.meanServiceTime) * meanGain
+		t.recordAnswer(sample, s.overallServiceTime)
+		s.overallServiceTime += (sample - s.overallServiceTime) * meanGain
 		s.recordServiceTime(id, sample)
 	case TimedOut:
 		t.recordOutcome(now, 1)
 		t.cutQueueLimit()
-		if t.recordTimeout(sample, s.meanServiceTime) {
+		if t.recordTimeout(sample, s.overallServiceTime) {
 			s.recordServiceTime(id, sample)
 		}
 	case Failed:
@@ -304,7 +304,7 @@
 // their deadline and be refused then.
 func (s *Service) noRoom(now time.Time, t *targetState) *block {
 	b := &block{kind: fault.QueueFull, detail: "target " + t.ID, target: t, retryAfter: minRetryAfter}
-	b.placeInterval = t.timeAtTarget(now, s.meanServiceTime) / float64(max(t.inFlight, 1))
+	b.placeInterval = t.timeAtTarget(now, s.overallServiceTime) / float64(max(t.inFlight, 1))
 	if s.byKey {
 		return b
 	}
@@ -313,10 +313,10 @@
 	b.target, b.placeInterval = nil, 0
 	for _, other := range s.targetList {
 		if other.inFlight > 0 {
-			b.placeInterval += float64(other.inFlight) / other.timeAtTarget(now, s.meanServiceTime)
+			b.placeInterval += float64(other.inFlight) / other.timeAtTarget(now, s.overallServiceTime)
 		}
 	}
-	b.placeInterval = 1 / max(b.placeInterval, 1/t.timeAtTarget(now, s.meanServiceTime))
+	b.placeInterval = 1 / max(b.placeInterval, 1/t.timeAtTarget(now, s.overallServiceTime))
 	return b
 }
 
@@ -329,7 +329,7 @@
 	if r.Due.IsZero() || t.queuedAhead(now) == 0 {
 		return true
 	}
-	timeAtTarget := time.Duration(t.timeAtTarget(now, s.meanServiceTime) * float64(time.Second))
+	timeAtTarget := time.Duration(t.timeAtTarget(now, s.overallServiceTime) * float64(time.Second))
 	return !now.Add(timeAtTarget).After(r.Due)
 }
 
@@ -339,7 +339,7 @@
 func (s *Service) tooLate(now time.Time, t *targetState) *block {
 	return &block{
 		kind: fault.QueueFull, detail: "target " + t.ID + ", too late for its objective", target: t, wait: -1,
-		retryAfter: max(time.Duration(t.wait(now, s.meanServiceTime)*float64(time.Second)), minRetryAfter),
+		retryAfter: max(time.Duration(t.wait(now, s.overallServiceTime)*float64(time.Second)), minRetryAfter),
 	}
 }
 
@@ -373,7 +373,7 @@
 		}
 		return nil, &block{kind: fault.Moving, detail: "from " + segment.Target, maxWait: maxHandoverWait, retryAfter: minRetryAfter}
 	}
-	t := s.targets[segment.Target]
+	t := s.targetByID[segment.Target]
 	if t == nil || t.Holder() != segment.Holder {
 		return nil, &block{kind: fault.NoOwner, detail: "target " + segment.Target + " is not there", wait: -1, retryAfter: noTargetRetryAfter}
 	}
@@ -390,7 +390,7 @@
 	hopeless := b.wait < 0
 	if !r.Deadline.IsZero() {
 		left := r.Deadline.Sub(now).Seconds()
-		hopeless = hopeless || b.wait+s.meanServiceTime > left
+		hopeless = hopeless || b.wait+s.overallServiceTime > left
 	}
 	if b.maxWait > 0 && now.Sub(r.arrivedAt) > b.maxWait {
 		hopeless = true
@@ -404,7 +404,7 @@
 
 // ServiceTime returns the target's mean service time in seconds; zero before its first answer.
 func (s *Service) ServiceTime(id string) float64 {
-	if t := s.targets[id]; t != nil {
+	if t := s.targetByID[id]; t != nil {
 		return t.meanServiceTime
 	}
 	return 0
--- a/core/dispatch/targetstats.go
+++ b/core/dispatch/targetstats.go
@@ -74,7 +74,7 @@
 // requests as slots, or refused or failed requests. If other routers report their answers by
 // LearnServiceTimes, these count too.
 func (s *Service) Pressed(now time.Time, id string) bool {
-	t := s.targets[id]
+	t := s.targetByID[id]
 	return t != nil && !t.overloadedAt.IsZero() && now.Sub(t.overloadedAt) < overloadedFor
 }
 
@@ -114,7 +114,7 @@
 		if t.inFlight == 0 {
 			continue
 		}
-		usual := math.Max(t.meanServiceTime, s.meanServiceTime)
+		usual := math.Max(t.meanServiceTime, s.overallServiceTime)
 		stall := time.Duration(t.stall(now, usual*t.actualServiceMultiple(now, 1)) * float64(time.Second))
 		if stall > 0 && stall >= 2*t.stallReported {
 			t.stallReported = stall
@@ -126,15 +126,15 @@
 // LearnServiceTimes merges statistics that another router has drained.
 func (s *Service) LearnServiceTimes(now time.Time, all []TargetStats) {
 	for _, stats := range all {
-		t := s.targets[stats.Target]
+		t := s.targetByID[stats.Target]
 		if t == nil {
 			continue
 		}
 		if stats.Answers > 0 && stats.Mean > 0 {
-			t.updateServiceTime(stats.Answers, stats.Mean.Seconds(), s.meanServiceTime, t.answerGain(stats.Mean.Seconds()))
+			t.updateServiceTime(stats.Answers, stats.Mean.Seconds(), s.overallServiceTime, t.answerGain(stats.Mean.Seconds()))
 		}
-		if stats.Stalled.Seconds() > math.Max(t.meanServiceTime, s.meanServiceTime) {
-			t.updateServiceTime(1, stats.Stalled.Seconds(), s.meanServiceTime, stallGain)
+		if stats.Stalled.Seconds() > math.Max(t.meanServiceTime, s.overallServiceTime) {
+			t.updateServiceTime(1, stats.Stalled.Seconds(), s.overallServiceTime, stallGain)
 		}
 		if stats.Failed > 0 || stats.Waiting >= t.Slots && stats.Waiting > 0 {
 			t.overloadedAt = now
@@ -159,7 +159,7 @@
 // SetServiceTimes replaces mean service times by those that the leader has merged from all routers.
 func (s *Service) SetServiceTimes(all []TargetStats) {
 	for _, stats := range all {
-		if t := s.targets[stats.Target]; t != nil && stats.Mean > 0 {
+		if t := s.targetByID[stats.Target]; t != nil && stats.Mean > 0 {
 			t.meanServiceTime = stats.Mean.Seconds()
 		}
 	}
--- a/core/dispatch/targetstats_test.go
+++ b/core/dispatch/targetstats_test.go
@@ -14,7 +14,7 @@
 // recordAnswers records a number of answers of a target, each after the given time.
 func recordAnswers(s *Service, id string, answers int, took time.Duration) {
 	for range answers {
-		s.targets[id].inFlight++
+		s.targetByID[id].inFlight++
 		s.Done(start, id, Answered, took, 1)
 	}
 }
@@ -64,13 +64,13 @@
 func TestTargetThatAnswersNothingInTimeCountsAsSlow(t *testing.T) {
 	s, _ := newKeyedService("a", target("a", "here"), target("b", "here"))
 	for range 5 {
-		s.targets["a"].inFlight++
+		s.targetByID["a"].inFlight++
 		s.Done(start, "a", TimedOut, 1300*time.Millisecond, 1)
 	}
 	assert.Assert(t, s.ServiceTime("a") > 3*initialService, "%v", s.ServiceTime("a"))
 	recordAnswers(s, "b", 20, 200*time.Millisecond)
 	before := s.ServiceTime("b")
-	s.targets["b"].inFlight++
+	s.targetByID["b"].inFlight++
 	s.Done(start, "b", TimedOut, 20*time.Millisecond, 1)
 	assert.Equal(t, s.ServiceTime("b"), before, "a time-out after a short time changed the service time")
 }
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -64,7 +64,8 @@
 	// lastRefill is when timeTokens were last refilled.
 	lastRefill time.Time
 	// taken and denied count the retries that Take allowed and refused.
-	taken, denied uint64
+	taken  uint64
+	denied uint64
 }
 
 // NewBudget returns the bucket of one of several live routers, holding its share of the
--- a/peer/feed/feed_test.go
+++ b/peer/feed/feed_test.go
@@ -109,16 +109,17 @@
 // testLeader is a leader of term 7 that serves one source over TCP.
 type testLeader struct {
 	source *Source
-	// fresh says whether the leader reaches the store, and followerCutOff that its followers
-	// don't.
-	fresh, followerCutOff atomic.Bool
+	// fresh says whether the leader reaches the store.
+	fresh atomic.Bool
 	// reports, joined and backed receive the arguments of the server's callbacks.
 	reports chan Report
 	joined  chan time.Duration
 	backed  chan time.Duration
-	addr    string
-	termCtx context.Context
-	endTerm context.CancelFunc
+	// followerCutOff says that the follower can't reach the store.
+	followerCutOff atomic.Bool
+	addr           string
+	termCtx        context.Context
+	endTerm        context.CancelFunc
 }
 
 func newTestLeader(t *testing.T) *testLeader {
--- a/peer/feed/frame.go
+++ b/peer/feed/frame.go
@@ -59,8 +59,8 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "encode a heartbeat")
 	}
-	data := protowire.AppendVarint(make([]byte, 0, len(f.data)+len(tail)+protowire.SizeVarint(maxFrame)), uint64(len(f.data)+len(tail)))
-	return append(append(data, f.data...), tail...), nil
+	framed := protowire.AppendVarint(make([]byte, 0, len(f.data)+len(tail)+protowire.SizeVarint(maxFrame)), uint64(len(f.data)+len(tail)))
+	return append(append(framed, f.data...), tail...), nil
 }
 
 // unpack decompresses a packed update; it returns any other update unchanged.
--- a/peer/feed/server.go
+++ b/peer/feed/server.go
@@ -161,10 +161,10 @@
 func (f *follower) recordBacking(heartbeat uint64) {
 	f.mu.Lock()
 	known := heartbeat > 0 && heartbeat <= f.heartbeat && f.heartbeat-heartbeat < keptHeartbeats
-	sentAt := f.heartbeatSentAt[heartbeat%keptHeartbeats]
+	heartbeatSentAt := f.heartbeatSentAt[heartbeat%keptHeartbeats]
 	f.mu.Unlock()
 	if known {
-		f.server.Backed(f.hello.GetRouter(), f.hello.GetTerm(), sentAt+BackedFor)
+		f.server.Backed(f.hello.GetRouter(), f.hello.GetTerm(), heartbeatSentAt+BackedFor)
 	}
 }
 
--- a/peer/feed/source.go
+++ b/peer/feed/source.go
@@ -282,9 +282,9 @@
 	}
 	for service, byTarget := range s.serviceTimes {
 		var changed []dispatch.TargetStats
-		for _, t := range byTarget {
-			if t.version > version {
-				changed = append(changed, t.stats)
+		for _, entry := range byTarget {
+			if entry.version > version {
+				changed = append(changed, entry.stats)
 			}
 		}
 		if len(changed) > 0 {
