--- a/core/dispatch/service.go
+++ b/core/dispatch/service.go
@@ -134,7 +134,7 @@
 // SetTargets sets the complete list of targets. The state of known ones is kept, unless they have
 // restarted: a new instance starts with a new state.
 func (s *Service) SetTargets(targets []directory.Target) {
-	byID := make(map[string]*targetState, len(targets))
+	targetByID := make(map[string]*targetState, len(targets))
 	s.targetList, s.localTargets = s.targetList[:0], 0
 	for _, t := range targets {
 		state, known := s.targetByID[t.ID]
@@ -142,7 +142,7 @@
 			state = newTargetState(t)
 		}
 		state.Target = t
-		byID[t.ID] = state
+		targetByID[t.ID] = state
 		s.targetList = append(s.targetList, state)
 		if t.DataCentre == s.dataCentre {
 			last := len(s.targetList) - 1
@@ -150,9 +150,9 @@
 			s.localTargets++
 		}
 	}
-	s.targetByID = byID
+	s.targetByID = targetByID
 	for id := range s.pendingStats {
-		if byID[id] == nil {
+		if targetByID[id] == nil {
 			delete(s.pendingStats, id)
 		}
 	}
--- a/peer/feed/deflate.go
+++ b/peer/feed/deflate.go
@@ -10,7 +10,7 @@
 
 const (
 	// maxCompressedConfig is the largest compressed configuration that a feed carries: sent to
-	// several hundred routers, it must not fill a link for longer than Silence. Followers
+	// several hundred routers, it must not fill a link for longer than silenceTimeout. Followers
 	// read a larger one from the store.
 	maxCompressedConfig = 64 << 10
 	// maxConfigSize is the largest configuration; the store has the same limit.
--- a/peer/feed/feed.go
+++ b/peer/feed/feed.go
@@ -22,10 +22,10 @@
 	// HeartbeatEvery is the longest time between two updates from the leader. Each says that
 	// the leader is alive and whether it reaches the store, and wakes both ends.
 	HeartbeatEvery = 250 * time.Millisecond
-	// Silence is the time without an update after which a follower considers the leader lost;
+	// silenceTimeout is the time without an update after which a follower considers the leader lost;
 	// two heartbeats may be late. It is short enough that a follower that then watches the
 	// store itself still learns within two seconds of a target that is leaving.
-	Silence = 700 * time.Millisecond
+	silenceTimeout = 700 * time.Millisecond
 	// BackedFor is for how long a router that backs a leader follows no other one, counted
 	// from the heartbeat that it answers. It allows for a few lost reports.
 	BackedFor = time.Second
--- a/peer/feed/feed_test.go
+++ b/peer/feed/feed_test.go
@@ -334,7 +334,7 @@
 }
 
 // Guards against routers that all start at once and for whose complete updates the leader's
-// link is busy for longer than Silence.
+// link is busy for longer than silenceTimeout.
 func TestCompleteUpdateOfThousandsOfTargetsIsShort(t *testing.T) {
 	const targets, perTarget = 3000, 60
 	source := sourceWithTargets(targets)
@@ -369,9 +369,9 @@
 		_, err := newUpdateReader(follower).next()
 		return err
 	}
-	assert.NilError(t, readFrame(6, Silence/4, 6))
+	assert.NilError(t, readFrame(6, silenceTimeout/4, 6))
 	assert.Assert(t, readFrame(4, 0, 2) != nil, "no error although the leader stopped sending")
-	assert.Assert(t, readFrame(20, Silence/2, 20) != nil, "no error although the frame took longer than frameTimeout")
+	assert.Assert(t, readFrame(20, silenceTimeout/2, 20) != nil, "no error although the frame took longer than frameTimeout")
 }
 
 // Guards against a router of an older version, during an upgrade of the fleet, that decodes a
--- a/peer/feed/frame.go
+++ b/peer/feed/frame.go
@@ -133,7 +133,7 @@
 }
 
 func newUpdateReader(conn net.Conn) *updateReader {
-	chunks := &chunkReader{conn: conn, idleTimeout: Silence}
+	chunks := &chunkReader{conn: conn, idleTimeout: silenceTimeout}
 	return &updateReader{chunks, bufio.NewReader(chunks)}
 }
 
--- a/peer/feed/server.go
+++ b/peer/feed/server.go
@@ -74,7 +74,7 @@
 func (s *Server) serve(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
 	f := &follower{server: s, conn: conn, reader: bufio.NewReader(conn), hello: &feedpb.Hello{}}
-	if err := readMessage(conn, f.reader, f.hello, Silence); err != nil {
+	if err := readMessage(conn, f.reader, f.hello, silenceTimeout); err != nil {
 		s.Log.Info("invalid hello from a follower", "from", conn.RemoteAddr().String(), "err", err)
 		return
 	}
