--- a/peer/feed/feed.go
+++ b/peer/feed/feed.go
@@ -1,6 +1,6 @@
 // Package feed streams the leader's state to the other routers, its followers, and their
-// reports on requested keys and service times to the leader. With it, followers don't need
-// watches of their own on the store, each of which every heartbeat of every target ends.
+// reports on requested keys and service times to the leader. Without it each router would need
+// watches of its own on the store, and every heartbeat of every target ends such a watch.
 //
 // One connection carries one stream in each direction, so that there is nothing to
 // multiplex. Frames are protobuf messages, each preceded by its length.
