--- a/gateway/patience_test.go
+++ b/gateway/callerages_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestAgeIsToldFromWhatIsLeft(t *testing.T) {
-	var p patience
+	var p callerAges
 	assert.Equal(t, p.age("r", "2500"), time.Duration(0))
 	assert.Equal(t, p.age("r", "2100"), 400*time.Millisecond)
 	assert.Equal(t, p.age("r", "2500"), time.Duration(0))
--- a/gateway/gone_test.go
+++ b/gateway/callerleaves_test.go
@@ -28,11 +28,11 @@
 }
 
 // patientConfig is plainConfig with a minute for each request.
-var patientConfig = strings.NewReplacer(`"timeout":"1000ms"`, `"timeout":"60000ms"`, `"target_latency":"400ms"`, `"target_latency":"60000ms"`).Replace(plainConfig)
+var longTimeoutConfig = strings.NewReplacer(`"timeout":"1000ms"`, `"timeout":"60000ms"`, `"target_latency":"400ms"`, `"target_latency":"60000ms"`).Replace(plainConfig)
 
 // busyFleet has one target that works on one request at a time, and on a read for work.
 func busyFleet(t *testing.T, work time.Duration) (*fleet, *Gateway) {
-	f := newFleet(t, 1, patientConfig, plainTarget("a"))
+	f := newFleet(t, 1, longTimeoutConfig, plainTarget("a"))
 	g, target := f.gateways[0], f.targets["a"]
 	target.Answer(func(w http.ResponseWriter, r *http.Request) bool {
 		if r.Method != http.MethodGet {
@@ -47,7 +47,7 @@
 }
 
 // fill sends reads until one waits for a place.
-func (f *fleet) fill(g *Gateway) {
+func (f *fleet) fillSlots(g *Gateway) {
 	f.t.Helper()
 	for i := range 50 {
 		if g.service("any").waiters() > 0 {
@@ -81,7 +81,7 @@
 	for name, length := range map[string]int{"whole": 5, "midway": 500} {
 		t.Run(name, func(t *testing.T) {
 			f, g := busyFleet(t, 1500*time.Millisecond)
-			f.fill(g)
+			f.fillSlots(g)
 			before := g.handler.InFlight()
 			conn := f.upload(g, "left", "whole", length)
 			waittest.Until(t, "the upload is read", func() bool { return g.handler.InFlight() > before })
@@ -97,7 +97,7 @@
 // An upload that waits is sent whole, also one that is longer than what is read ahead.
 func TestUploadThatWaitsIsSentWhole(t *testing.T) {
 	f, g := busyFleet(t, 300*time.Millisecond)
-	f.fill(g)
+	f.fillSlots(g)
 	for _, size := range []int{1, readAheadBytes - 1, readAheadBytes, 5 * readAheadBytes} {
 		body := strings.Repeat("0123456789", size/10+1)[:size]
 		id := fmt.Sprintf("size-%d", size)
--- a/gateway/clusterstate.go
+++ b/gateway/clusterstate.go
@@ -14,7 +14,7 @@
 	"tarragongw/peer/feed"
 )
 
-// Keys that the routers write themselves.
+// Keys and key prefixes of the records that the routers write.
 const (
 	tablePrefix  = "tarragongw/keys/"
 	leaderPrefix = "tarragongw/leader/"
@@ -22,35 +22,36 @@
 	routerPrefix = "tarragongw/routers/"
 )
 
-// clusterState is the duty that turns what the store says into what the request path reads.
+// clusterState is the duty that turns records of the store and updates of the leader into the state
+// that the request path reads.
 type clusterState struct {
 	g    *Gateway
 	duty *duty.Duty
 
 	directory *directory.Directory
 	config    *routes.Config
-	// tables are the divisions of keys by service, with the revisions of their records.
+	// tables are the key tables by service, with the revisions of their records.
 	tables map[string]feed.Table
-	// routers are the live routers' records, and leader the revision of the leader's.
+	// routers has the names of the live routers.
 	routers map[string]bool
-	// known says which prefixes have been listed.
-	known     map[string]bool
-	timer     *time.Timer
-	tableLogs map[string]tableLog
+	// knownPrefixes has the prefixes whose records are known.
+	knownPrefixes map[string]bool
+	timer         *time.Timer
+	tableLogs     map[string]tableLog
 }
 
-// tick asks the duty to look at what has become due.
+// tick asks a duty to do what has become due.
 type tick struct{}
 
-// fromPrefix is what the watcher of one prefix tells.
-type fromPrefix struct {
+// prefixMessage is a message of the watcher of one prefix.
+type prefixMessage struct {
 	prefix  string
 	message any
 }
 
 func newClusterState(g *Gateway) *clusterState {
 	b := &clusterState{
-		g: g, directory: directory.New(), tables: map[string]feed.Table{}, routers: map[string]bool{}, known: map[string]bool{},
+		g: g, directory: directory.New(), tables: map[string]feed.Table{}, routers: map[string]bool{}, knownPrefixes: map[string]bool{},
 		tableLogs: map[string]tableLog{},
 	}
 	b.duty = g.startDuty(b.handle)
@@ -59,10 +60,10 @@
 
 func (b *clusterState) handle(message any) {
 	switch m := message.(type) {
-	case *fromPrefix:
+	case *prefixMessage:
 		b.handleChange(m)
 	case *feed.Update:
-		b.adopt(m)
+		b.applyUpdate(m)
 	case *feed.Table:
 		b.useNewerTable(m)
 	case tick:
@@ -70,8 +71,8 @@
 	}
 }
 
-// adopt takes over what the leader tells.
-func (b *clusterState) adopt(u *feed.Update) {
+// applyUpdate applies an update of the leader.
+func (b *clusterState) applyUpdate(u *feed.Update) {
 	if len(u.ConfigValue) > 0 {
 		b.handleConfig(&change{records: []kv.Record{{Key: b.g.opts.Adapter.ConfigKey, Value: u.ConfigValue}}})
 	}
@@ -88,22 +89,22 @@
 	}
 }
 
-// markKnown notes that what stands under the prefix is known.
+// markKnown records that the records under the prefix are known.
 func (b *clusterState) markKnown(prefix string) {
-	b.known[prefix] = true
+	b.knownPrefixes[prefix] = true
 	a := &b.g.opts.Adapter
 	if prefix == a.TargetPrefix {
 		b.g.subscription.source.SetKnown()
 	}
-	b.g.setKnown(b.config != nil && b.known[a.TargetPrefix])
+	b.g.setSynced(b.config != nil && b.knownPrefixes[a.TargetPrefix])
 }
 
-func (b *clusterState) handleChange(m *fromPrefix) {
-	if lost, ok := m.message.(*absence); ok {
+func (b *clusterState) handleChange(m *prefixMessage) {
+	if outage, ok := m.message.(*storeUnreachable); ok {
 		if m.prefix == b.g.opts.Adapter.TargetPrefix {
 			b.directory.StoreAway()
 		}
-		b.g.leader.duty.Tell(lost)
+		b.g.leader.duty.Tell(outage)
 		return
 	}
 	c, ok := m.message.(*change)
@@ -125,8 +126,8 @@
 	b.markKnown(m.prefix)
 }
 
-// handleConfig puts a configuration in force unless a newer one is. One that can't be read
-// leaves the one in force.
+// handleConfig applies a configuration unless a newer one is in force. A configuration that can't be
+// decoded is ignored.
 func (b *clusterState) handleConfig(c *change) {
 	for _, r := range c.records {
 		if r.Key != b.g.opts.Adapter.ConfigKey || r.Deleted {
@@ -134,25 +135,25 @@
 		}
 		config, err := b.g.opts.Adapter.DecodeConfig(r.Value)
 		if err != nil {
-			b.g.log.Error("configuration not readable", "revision", r.Revision, "err", err)
+			b.g.log.Error("configuration not decoded", "revision", r.Revision, "err", err)
 			continue
 		}
 		if b.config != nil && config.Version == b.config.Version {
-			continue // the feed of another leader begins with it
+			continue // sent again at the beginning of another leader's feed
 		}
 		if b.config != nil && config.Version < b.config.Version {
-			b.g.log.Info("older configuration passed over", "version", config.Version, "in_force", b.config.Version)
+			b.g.log.Info("older configuration ignored", "version", config.Version, "in_force", b.config.Version)
 			continue
 		}
 		b.config = config
 		b.g.log.Info("configuration in force", "version", config.Version, "revision", r.Revision,
 			"routes", len(config.Routes), "services", len(config.Services))
 		b.g.subscription.source.SetConfig(config.Version, r.Value)
-		b.putInForce(config)
+		b.applyConfig(config)
 	}
 }
 
-func (b *clusterState) putInForce(config *routes.Config) {
+func (b *clusterState) applyConfig(config *routes.Config) {
 	g := b.g
 	g.setServices(config)
 	g.view.Store(newView(config, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))))
@@ -160,18 +161,18 @@
 	for _, t := range b.tables {
 		b.useTable(t.Table)
 	}
-	// Before the targets are known there are none to hand out: the leader would take the
-	// holders of all keys for gone.
-	if b.known[g.opts.Adapter.TargetPrefix] {
+	// An empty list of targets must not be published before they are known: the leader would
+	// take the holders of all keys for gone.
+	if b.knownPrefixes[g.opts.Adapter.TargetPrefix] {
 		b.publishTargets(true)
 	}
 }
 
-// handleTargets notes what targets say of themselves.
+// handleTargets records the targets' entries in the store.
 func (b *clusterState) handleTargets(c *change) {
 	a := &b.g.opts.Adapter
 	restored := c.listed && b.g.restoredSince(c.at.Add(-directory.ReturnGrace))
-	if c.absent >= outage || restored {
+	if c.unreachableFor >= minOutage || restored {
 		b.directory.StoreAway()
 	}
 	b.directory.StoreBack(c.at)
@@ -204,23 +205,23 @@
 	return all
 }
 
-// readTarget reads an entry; one that can't be read names no target.
+// readTarget decodes an entry; it returns false if that fails.
 func (b *clusterState) readTarget(r kv.Record) (directory.Target, bool) {
 	t, err := b.g.opts.Adapter.DecodeTarget(r.Key, r.Value)
 	if err != nil {
-		b.g.log.Warn("entry of a target passed over", "key", r.Key, "err", err)
+		b.g.log.Warn("entry of a target ignored", "key", r.Key, "err", err)
 	}
 	return t, err == nil
 }
 
-// publishTargets hands the targets out where they have changed, and sees to it that what becomes
-// due later is looked at.
+// publishTargets publishes the targets if they have changed, and schedules a tick for the next change
+// that comes with time.
 func (b *clusterState) publishTargets(changed bool) {
 	if changed {
 		targets := b.directory.Targets()
 		b.g.setTargets(targets)
 		b.g.subscription.source.SetTargets(targets)
-		b.g.leader.duty.Tell(&targetsSeen{targets, b.directory.Ended()})
+		b.g.leader.duty.Tell(&targetStatus{targets, b.directory.Ended()})
 		b.g.log.Info("targets changed", "known", len(targets))
 	}
 	next := b.directory.Next()
@@ -233,38 +234,38 @@
 	b.timer = time.AfterFunc(max(time.Until(next), time.Millisecond), func() { b.duty.Tell(tick{}) })
 }
 
-// handleLeader notes who leads.
+// handleLeader records who leads.
 func (b *clusterState) handleLeader(c *change) {
-	there := false
+	found := false
 	for _, r := range c.records {
 		if r.Key == leaderKey {
-			there = true
+			found = true
 			b.observeLeader(r)
 		}
 	}
-	if c.listed && !there {
+	if c.listed && !found {
 		b.observeLeader(kv.Record{Key: leaderKey, Deleted: true})
 	}
 }
 
 func (b *clusterState) observeLeader(r kv.Record) {
-	seen := &leaderSeen{revision: r.Revision, present: !r.Deleted}
-	seen.name, seen.address, _ = strings.Cut(string(r.Value), leaderSeparator)
-	b.g.leader.duty.Tell(seen)
-	b.g.subscription.setLeader(*seen)
+	status := &leaderStatus{revision: r.Revision, present: !r.Deleted}
+	status.name, status.address, _ = strings.Cut(string(r.Value), leaderSeparator)
+	b.g.leader.duty.Tell(status)
+	b.g.subscription.setLeader(*status)
 }
 
-// handleRouters notes who is there.
+// handleRouters records which routers are live.
 func (b *clusterState) handleRouters(c *change) {
 	before, changed := len(b.routers), 0
-	seen := make(map[string]bool, len(c.records))
+	present := make(map[string]bool, len(c.records))
 	for _, r := range c.records {
 		name := strings.TrimPrefix(r.Key, routerPrefix)
-		seen[name] = !r.Deleted
+		present[name] = !r.Deleted
 		changed += b.setRouter(name, !r.Deleted)
 	}
 	for name := range b.routers {
-		if c.listed && !seen[name] {
+		if c.listed && !present[name] {
 			changed += b.setRouter(name, false)
 		}
 	}
@@ -274,26 +275,26 @@
 	b.g.log.Info("routers changed", "changes", changed, "before", before, "known", len(b.routers))
 	b.g.setRouters(max(len(b.routers), 1))
 	b.g.subscription.source.SetRouters(max(len(b.routers), 1))
-	b.g.leader.duty.Tell(routersCounted{})
+	b.g.leader.duty.Tell(routerCountRead{})
 }
 
-// setRouter notes whether a router is there, and returns 1 where that has changed.
-func (b *clusterState) setRouter(name string, there bool) int {
-	if there == b.routers[name] {
+// setRouter records whether a router is live, and returns 1 if that has changed, else 0.
+func (b *clusterState) setRouter(name string, present bool) int {
+	if present == b.routers[name] {
 		return 0
 	}
-	if there {
+	if present {
 		b.routers[name] = true
 		return 1
 	}
 	delete(b.routers, name)
 	if name == b.g.opts.Name {
-		b.g.members.renewNow()
+		b.g.membership.renewNow()
 	}
 	return 1
 }
 
-// handleTables notes divisions of keys as they stand in the store.
+// handleTables records key tables from the store.
 func (b *clusterState) handleTables(c *change) {
 	for _, r := range c.records {
 		if r.Deleted {
@@ -301,14 +302,14 @@
 		}
 		t, err := decodeTable(r.Value)
 		if err != nil {
-			b.g.log.Error("division of keys not readable", "key", r.Key, "revision", r.Revision, "err", err)
+			b.g.log.Error("key table not decoded", "key", r.Key, "revision", r.Revision, "err", err)
 			continue
 		}
 		b.useNewerTable(&feed.Table{Revision: uint64(tableVersion(t, r.Revision)), Table: t})
 	}
 }
 
-// useNewerTable puts a division in force unless a newer one is.
+// useNewerTable applies a key table unless a newer one is in force.
 func (b *clusterState) useNewerTable(t *feed.Table) {
 	name := t.Table.Service
 	if old, known := b.tables[name]; known && !t.Newer(&old) {
@@ -321,8 +322,8 @@
 	b.useTable(t.Table)
 }
 
-// tableLogInterval is the least time between two lines that tell of one service's table:
-// with hundreds of targets it changes some ten times a second.
+// tableLogInterval is the least time between two log lines about one service's key table: with
+// hundreds of targets it changes about ten times a second.
 const tableLogInterval = time.Second
 
 // tableLog is when a service's table was logged last, and how many changes were not.
@@ -349,17 +350,18 @@
 	}
 }
 
-// newBudget returns the budget of retries of one service.
+// newBudget returns the retry budget of one service.
 //
-// The platform counts attempts beyond the first over all routers in any window, as a share
-// of the requests and a number that is free. Half of what is free may be saved up and half
-// comes back within a window, so that no window sees more; a tenth is left for routers
-// whose count of routers is behind.
+// The platform limits the attempts beyond the first of all routers together in any window of time:
+// to a share of the requests plus a fixed number. Half of the fixed number may accumulate as a burst
+// and half is refilled within a window, so that no window gets more. A tenth of the limit is left
+// unused, for routers whose count of routers is out of date.
 func (g *Gateway) newBudget() *retry.Budget {
-	free := g.opts.RetryMin * budgetCaution / 2
+	minRetries := g.opts.RetryMin * budgetUsableShare / 2
 	return retry.NewBudget(retry.BudgetConfig{
-		Share: g.opts.RetryShare * budgetCaution, Burst: max(free, 1), Shared: true, MinPerSecond: free / g.opts.RetryWindow.Seconds(),
+		Share: g.opts.RetryShare * budgetUsableShare, Burst: max(minRetries, 1), Shared: true, MinPerSecond: minRetries / g.opts.RetryWindow.Seconds(),
 	}, g.routerCount())
 }
 
-const budgetCaution = 0.9
+// budgetUsableShare is the part of the platform's limit that is used, see newBudget.
+const budgetUsableShare = 0.9
--- a/gateway/era.go
+++ b/gateway/era.go
@@ -6,12 +6,12 @@
 	"tarragongw/kv"
 )
 
-// eraState is what this router knows of the store's era.
+// eraState is what this router knows about the store's era.
 type eraState struct {
 	era kv.Era
-	// seen is when the era was seen first.
-	seen time.Time
-	// restores counts the eras that have begun since the first that was seen.
+	// firstSeen is when the era was first seen.
+	firstSeen time.Time
+	// restores counts the changes of the era that this router has seen.
 	restores int
 }
 
@@ -24,49 +24,49 @@
 	return era
 }
 
-// noteEra notes the store's era. Watches that wait are asked anew where it has changed: they go on
-// from a revision that the store may not reach again for long.
+// noteEra records the store's era. If it has changed, pending watches are restarted: they wait for a
+// revision that the store may not reach again for a long time.
 func (g *Gateway) noteEra(era kv.Era) {
 	if g.setEra(era) {
-		g.subscription.rewatch()
+		g.subscription.restartWatches()
 	}
 }
 
-// setEra notes the store's era, logs that the store was restored, and returns whether it was.
+// setEra records the store's era, and reports and logs whether the store was restored.
 func (g *Gateway) setEra(era kv.Era) bool {
 	g.eraMu.Lock()
 	defer g.eraMu.Unlock()
-	before := g.eras
-	if !before.seen.IsZero() && before.era == era {
+	before := g.eraState
+	if !before.firstSeen.IsZero() && before.era == era {
 		return false
 	}
-	g.eras = eraState{era: era, seen: time.Now(), restores: before.restores}
+	g.eraState = eraState{era: era, firstSeen: time.Now(), restores: before.restores}
 	if tel := g.opts.Telemetry; tel != nil {
 		tel.Scope().Gauge("store_era").Update(float64(era))
 	}
-	if before.seen.IsZero() {
+	if before.firstSeen.IsZero() {
 		return false
 	}
-	g.eras.restores++
+	g.eraState.restores++
 	if tel := g.opts.Telemetry; tel != nil {
 		tel.Scope().Counter("store_restores_total").Inc(1)
 	}
-	g.log.Warn("store restored from an older copy", "era", era, "before", before.era, "restores", g.eras.restores)
+	g.log.Warn("store restored from an older copy", "era", era, "before", before.era, "restores", g.eraState.restores)
 	return true
 }
 
-// eraSeen is when the store's era was seen first.
-func (g *Gateway) eraSeen() time.Time {
+// eraFirstSeen returns when the store's era was first seen.
+func (g *Gateway) eraFirstSeen() time.Time {
 	g.era()
 	g.eraMu.Lock()
 	defer g.eraMu.Unlock()
-	return g.eras.seen
+	return g.eraState.firstSeen
 }
 
-// restoredSince reports whether the store was seen restored after a time.
-func (g *Gateway) restoredSince(at time.Time) bool {
+// restoredSince reports whether a restore of the store was seen after the given time.
+func (g *Gateway) restoredSince(since time.Time) bool {
 	g.era()
 	g.eraMu.Lock()
 	defer g.eraMu.Unlock()
-	return g.eras.restores > 0 && g.eras.seen.After(at)
+	return g.eraState.restores > 0 && g.eraState.firstSeen.After(since)
 }
--- a/gateway/feedupdates.go
+++ b/gateway/feedupdates.go
@@ -5,9 +5,9 @@
 // updateHandler handles what one leader sends to this router.
 type updateHandler struct {
 	f      *subscription
-	leader leaderSeen
+	leader leaderStatus
 	// fed says that the last update was of a leader that hears from the store.
-	fed bool
+	current bool
 }
 
 func (h *updateHandler) handle(u *feed.Update) {
@@ -16,14 +16,14 @@
 		return
 	}
 	f := h.f
-	if !h.fed {
-		h.fed = true
+	if !h.current {
+		h.current = true
 		f.g.log.Info("fed", "leader", h.leader.name, "term", h.leader.revision)
 		f.setConnected(true)
 		f.stopWatching()
-		f.g.members.renewNow()
+		f.g.membership.renewNow()
 	}
-	f.compare(u.Config)
+	f.checkConfigVersion(u.Config)
 	f.g.setServiceTimes(u.ServiceTimes)
 	f.g.setLimits(u.Limits)
 	if u.Whole || len(u.Targets)+len(u.Gone)+len(u.Tables)+len(u.ConfigValue) > 0 || u.Routers > 0 && u.Routers != f.g.routerCount() {
@@ -34,15 +34,15 @@
 // handleStale handles what a leader sends that doesn't hear from the store: tables at most.
 func (h *updateHandler) handleStale(u *feed.Update) {
 	f := h.f
-	if h.fed || !f.setConnected(true) {
+	if h.current || !f.setConnected(true) {
 		f.g.log.Info("leader doesn't hear from the store", "leader", h.leader.name, "term", h.leader.revision)
-		f.g.members.renewNow()
+		f.g.membership.renewNow()
 	}
-	if h.fed {
+	if h.current {
 		f.searchLeader(staleSearchDelay)
 	}
-	h.fed = false
-	f.unsubscribed(f.staleDelay())
+	h.current = false
+	f.scheduleFallback(f.staleDelay())
 	if len(u.Tables) > 0 {
 		f.g.state.duty.Tell(u)
 	}
--- a/gateway/fleet_test.go
+++ b/gateway/fleet_test.go
@@ -22,7 +22,7 @@
 	waittest.Until(t, "all keys have a holder", func() bool { return f.holder(0) != "" && f.holder(keyspace.LastKey) != "" })
 	for k := 0; k <= int(keyspace.LastKey); k += 5000 {
 		for _, g := range f.gateways {
-			got := f.served(g, call{method: "GET", path: "/read/1", key: k})
+			got := f.sendUntilServed(g, call{method: "GET", path: "/read/1", key: k})
 			holder := f.holder(keyspace.Key(k))
 			assert.Equal(t, got.body, holder+" ran "+got.id)
 			seen[holder] = true
@@ -36,10 +36,10 @@
 // Symptom: keys are not served for seconds after the loss of one router.
 // Sequence: the leader's process is lost without a word.
 func TestAnotherRouterLeadsBeforeGrantsLapse(t *testing.T) {
-	unstalled(t, func() error {
+	retryOnStall(t, func() error {
 		f := newFleet(t, 3, keyedConfig, keyedTarget("a"), keyedTarget("b"))
-		f.served(f.gateways[0], call{method: "GET", path: "/read/1", key: 7})
-		f.served(f.gateways[0], call{method: "GET", path: "/read/1", key: 65000})
+		f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 7})
+		f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 65000})
 		old := f.leader()
 		abandon(old)
 		var other *Gateway
@@ -69,15 +69,15 @@
 	keys := []int{7, 30000, 65000}
 	holders := map[int]string{}
 	for _, key := range keys {
-		f.served(f.gateways[0], call{method: "GET", path: "/read/1", key: key})
+		f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: key})
 		holders[key] = f.holder(keyspace.Key(key))
 	}
 	abandon(f.gateways[0])
-	f.slow = platform.TargetPrefix
+	f.slowPrefix = platform.TargetPrefix
 	g := f.start("router-1")
 	waittest.Until(t, "it leads", func() bool { return f.leader() == g })
 	for _, key := range keys {
-		f.served(g, call{method: "GET", path: "/read/1", key: key})
+		f.sendUntilServed(g, call{method: "GET", path: "/read/1", key: key})
 		assert.Equal(t, f.holder(keyspace.Key(key)), holders[key])
 	}
 	assert.Assert(t, !strings.Contains(f.log.String(), "kind=release"), "keys were taken")
@@ -86,17 +86,17 @@
 // A target that says that it leaves hands its keys over, and gets no new work.
 func TestLeavingTargetHandsItsKeysOver(t *testing.T) {
 	f := newFleet(t, 2, keyedConfig, keyedTarget("a"), keyedTarget("b"))
-	f.served(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
+	f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
 	leaving := f.targets[f.holder(100)]
 	leaving.Drain(f.store)
 	waittest.Until(t, "another target holds the key", func() bool {
 		holder := f.holder(100)
 		return holder != "" && holder != leaving.ID
 	})
-	f.served(f.gateways[1], call{method: "GET", path: "/read/1", key: 100})
+	f.sendUntilServed(f.gateways[1], call{method: "GET", path: "/read/1", key: 100})
 	before := len(leaving.Runs())
 	for range 50 {
-		f.served(f.gateways[1], call{method: "GET", path: "/read/1", key: 100})
+		f.sendUntilServed(f.gateways[1], call{method: "GET", path: "/read/1", key: 100})
 	}
 	assert.Equal(t, len(leaving.Runs()), before)
 }
@@ -104,29 +104,29 @@
 // Symptom: the keys of a target that was lost without a word are never served again.
 func TestKeysOfASilentTargetMoveOnceTheirGrantHasLapsed(t *testing.T) {
 	f := newFleet(t, 1, keyedConfig, keyedTarget("a"), keyedTarget("b"))
-	f.served(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
+	f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
 	lost := f.targets[f.holder(100)]
 	lost.Close()
 	began := time.Now()
-	f.served(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
+	f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
 	assert.Assert(t, time.Since(began) < 6*time.Second, "after %v", time.Since(began))
 }
 
 // A target that starts again under its id holds nothing and is granted its keys anew.
 func TestTargetBornAgainIsGrantedItsKeysAnew(t *testing.T) {
 	f := newFleet(t, 1, keyedConfig, keyedTarget("a"))
-	f.served(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
+	f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
 	f.targets["a"].Reborn(f.store)
-	f.served(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
+	f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
 }
 
 // While the store refuses all calls, requests and grants go on.
 func TestStoreAwayStopsNothing(t *testing.T) {
-	unstalled(t, func() error {
+	retryOnStall(t, func() error {
 		f := newFleet(t, 2, keyedConfig, keyedTarget("a"), keyedTarget("b"))
 		keys := []int{100, 65000}
 		for _, key := range keys {
-			f.served(f.gateways[0], call{method: "GET", path: "/read/1", key: key})
+			f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: key})
 		}
 		f.store.Refuse(http.StatusServiceUnavailable)
 		for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -137,7 +137,7 @@
 			}
 		}
 		f.store.Refuse(0)
-		f.served(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
+		f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
 		return nil
 	})
 }
@@ -200,8 +200,8 @@
 	f := newFleet(t, 1, plainConfig, plainTarget("a"))
 	g := f.gateways[0]
 	f.targets["a"].SetWork(700 * time.Millisecond)
-	under := make(chan answer, 1)
-	go func() { under <- f.sendAs(g, call{method: "POST", path: "/pay/1", key: -1, body: "x"}, "under-way") }()
+	inFlight := make(chan answer, 1)
+	go func() { inFlight <- f.sendAs(g, call{method: "POST", path: "/pay/1", key: -1, body: "x"}, "under-way") }()
 	waittest.Until(t, "the request runs", func() bool { return len(f.targets["a"].Runs()) == 1 })
 	stopped := make(chan int, 1)
 	go func() { stopped <- g.Stop() }()
@@ -213,7 +213,7 @@
 	})
 	late := f.sendAs(g, call{method: "POST", path: "/pay/2", key: -1, body: "x"}, "late")
 	assert.Equal(t, late.status, http.StatusOK)
-	got := <-under
+	got := <-inFlight
 	assert.Equal(t, got.status, http.StatusOK)
 	assert.Equal(t, <-stopped, 0)
 }
@@ -242,7 +242,7 @@
 // The leader that stops gives the lead up at once.
 func TestStoppingLeaderHandsTheLeadOver(t *testing.T) {
 	f := newFleet(t, 2, keyedConfig, keyedTarget("a"))
-	f.served(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
+	f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
 	old := f.leader()
 	go old.Stop()
 	began := time.Now()
@@ -254,9 +254,9 @@
 // store is back.
 // Sequence: the store goes away, and the leader is stopped before it has noticed.
 func TestLeaderThatStopsWithoutTheStoreLeadsOn(t *testing.T) {
-	unstalled(t, func() error {
+	retryOnStall(t, func() error {
 		f := newFleet(t, 3, keyedConfig, keyedTarget("a"))
-		f.served(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
+		f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
 		old := f.leader()
 		other := f.gateways[0]
 		if other == old {
@@ -303,7 +303,7 @@
 		return fed == 3
 	})
 	time.Sleep(400 * time.Millisecond) // what the start itself asks for is over
-	unstalled(t, func() error {
+	retryOnStall(t, func() error {
 		before := f.store.Calls()
 		for range 20 {
 			f.targets["a"].Register(f.store)
@@ -333,7 +333,7 @@
 	f.start("router-0")
 	waittest.Until(t, "the fleet's records are read", func() bool { return f.store.Calls()["kv-range "+leaderPrefix] > 0 })
 	f.store.Refuse(http.StatusServiceUnavailable)
-	f.gateways[0].leader.duty.Tell(&leaderSeen{})
+	f.gateways[0].leader.duty.Tell(&leaderStatus{})
 	before := f.store.Calls()
 	time.Sleep(1500 * time.Millisecond)
 	after := f.store.Calls()
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -21,7 +21,7 @@
 	maxSends = 4
 	// tablePatience is how long a request that its key's holder refused waits for a newer
 	// division of the keys, which travels to all routers in some milliseconds.
-	tablePatience = 150 * time.Millisecond
+	newerTableTimeout = 150 * time.Millisecond
 	// maxKeptBytes bounds what is kept of a body for another send: the size of a large photo.
 	maxKeptBytes = 512 << 10
 	// headerOverhead is about the size of both headers, in bytes.
@@ -30,15 +30,15 @@
 
 // exchange is one caller's request while it is being served.
 type exchange struct {
-	g     *Gateway
-	w     http.ResponseWriter
-	r     *http.Request
-	meta  *request.Meta
-	route *route
-	s     *service
-	key   *keyspace.Key
-	body  *replay.Body
-	began time.Time
+	g       *Gateway
+	w       http.ResponseWriter
+	r       *http.Request
+	meta    *request.Meta
+	route   *route
+	service *service
+	key     *keyspace.Key
+	body    *replay.Body
+	began   time.Time
 	// age is how long the caller has waited already, in attempts before this one.
 	age time.Duration
 	// sends counts the times that the request was sent, and targets those to which it was.
@@ -56,15 +56,15 @@
 	if f != nil {
 		return f
 	}
-	x.s.counted()
+	x.service.countRequest()
 	x.body.RewindInto(x.r)
 	for {
 		f := x.attempt()
 		if f == nil {
 			return nil
 		}
-		if !x.body.RewindInto(x.r) || !x.again(f) {
-			return final(f)
+		if !x.body.RewindInto(x.r) || !x.mayRepeat(f) {
+			return callerFault(f)
 		}
 	}
 }
@@ -82,7 +82,7 @@
 	if limit := v.config.Limits.BodyBytes; limit > 0 && r.ContentLength > limit {
 		return nil, fault.New(fault.TooLarge, "the body is longer than the configuration allows")
 	}
-	name, ok := to.next()
+	name, ok := to.nextService()
 	if !ok {
 		return nil, fault.New(fault.NoOwner, "the route has no service with a weight")
 	}
@@ -91,9 +91,9 @@
 		return nil, fault.New(fault.NoOwner, "service "+name+" is not configured")
 	}
 	x := &exchange{
-		g: g, w: w, r: r, meta: meta, route: to, s: s, body: replay.New(r, maxKeptBytes), began: time.Now(), targets: map[string]bool{},
+		g: g, w: w, r: r, meta: meta, route: to, service: s, body: replay.New(r, maxKeptBytes), began: time.Now(), targets: map[string]bool{},
 	}
-	x.age = g.patience.age(to.Name, r.Header.Get(g.opts.Adapter.Headers.Deadline))
+	x.age = g.callerAges.age(to.Name, r.Header.Get(g.opts.Adapter.Headers.Deadline))
 	if s.byKey {
 		key, f := keyOf(r.Header, g.opts.Adapter.Headers.Key)
 		if f != nil {
@@ -102,13 +102,13 @@
 		x.key = key
 		s.keyLoad.add(*key)
 	}
-	keepTarget(r)
+	keepRequestURI(r)
 	return x, nil
 }
 
 // keepTarget has the request's path and query written as the caller wrote them: taken
 // apart and put together again, an unusual escape would come out as another path.
-func keepTarget(r *http.Request) {
+func keepRequestURI(r *http.Request) {
 	if len(r.RequestURI) > 1 && r.RequestURI[0] == '/' && r.RequestURI[1] != '/' {
 		u := *r.URL
 		u.Opaque, u.RawQuery, u.ForceQuery = r.RequestURI, "", false
@@ -121,20 +121,20 @@
 
 // attempt places the request and sends it once.
 func (x *exchange) attempt() *fault.Fault {
-	x.table, _ = x.s.currentTable()
-	asked := time.Now()
+	x.table, _ = x.service.currentTable()
+	began := time.Now()
 	d, f := x.place()
 	if f != nil {
-		x.g.log.Info("refused", "id", x.meta.ID, "service", x.s.name, "config", x.route.version, "waited", time.Since(asked),
+		x.g.log.Info("refused", "id", x.meta.ID, "service", x.service.name, "config", x.route.version, "waited", time.Since(began),
 			"kind", f.Kind, "detail", f.Detail, "retry_after", f.Wait())
 		return f
 	}
-	x.g.logPlaced(x, &d, time.Since(asked))
+	x.g.logPlaced(x, &d, time.Since(began))
 	return x.send(&d)
 }
 
 // ask describes the request to who places it.
-func (x *exchange) ask() dispatch.Request {
+func (x *exchange) dispatchRequest() dispatch.Request {
 	q := dispatch.Request{
 		Key: x.key, Rank: x.route.Rank, Deadline: x.meta.Deadline, Avoid: x.avoid, Admitted: x.sends > 0,
 		Bytes: x.g.sizes.expect(x.route.Name, x.r) + headerOverhead,
@@ -149,8 +149,8 @@
 func (x *exchange) send(d *dispatch.Decision) *fault.Fault {
 	began := time.Now()
 	result := dispatch.Failed
-	defer func() { x.s.done(d.Target.ID, result, time.Since(began), d.Turns) }()
-	pool, err := x.g.pools.get(&d.Target, x.g.connsOf(x.s.name))
+	defer func() { x.service.done(d.Target.ID, result, time.Since(began), d.Turns) }()
+	pool, err := x.g.pools.get(&d.Target, x.g.connLimit(x.service.name))
 	if err != nil {
 		return fault.Wrap(fault.TargetUnreachable, err, "")
 	}
@@ -160,35 +160,35 @@
 	resp, f := pool.AttemptOn(x.r.Context(), x.r, target.Terms{Allowed: func() *fault.Fault { return x.setHeaders(d) }})
 	if f != nil {
 		result = resultOf(f)
-		x.failed(began, d, f)
+		x.recordFailure(began, d, f)
 		return f
 	}
-	if failed := resp.StatusCode >= http.StatusInternalServerError; failed && x.mayReplace() {
+	if failed := resp.StatusCode >= http.StatusInternalServerError; failed && x.mayReplaceAnswer() {
 		resp.Body.Close()
 		f := fault.New(fault.TargetLost, "the target answered "+strconv.Itoa(resp.StatusCode))
-		x.failed(began, d, f)
+		x.recordFailure(began, d, f)
 		return f
 	} else if !failed {
 		result = dispatch.Answered
 	}
-	x.g.sizes.note(x.route.Name, x.r, resp)
+	x.g.sizes.record(x.route.Name, x.r, resp)
 	f = caller.CopyAnswer(x.w, resp)
 	if f != nil {
 		result = resultOf(f)
-		x.failed(began, d, f)
+		x.recordFailure(began, d, f)
 	}
 	return f
 }
 
 // mayReplace reports whether an answer that says that the target failed may be replaced by
 // another target's, and takes what that costs. Where the key binds there is no other. The request's next send follows for certain.
-func (x *exchange) mayReplace() bool {
-	return x.route.Repeat == routes.Idempotent && !x.s.byKey && x.mayGoOn() && x.s.mayRetry()
+func (x *exchange) mayReplaceAnswer() bool {
+	return x.route.Repeat == routes.Idempotent && !x.service.byKey && x.mayResend() && x.service.takeRetry()
 }
 
 // mayGoOn reports whether the request's own bounds allow another send.
-func (x *exchange) mayGoOn() bool {
-	return x.sends < maxSends && (len(x.targets) < x.route.MaxTargets || x.s.byKey) && x.r.Context().Err() == nil
+func (x *exchange) mayResend() bool {
+	return x.sends < maxSends && (len(x.targets) < x.route.MaxTargets || x.service.byKey) && x.r.Context().Err() == nil
 }
 
 // setHeaders names the target and the time that is left, right before the request is
@@ -227,7 +227,7 @@
 }
 
 // failed keeps and logs an attempt that failed.
-func (x *exchange) failed(began time.Time, d *dispatch.Decision, f *fault.Fault) {
+func (x *exchange) recordFailure(began time.Time, d *dispatch.Decision, f *fault.Fault) {
 	a := request.Attempt{
 		Number: x.sends, After: began.Sub(x.began), Took: time.Since(began), Target: d.Target.ID, Fault: f,
 	}
@@ -237,7 +237,7 @@
 }
 
 // again decides whether the request is sent once more after f.
-func (x *exchange) again(f *fault.Fault) bool {
+func (x *exchange) mayRepeat(f *fault.Fault) bool {
 	if x.sends == 0 || f.Kind == fault.DeadlineUnmeetable {
 		return false // it was refused a place, after all the waiting that is worth it
 	}
@@ -245,26 +245,26 @@
 		return true // mayReplace has paid for it
 	}
 	repeatable := x.route.Repeat == routes.Idempotent
-	if retry.Permitted(f, repeatable) != retry.Allowed && !(repeatable && f.Kind == fault.AnswerInvalid) || !x.mayGoOn() {
+	if retry.Permitted(f, repeatable) != retry.Allowed && !(repeatable && f.Kind == fault.AnswerInvalid) || !x.mayResend() {
 		return false
 	}
-	if f.Kind == fault.StaleRoute && x.s.byKey && !x.newerTable() {
+	if f.Kind == fault.StaleRoute && x.service.byKey && !x.waitForNewerTable() {
 		return false
 	}
 	if f.Kind == fault.TargetUnreachable {
 		return true // nothing arrived anywhere
 	}
-	return x.s.mayRetry()
+	return x.service.takeRetry()
 }
 
 // newerTable waits for a division of the keys after the one that sent the request to a
 // target which doesn't hold its key.
-func (x *exchange) newerTable() bool {
-	table, changed := x.s.currentTable()
+func (x *exchange) waitForNewerTable() bool {
+	table, changed := x.service.currentTable()
 	if table != x.table {
 		return true
 	}
-	timer := time.NewTimer(tablePatience)
+	timer := time.NewTimer(newerTableTimeout)
 	defer timer.Stop()
 	select {
 	case <-changed:
@@ -279,16 +279,16 @@
 // final turns the last fault into what the caller is told. A request that certainly did
 // not run is refused with an advice to come back, whatever kept it from running: callers
 // may then repeat also what must not run twice.
-func final(f *fault.Fault) *fault.Fault {
+func callerFault(f *fault.Fault) *fault.Fault {
 	if f.Ran != fault.NotRun {
 		return f
 	}
 	switch f.Kind {
 	case fault.TargetUnreachable, fault.DeadlineExceeded:
-		told := *f
-		told.Kind = fault.TargetRefused
-		if told.Kind.Row().Status == http.StatusServiceUnavailable {
-			return &told
+		refused := *f
+		refused.Kind = fault.TargetRefused
+		if refused.Kind.Row().Status == http.StatusServiceUnavailable {
+			return &refused
 		}
 	}
 	return f
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -36,11 +36,11 @@
 	pools        *pools
 	state        *clusterState
 	leader       *leader
-	members      *members
+	membership   *membership
 	subscription *subscription
 	gate         storeGate
 	sizes        sizes
-	patience     patience
+	callerAges   callerAges
 
 	mu       sync.RWMutex
 	services map[string]*service
@@ -49,13 +49,13 @@
 	// tables are the newest divisions of keys, feed.Table by service.
 	tables sync.Map
 
-	eraMu sync.Mutex
-	eras  eraState
+	eraMu    sync.Mutex
+	eraState eraState
 
 	// known says that everything has been read from the store once; leaving that the
 	// process is to stop.
-	known, leaving atomic.Bool
-	firstKnown     chan struct{}
+	synced, stopping atomic.Bool
+	firstSync        chan struct{}
 
 	callerListener, readyListener, metricsListener, peerListener net.Listener
 	readyServer, metricsServer                                   *http.Server
@@ -71,7 +71,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &Gateway{opts: opts, log: opts.Logger, services: map[string]*service{}, firstKnown: make(chan struct{})}
+	g := &Gateway{opts: opts, log: opts.Logger, services: map[string]*service{}, firstSync: make(chan struct{})}
 	g.lifetime, g.cancel = context.WithCancel(context.Background())
 	g.workers = duty.NewWorkers(g.lifetime)
 	g.system = duty.NewSystem(g.log)
@@ -89,8 +89,8 @@
 func (g *Gateway) callerConfig(limits *routes.CallerLimits) caller.Config {
 	c := caller.Config{
 		RequestIDHeader: http.CanonicalHeaderKey(g.opts.Adapter.Headers.RequestID),
-		Untraced:        true, FractionalWaits: true, Promises: true, ClosesAfter: g.leaving.Load, Logger: g.log,
-		LookAhead: lookAhead, AnswerBefore: answerBefore,
+		Untraced:        true, FractionalWaits: true, Promises: true, ClosesAfter: g.stopping.Load, Logger: g.log,
+		LookAhead: lookAhead, AnswerBefore: answerMargin,
 	}
 	if limits != nil {
 		c.ReadHeaderTimeout, c.IdleTimeout, c.MaxHeaderBytes = limits.HeaderTimeout, limits.IdleTimeout, limits.HeaderBytes
@@ -104,7 +104,7 @@
 
 // answerBefore covers the way to a caller in another region and a short wait for this
 // router's processor.
-const answerBefore = 40 * time.Millisecond
+const answerMargin = 40 * time.Millisecond
 
 func (g *Gateway) listen() error {
 	for _, l := range []struct {
@@ -129,14 +129,14 @@
 // Start begins to follow the store and to serve.
 func (g *Gateway) Start() {
 	g.leader = newLeader(g)
-	g.members = newMembers(g)
+	g.membership = newMembership(g)
 	g.state = newClusterState(g)
 	g.subscription = newSubscription(g)
 	g.goRun(g.subscription.run)
 	if g.peerListener != nil {
 		g.goRun(g.serveFollowers)
 	}
-	g.goRun(func() { g.members.run(g.lifetime) })
+	g.goRun(func() { g.membership.run(g.lifetime) })
 	g.serveReady()
 	g.serveMetrics()
 	g.goRun(g.serveCallers)
@@ -160,13 +160,13 @@
 
 // firstPatience is how long callers' connections wait for the first configuration, whose
 // limits the server then has from its start. After it they are answered "not ready".
-const firstPatience = 1500 * time.Millisecond
+const firstConfigTimeout = 1500 * time.Millisecond
 
 func (g *Gateway) serveCallers() {
-	timer := time.NewTimer(firstPatience)
+	timer := time.NewTimer(firstConfigTimeout)
 	defer timer.Stop()
 	select {
-	case <-g.firstKnown:
+	case <-g.firstSync:
 	case <-timer.C:
 	case <-g.lifetime.Done():
 		return
@@ -184,11 +184,11 @@
 }
 
 // setKnown notes whether everything has been read from the store.
-func (g *Gateway) setKnown(known bool) {
-	if !known || g.known.Swap(true) {
+func (g *Gateway) setSynced(synced bool) {
+	if !synced || g.synced.Swap(true) {
 		return
 	}
-	close(g.firstKnown)
+	close(g.firstSync)
 	g.log.Info("ready")
 }
 
@@ -247,7 +247,7 @@
 }
 
 // connsOf is how many connections this router may have to one target of the service.
-func (g *Gateway) connsOf(name string) int {
+func (g *Gateway) connLimit(name string) int {
 	v := g.view.Load()
 	if v == nil {
 		return minConns
@@ -256,7 +256,7 @@
 	if spec == nil || spec.MaxConns <= 0 {
 		return defaultConns
 	}
-	return connsFor(spec.MaxConns, g.routerCount())
+	return connsPerRouter(spec.MaxConns, g.routerCount())
 }
 
 // defaultConns is used where the configuration sets no bound on connections.
@@ -269,6 +269,6 @@
 		return
 	}
 	if s := g.service(t.Service); s != nil {
-		s.report(t.ID, report)
+		s.recordReport(t.ID, report)
 	}
 }
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -36,26 +36,26 @@
 	nextID   int
 	client   *http.Client
 	// ways are the gateways' ways to the store, by name.
-	ways map[string]*way
+	links map[string]*storeLink
 	// knownWithin is Options.KnownWithin of gateways that start.
 	knownWithin time.Duration
 	// slow is a prefix whose listings take slowListing for gateways that start.
-	slow string
+	slowPrefix string
 }
 
 // slowListing is long enough for all other calls of a gateway that starts.
 const slowListing = 400 * time.Millisecond
 
 // way is a gateway's way to the store, which can be cut.
-type way struct {
+type storeLink struct {
 	kv.Ledger
 	cut atomic.Bool
 	// slow delays listings of the prefix by slowFor.
-	slow    string
-	slowFor time.Duration
+	slowPrefix string
+	slowDelay  time.Duration
 }
 
-func (w *way) err() error {
+func (w *storeLink) errIfCut() error {
 	if w.cut.Load() {
 		return kv.ErrUnavailable
 	}
@@ -63,36 +63,36 @@
 }
 
 // Get implements kv.Ledger.
-func (w *way) Get(ctx context.Context, key string) (kv.Record, error) {
-	if err := w.err(); err != nil {
+func (w *storeLink) Get(ctx context.Context, key string) (kv.Record, error) {
+	if err := w.errIfCut(); err != nil {
 		return kv.Record{}, err
 	}
 	return w.Ledger.Get(ctx, key)
 }
 
 // List implements kv.Ledger.
-func (w *way) List(ctx context.Context, prefix string) ([]kv.Record, kv.Revision, error) {
-	if err := w.err(); err != nil {
+func (w *storeLink) List(ctx context.Context, prefix string) ([]kv.Record, kv.Revision, error) {
+	if err := w.errIfCut(); err != nil {
 		return nil, 0, err
 	}
-	if prefix == w.slow {
-		time.Sleep(w.slowFor)
+	if prefix == w.slowPrefix {
+		time.Sleep(w.slowDelay)
 	}
 	return w.Ledger.List(ctx, prefix)
 }
 
 // Watch implements kv.Ledger; a cut loses also what a watch that waits would bring.
-func (w *way) Watch(ctx context.Context, prefix string, since kv.Revision, wait time.Duration) ([]kv.Record, kv.Revision, error) {
+func (w *storeLink) Watch(ctx context.Context, prefix string, since kv.Revision, wait time.Duration) ([]kv.Record, kv.Revision, error) {
 	records, at, err := w.Ledger.Watch(ctx, prefix, since, wait)
-	if cut := w.err(); cut != nil {
-		return nil, 0, cut
+	if cutErr := w.errIfCut(); cutErr != nil {
+		return nil, 0, cutErr
 	}
 	return records, at, err
 }
 
 // KeepLease implements kv.Ledger.
-func (w *way) KeepLease(ctx context.Context, id kv.LeaseID) error {
-	if err := w.err(); err != nil {
+func (w *storeLink) KeepLease(ctx context.Context, id kv.LeaseID) error {
+	if err := w.errIfCut(); err != nil {
 		return err
 	}
 	return w.Ledger.KeepLease(ctx, id)
@@ -102,7 +102,7 @@
 
 // newFleet starts gateways on a store that has the configuration and the targets.
 func newFleet(t *testing.T, gateways int, config string, targets ...*platformtest.Target) *fleet {
-	f := &fleet{t: t, store: platformtest.NewStore(), targets: map[string]*platformtest.Target{}, ways: map[string]*way{}, client: &http.Client{}}
+	f := &fleet{t: t, store: platformtest.NewStore(), targets: map[string]*platformtest.Target{}, links: map[string]*storeLink{}, client: &http.Client{}}
 	t.Cleanup(f.close)
 	if config != "" {
 		f.configure(config)
@@ -115,7 +115,7 @@
 	}
 	if config != "" {
 		for _, g := range f.gateways {
-			waittest.Until(t, "the gateway is ready", g.known.Load)
+			waittest.Until(t, "the gateway is ready", g.synced.Load)
 		}
 	}
 	return f
@@ -175,10 +175,10 @@
 func (f *fleet) start(name string) *Gateway {
 	f.t.Helper()
 	orders := platform.NewOrders()
-	f.ways[name] = &way{Ledger: platform.NewStore(f.store.Address()), slow: f.slow, slowFor: slowListing}
+	f.links[name] = &storeLink{Ledger: platform.NewStore(f.store.Address()), slowPrefix: f.slowPrefix, slowDelay: slowListing}
 	g, err := New(Options{
 		Name: name, DataCentre: "hall", CallerAddress: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0", PeerAddress: "127.0.0.1:0",
-		Store: f.ways[name], LeaseMin: time.Second, KnownWithin: f.knownWithin, HoldMax: 10 * time.Second, Grace: 3 * time.Second,
+		Store: f.links[name], LeaseMin: time.Second, KnownWithin: f.knownWithin, HoldMax: 10 * time.Second, Grace: 3 * time.Second,
 		RetryShare: 0.2, RetryMin: 60, RetryWindow: 10 * time.Second,
 		Logger: slog.New(slog.NewTextHandler(&f.log, nil)).With("router", name),
 		Adapter: Adapter{
@@ -248,7 +248,7 @@
 }
 
 // served sends until the call is answered 200, since keys may be on their way.
-func (f *fleet) served(g *Gateway, c call) answer {
+func (f *fleet) sendUntilServed(g *Gateway, c call) answer {
 	f.t.Helper()
 	var last answer
 	waittest.Until(f.t, c.path+" is served", func() bool {
@@ -271,11 +271,11 @@
 
 // leader is the gateway that leads, or nil.
 func (f *fleet) leader() *Gateway {
-	return f.leaderBut(nil)
+	return f.leaderOtherThan(nil)
 }
 
 // leaderBut is the gateway that leads and is not the one given, or nil.
-func (f *fleet) leaderBut(other *Gateway) *Gateway {
+func (f *fleet) leaderOtherThan(other *Gateway) *Gateway {
 	for _, g := range f.gateways {
 		g.subscription.mu.Lock()
 		leads := g.subscription.term != nil && g.lifetime.Err() == nil
@@ -328,7 +328,7 @@
 	// stallTick is how often a watcher of the process looks at the clock, and stallMost how
 	// late it may be: leases of a second are kept by renewals some hundred milliseconds apart.
 	stallTick = 20 * time.Millisecond
-	stallMost = 250 * time.Millisecond
+	maxStall  = 250 * time.Millisecond
 	// stallTries is how often a check is made again that a stall has spoilt.
 	stallTries = 5
 )
@@ -336,7 +336,7 @@
 // unstalled makes a check that rests on leases kept in time. Where it fails and the whole
 // process was seen to stand still meanwhile, which no router could have borne, it is made
 // again; a failure without a stall fails the test.
-func unstalled(t *testing.T, check func() error) {
+func retryOnStall(t *testing.T, check func() error) {
 	t.Helper()
 	var err error
 	for range stallTries {
@@ -350,7 +350,7 @@
 			return
 		}
 		t.Logf("%v; the process stood still for up to %v", err, stall)
-		if stall < stallMost {
+		if stall < maxStall {
 			break
 		}
 	}
--- a/gateway/leader.go
+++ b/gateway/leader.go
@@ -17,97 +17,102 @@
 )
 
 const (
-	// leaderTTL is how long the keys go without a leader that was lost without a word. With
-	// the keep interval it is short enough that another renews all grants before they lapse.
+	// leaderTTL is the TTL of the leader's lease: how long the keys stay without a leader
+	// after the leader's process has crashed. Together with leaderRenewInterval it is short
+	// enough for the next leader to renew all grants before they expire.
 	leaderTTL           = 1200 * time.Millisecond
 	leaderRenewInterval = 400 * time.Millisecond
-	// aloneBound is how long after the last renewal of its lease a leader goes on renewing
-	// grants that no other router backs, see backing: time enough to be backed.
-	aloneBound = 2 * time.Second
-	// oldLeaderBound is how long a leader that is backed goes on. It bears outages of the
-	// store of that length, and is what a new leader waits out that too few routers follow,
-	// where a target answers the old one alone.
-	oldLeaderBound = 10 * time.Second
-	// longHold is how long grants last while the store isn't reached, when no other router
-	// could take over: so long are keys served on where the leader is lost meanwhile. With
-	// 10 s a new leader would have to wait for twice as long for targets that are lost with
-	// the old one as it has to in any case, since a router that began of late doesn't know
-	// whether it backed one.
-	longHold = 6 * time.Second
-	// storeSuspectAfter is how long after the last good renewal of the lease the store counts as
-	// away: two renewals were lost.
+	// orderLimitWithoutQuorum is how long after the last renewal of its lease a leader may send
+	// orders without a quorum of followers, see quorum. It leaves the followers enough time to
+	// notice that the store is unreachable and to send their promises.
+	orderLimitWithoutQuorum = 2 * time.Second
+	// orderLimitWithQuorum is how long after the last renewal of its lease a leader with a
+	// quorum may send orders, and so the longest store outage that the grants survive. A new
+	// leader that too few routers follow waits this long where a target may still be reachable
+	// by the old leader only.
+	orderLimitWithQuorum = 10 * time.Second
+	// outageGrantTTL is the TTL of grants while the store is unreachable and no other router
+	// could take over: if the leader is lost during the outage, keys are served for this long.
+	// With 10 s, a new leader would have to wait twice as long for targets that are lost together
+	// with the old leader as it has to in any case, because a router that has started recently
+	// doesn't know whether it made a promise to the old leader.
+	outageGrantTTL = 6 * time.Second
+	// storeSuspectAfter is how long after the last successful renewal of the lease the leader
+	// suspects that the store is unreachable: two renewals have failed by then.
 	storeSuspectAfter = 1100 * time.Millisecond
-	// campaignSpread is the longest pause for each router that there is before one asks for
-	// the lead, and mostSpread the longest of all, drawn at random: all see at once that there
-	// is none. The first of many draws a short one, and the others hear of it before they ask.
-	campaignSpread = 5 * time.Millisecond
-	mostSpread     = 400 * time.Millisecond
-	// unknownRouters is how many routers there are taken to be before any was counted.
-	unknownRouters = 20
-	// weakShare is the part of a core below which a router leaves the lead to others, and
-	// weakPause by how much later it asks for it: after the last of the others has asked. A
-	// small VM takes longer for a round of grants to some hundred targets than they last.
-	weakShare = 0.25
-	weakPause = mostSpread + 100*time.Millisecond
-	// campaignPause is kept after a try that failed: another router has the lead by then, or
-	// the store doesn't answer.
-	campaignPause = 150 * time.Millisecond
-	// campaignRetryInterval is how often a router without a leader looks again.
-	campaignRetryInterval = 700 * time.Millisecond
-	// rebalanceEvery is how often the leader looks for keys to move; within it some dozen
-	// requests have come.
-	rebalanceEvery = 250 * time.Millisecond
-	// serviceTimesInterval is how often the leader tells the others how fast targets are; about as
-	// long as it takes to learn it.
+	// A router campaigns for leadership after a random delay, because all routers see at the same
+	// moment that there is no leader. The delay is at most campaignSpreadPerRouter times the
+	// number of routers, and never more than maxCampaignSpread. The router with the shortest
+	// delay wins, and the others learn of it before they campaign.
+	campaignSpreadPerRouter = 5 * time.Millisecond
+	maxCampaignSpread       = 400 * time.Millisecond
+	// assumedRouters is the assumed number of routers until they have been counted.
+	assumedRouters = 20
+	// lowCPUShare is the share of a core below which a router should not lead unless no other
+	// can, and lowCPUCampaignDelay its additional campaign delay, which ends after the last of the
+	// others has campaigned. On a small VM, a round of grants to a few hundred targets takes
+	// longer than the grants' TTL.
+	lowCPUShare         = 0.25
+	lowCPUCampaignDelay = maxCampaignSpread + 100*time.Millisecond
+	// campaignRetryDelay is the pause after a failed campaign: another router leads by then, or
+	// the store is unreachable.
+	campaignRetryDelay = 150 * time.Millisecond
+	// leaderCheckInterval is the longest time between two checks of what is due.
+	leaderCheckInterval = 700 * time.Millisecond
+	// rebalanceInterval is how often the leader looks for keys to move; a few dozen requests
+	// arrive in that time.
+	rebalanceInterval = 250 * time.Millisecond
+	// serviceTimesInterval is how often the leader sends the targets' service times to its
+	// followers; measuring them takes about as long.
 	serviceTimesInterval = time.Second
-	// minStep is the least time between two steps. Each goes over all ranges, of which there
-	// are as many as orders whose answers come in within a renewal.
-	minStep = 5 * time.Millisecond
-	// tableWriteInterval is the least time between two writes of a service's table.
+	// minStepInterval is the least time between two steps. Each step goes over all key ranges,
+	// and in each renewal interval as many orders are answered as there are ranges.
+	minStepInterval = 5 * time.Millisecond
+	// tableWriteInterval is the least time between two writes of a service's key table.
 	tableWriteInterval = 100 * time.Millisecond
-	// limitsRenewInterval is how often limits of keys are sent again, before they end by
-	// themselves, and limitsChange by which part one must have changed to be sent at once.
-	limitsRenewInterval = time.Second
-	limitsChange        = 0.2
-	// publishInterval is the least time between two states of a table that the routers are
-	// sent: the targets' answers to orders come one by one, and each state goes to all.
+	// limitsRenewInterval is how often the key limits are sent again, before they expire.
+	// limitsChangeThreshold is the relative change of a limit that is sent at once.
+	limitsRenewInterval   = time.Second
+	limitsChangeThreshold = 0.2
+	// publishInterval is the least time between two versions of a key table that are sent to the
+	// routers: the targets answer orders one by one, and each version goes to all routers.
 	publishInterval = 50 * time.Millisecond
-	// writeRetryDelay is the pause after a write that failed.
+	// writeRetryDelay is the pause after a failed write.
 	writeRetryDelay = 50 * time.Millisecond
 )
 
-// leaderSeen is what the store says of the leader.
-type leaderSeen struct {
-	// name and address are the leader's; address is where it feeds the other routers.
+// leaderStatus is the leader as recorded in the store.
+type leaderStatus struct {
+	// name is the leader's, and address the one at which it serves the feed.
 	name, address string
 	revision      kv.Revision
 	present       bool
 }
 
-// leaderSeparator stands between the leader's name and its address in its record.
+// leaderSeparator separates the leader's name from its address in the leader record.
 const leaderSeparator = " "
 
-// Messages of the leader's own calls.
+// Messages to the leader duty.
 type (
-	campaigned struct {
+	campaignDone struct {
 		term *term
 		err  error
 	}
-	leaseRenewed struct {
+	renewalDone struct {
 		term *term
-		// sent is when the renewal left, by the clock that counts suspension.
+		// sent is when the renewal was sent, by the clock that goes on during suspension.
 		sent time.Duration
 		err  error
 	}
 	tableRead struct {
 		term    *term
 		service string
-		// table is nil where the store has none; revision is then zero.
+		// table is nil if the store has none; revision is then zero.
 		table    *keyspace.Table
 		revision kv.Revision
 		err      error
 	}
-	written struct {
+	tableWritten struct {
 		term       *term
 		service    string
 		generation uint64
@@ -116,7 +121,7 @@
 		conflict   []kv.Record
 		err        error
 	}
-	ordered struct {
+	orderDone struct {
 		term     *term
 		service  string
 		order    assign.Order
@@ -126,10 +131,10 @@
 		took     time.Duration
 	}
 	rebalance struct{}
-	// routersCounted says that the number of routers was read from the store.
-	routersCounted struct{}
-	// followerJoined says that a router follows the leader of the term, and for how long it
-	// still backs another; negative is how long ago that has ended.
+	// routerCountRead reports that the number of routers was read from the store.
+	routerCountRead struct{}
+	// followerJoined reports that a router follows the leader of the term. promised is for how
+	// long its promise to another leader still holds; if negative, how long ago it ended.
 	followerJoined struct {
 		router   string
 		term     kv.Revision
@@ -137,43 +142,43 @@
 	}
 )
 
-// targetsSeen is what the store says of the targets.
-type targetsSeen struct {
+// targetStatus is what the store knows about the targets.
+type targetStatus struct {
 	targets []directory.Target
-	// ended are lives of targets that are over for certain.
-	ended []keyspace.Holder
+	// endedInstances are instances of targets that have certainly ended.
+	endedInstances []keyspace.Holder
 }
 
-// apply hands an assigner what is known of the targets.
-func (m *targetsSeen) apply(a *assign.Assigner) {
-	a.SetTargets(time.Now(), m.targets)
-	a.SetEnded(m.ended)
+// apply passes the status on to an assigner.
+func (status *targetStatus) apply(assigner *assign.Assigner) {
+	assigner.SetTargets(time.Now(), status.targets)
+	assigner.SetEnded(status.endedInstances)
 }
 
-// term is the time for which this router leads.
+// term is a period during which this router leads.
 type term struct {
-	// lead is what the term rests on in the store; another takes its place where the store
-	// comes back from an older copy.
-	lead atomic.Pointer[lead]
-	// renewedAt is when the last good renewal left, in nanoseconds of the clock that counts
-	// suspension; orders read it from their own goroutines.
+	// leadership is the term's proof in the store: a record and a lease. It is replaced after the
+	// store was restored from an older copy.
+	leadership atomic.Pointer[leadership]
+	// renewedAt is when the last successful renewal was sent, in nanoseconds of the clock that
+	// goes on during suspension. Goroutines that send orders read it.
 	renewedAt atomic.Int64
 	// ctx ends with the term.
 	ctx      context.Context
-	end      context.CancelFunc
+	cancel   context.CancelFunc
 	services map[string]*serviceAssignment
-	// backing has the routers that back and follow this leader.
-	backing *backing
-	// oldStops has when older leaders have stopped; nil where that isn't known.
-	oldStops *lastOrders
+	// quorum records this leader's followers and their promises.
+	quorum *quorum
+	// oldLeaderDeadlines is when the last grants of older leaders may arrive; nil if unknown.
+	oldLeaderDeadlines *grantDeadlines
 }
 
-// revision is that of the leader's record, which names the term.
-func (t *term) revision() kv.Revision { return t.lead.Load().revision }
+// revision is the revision of the leader record; it identifies the term.
+func (t *term) revision() kv.Revision { return t.leadership.Load().revision }
 
-// named reports whether the number named the term at any time.
-func (t *term) named(number uint64) bool {
-	for l := t.lead.Load(); l != nil; l = l.before {
+// hasRevision reports whether the number is, or was before a restore, the term's revision.
+func (t *term) hasRevision(number uint64) bool {
+	for l := t.leadership.Load(); l != nil; l = l.previous {
 		if uint64(l.revision) == number {
 			return true
 		}
@@ -181,51 +186,53 @@
 	return false
 }
 
-// age is how long ago the last good renewal of the lease left.
-func (t *term) age(now time.Duration) time.Duration { return now - time.Duration(t.renewedAt.Load()) }
+// leaseAge is how long ago the last successful renewal of the lease was sent.
+func (t *term) leaseAge(now time.Duration) time.Duration {
+	return now - time.Duration(t.renewedAt.Load())
+}
 
 // serviceAssignment is the assignment of one service's keys during a term.
 type serviceAssignment struct {
 	assigner *assign.Assigner
 	revision kv.Revision
-	// notBefore is when the next write may go out, after one that failed.
-	notBefore time.Time
-	// stored is the division as it was written last; published counts the states of it that
-	// the routers were sent.
+	// writeNotBefore is the earliest time of the next write, after a failed one.
+	writeNotBefore time.Time
+	// stored is the key table as last written. published counts the versions that were sent to the
+	// routers.
 	stored    *keyspace.Table
 	published uint64
-	// unpublished says that the routers have not been sent what holds; they are at
+	// unpublished is set while the routers have not been sent the current table; that happens at
 	// publishDue.
 	unpublished bool
 	publishDue  time.Time
-	// limits are the keys whose requests were limited last, at limitedAt.
+	// limits are the key limits that were last sent, at limitedAt.
 	limits    []keyspace.Limit
 	limitedAt time.Time
 }
 
-// leader is the duty that assigns keys while this router leads, and sees to it that some
-// router does.
+// leader is the duty that assigns keys while this router leads, and campaigns for leadership
+// while no router does.
 type leader struct {
 	g    *Gateway
 	duty *duty.Duty
 
-	seen           leaderSeen
+	observed       leaderStatus
 	leaderObserved bool
 	campaigning    bool
-	// notBefore is when the lead may be asked for again after a try that failed. Without a
-	// pause each router asks a store that refuses at once some thirty times a second.
-	notBefore time.Time
-	term      *term
-	// targets are nil until they are known.
-	targets  *targetsSeen
+	// campaignNotBefore is the earliest time of the next campaign, after a failed one. Without the
+	// delay, each router calls a store that refuses immediately about thirty times a second.
+	campaignNotBefore time.Time
+	term              *term
+	// targets is nil until the targets are known.
+	targets  *targetStatus
 	stopping bool
-	// resuming says that the lead is being taken again after the store was restored.
-	resuming bool
-	away     bool
-	timer    *time.Timer
-	due      time.Time
-	steps    pacer
-	// serviceTimesDue is when the targets' speeds are told next.
+	// resuming is set while this router takes leadership again after the store was restored.
+	resuming       bool
+	storeSuspected bool
+	timer          *time.Timer
+	due            time.Time
+	steps          pacer
+	// serviceTimesDue is when the targets' service times are published next.
 	serviceTimesDue time.Time
 }
 
@@ -237,42 +244,42 @@
 
 func (l *leader) handle(message any) {
 	switch m := message.(type) {
-	case *leaderSeen:
+	case *leaderStatus:
 		l.observeLeader(m)
-	case *targetsSeen:
+	case *targetStatus:
 		l.setTargets(m)
-	case *absence, tick:
-	case *campaigned:
-		l.begin(m)
-	case *leaseRenewed:
+	case *storeUnreachable, tick:
+	case *campaignDone:
+		l.startTerm(m)
+	case *renewalDone:
 		l.recordRenewal(m)
 	case *tableRead:
-		l.read(m)
-	case *written:
-		l.wrote(m)
-	case *ordered:
-		l.answered(m)
+		l.handleTableRead(m)
+	case *tableWritten:
+		l.handleTableWritten(m)
+	case *orderDone:
+		l.handleOrderDone(m)
 	case *followerJoined:
-		l.joined(m)
-	case routersCounted:
-		l.counted()
+		l.handleFollowerJoined(m)
+	case routerCountRead:
+		l.handleRouterCountRead()
 	case rebalance:
 		l.rebalance()
 	case *stepDown:
-		l.stop(m)
+		l.handleStepDown(m)
 	case *leaseEnded:
-		l.ended(m)
+		l.handleLeaseEnded(m)
 	case *termResumed:
 		l.finishResume(m)
 	}
-	l.next()
+	l.proceed()
 }
 
-// observeLeader notes who leads.
-func (l *leader) observeLeader(m *leaderSeen) {
+// observeLeader records who leads.
+func (l *leader) observeLeader(m *leaderStatus) {
 	l.leaderObserved = true
-	if m.present || m.revision >= l.seen.revision || m.revision == 0 {
-		l.seen = *m
+	if m.present || m.revision >= l.observed.revision || m.revision == 0 {
+		l.observed = *m
 	}
 	if l.term == nil || m.revision <= l.term.revision() {
 		return
@@ -284,22 +291,22 @@
 	l.endTerm("another leader or none was seen")
 }
 
-func (l *leader) setTargets(m *targetsSeen) {
+func (l *leader) setTargets(m *targetStatus) {
 	l.targets = m
 	if l.term == nil {
 		return
 	}
-	for _, p := range l.term.services {
-		if p.assigner != nil { // its division is being read
-			m.apply(p.assigner)
+	for _, assignment := range l.term.services {
+		if assignment.assigner != nil { // nil while its key table is being read
+			m.apply(assignment.assigner)
 		}
 	}
 }
 
-// next does what is due: asks for the lead where nobody has it, or steps.
-func (l *leader) next() {
+// proceed does what is due: a step of the term, or a campaign if there is no leader.
+func (l *leader) proceed() {
 	now := time.Now()
-	due := now.Add(campaignRetryInterval)
+	due := now.Add(leaderCheckInterval)
 	switch {
 	case l.g.lifetime.Err() != nil:
 		return
@@ -310,9 +317,9 @@
 		}
 	case l.stopping:
 		return
-	case l.leaderObserved && !l.seen.present && !l.campaigning:
-		if l.notBefore.After(now) {
-			due = l.notBefore
+	case l.leaderObserved && !l.observed.present && !l.campaigning:
+		if l.campaignNotBefore.After(now) {
+			due = l.campaignNotBefore
 			break
 		}
 		l.campaign()
@@ -320,12 +327,12 @@
 	l.arm(now, due)
 }
 
-// pacer keeps minStep between two steps.
+// pacer keeps minStepInterval between two steps.
 type pacer struct{ last time.Time }
 
-// begin reports whether a step may begin now, or else when.
+// begin reports whether a step may begin now; if not, due is when it may.
 func (p *pacer) begin(now time.Time) (due time.Time, ok bool) {
-	if due = p.last.Add(minStep); now.Before(due) {
+	if due = p.last.Add(minStepInterval); now.Before(due) {
 		return due, false
 	}
 	p.last = now
@@ -340,11 +347,11 @@
 		l.timer.Stop()
 	}
 	l.due = due
-	l.timer = time.AfterFunc(max(due.Sub(now), minStep), func() { l.duty.Tell(tick{}) })
+	l.timer = time.AfterFunc(max(due.Sub(now), minStepInterval), func() { l.duty.Tell(tick{}) })
 }
 
-// divided returns the services whose keys are to be assigned.
-func (l *leader) divided() []routes.Service {
+// keyedServices returns the services whose keys are assigned to targets.
+func (l *leader) keyedServices() []routes.Service {
 	v := l.g.view.Load()
 	if v == nil {
 		return nil
@@ -358,100 +365,100 @@
 	return all
 }
 
-// campaign asks the store for the lead.
+// campaign tries to take leadership in the store.
 func (l *leader) campaign() {
 	l.campaigning = true
 	l.g.workers.Run(func() {
-		l.leaveHeadStart(l.g.lifetime)
+		l.waitForPreviousLeader(l.g.lifetime)
 		routers := l.g.countedRouters()
 		if routers == 0 {
-			routers = unknownRouters
+			routers = assumedRouters
 		}
-		duty.Sleep(l.g.lifetime, campaignAfter(l.g.opts.CPUShare, routers))
+		duty.Sleep(l.g.lifetime, campaignDelay(l.g.opts.CPUShare, routers))
 		l.g.gate.wait(l.g.lifetime)
 		if l.g.subscription.leaderKnown() {
-			l.duty.Tell(&campaigned{nil, errLed})
+			l.duty.Tell(&campaignDone{nil, errOtherLeader})
 			return
 		}
-		t, err := l.acquire()
-		l.duty.Tell(&campaigned{t, err})
+		t, err := l.startCandidateTerm()
+		l.duty.Tell(&campaignDone{t, err})
 	})
 }
 
-// errLed ends a try for the lead that became needless.
-var errLed = errors.New("another router leads")
+// errOtherLeader ends an attempt to take leadership because another router leads.
+var errOtherLeader = errors.New("another router leads")
 
-// campaignAfter is the pause before one of so many routers, with the part of a core, asks
-// for the lead; zero is a whole core.
-func campaignAfter(share float64, routers int) time.Duration {
-	spread := min(campaignSpread*time.Duration(max(routers, 1)), mostSpread)
+// campaignDelay returns the random delay before a router campaigns, given its share of a core and
+// the number of routers; a share of zero counts as a whole core.
+func campaignDelay(share float64, routers int) time.Duration {
+	spread := min(campaignSpreadPerRouter*time.Duration(max(routers, 1)), maxCampaignSpread)
 	pause := time.Duration(rand.Int64N(int64(spread)))
-	if isWeak(share) {
-		pause += weakPause
+	if isLowCPU(share) {
+		pause += lowCPUCampaignDelay
 	}
 	return pause
 }
 
-// isWeak reports whether a VM with the part of a core is to lead last.
-func isWeak(share float64) bool { return share > 0 && share < weakShare }
+// isLowCPU reports whether a VM with this share of a core should lead only if no other can.
+func isLowCPU(share float64) bool { return share > 0 && share < lowCPUShare }
 
-// weak reports whether this router's VM is to lead last.
-func (g *Gateway) weak() bool { return isWeak(g.opts.CPUShare) }
+// lowCPU reports whether this router's VM should lead only if no other can.
+func (g *Gateway) lowCPU() bool { return isLowCPU(g.opts.CPUShare) }
 
-func (l *leader) acquire() (*term, error) {
+func (l *leader) startCandidateTerm() (*term, error) {
 	ctx := l.g.lifetime
 	sent := l.g.opts.Clock.Now()
-	taken, err := l.take(ctx, 0)
+	acquired, err := l.takeLeadership(ctx, 0)
 	if err != nil {
 		return nil, err
 	}
 	t := &term{services: map[string]*serviceAssignment{}}
-	t.lead.Store(taken)
+	t.leadership.Store(acquired)
 	t.renewedAt.Store(int64(sent))
-	t.ctx, t.end = context.WithCancel(ctx)
+	t.ctx, t.cancel = context.WithCancel(ctx)
 	return t, nil
 }
 
-func (l *leader) begin(m *campaigned) {
+func (l *leader) startTerm(m *campaignDone) {
 	l.campaigning = false
 	if m.err != nil {
-		l.g.log.Info("campaign lost", "err", m.err)
-		l.notBefore = time.Now().Add(campaignPause)
+		l.g.log.Info("campaign failed", "err", m.err)
+		l.campaignNotBefore = time.Now().Add(campaignRetryDelay)
 		return
 	}
-	if l.stopping || l.seen.revision > m.term.revision() {
-		m.term.end()
+	if l.stopping || l.observed.revision > m.term.revision() {
+		m.term.cancel()
 		return
 	}
 	l.term = m.term
-	own := l.g.subscription.promisedElsewhere(leaderSeen{revision: m.term.revision()})
-	l.term.backing = newBacking(l.g.opts.Name, l.g.opts.Clock.Now()+own)
-	l.seen = leaderSeen{name: l.g.opts.Name, address: l.g.opts.PeerAddress, revision: m.term.revision(), present: true}
+	promised := l.g.subscription.promisedToOther(leaderStatus{revision: m.term.revision()})
+	l.term.quorum = newQuorum(l.g.opts.Name, l.g.opts.Clock.Now()+promised)
+	l.observed = leaderStatus{name: l.g.opts.Name, address: l.g.opts.PeerAddress, revision: m.term.revision(), present: true}
 	l.g.log.Info("leadership taken", "revision", m.term.revision())
 	l.g.subscription.setTerm(m.term)
 	l.g.workers.Run(func() { l.renewLease(m.term) })
-	l.g.workers.Run(func() { l.beat(m.term) })
+	l.g.workers.Run(func() { l.triggerRebalances(m.term) })
 }
 
 // renewLease renews the lease until the term ends.
 func (l *leader) renewLease(t *term) {
 	for duty.Sleep(t.ctx, leaderRenewInterval) {
 		sent := l.g.opts.Clock.Now()
-		err := l.g.storeFor(forLead).KeepLease(t.ctx, t.lead.Load().lease)
-		l.duty.Tell(&leaseRenewed{t, sent, err})
+		err := l.g.storeFor(purposeLead).KeepLease(t.ctx, t.leadership.Load().lease)
+		l.duty.Tell(&renewalDone{t, sent, err})
 	}
 }
 
-// beat has the keys looked at for moves until the term ends.
-func (l *leader) beat(t *term) {
-	for duty.Sleep(t.ctx, rebalanceEvery) {
+// triggerRebalances triggers a rebalance every rebalanceInterval until the term ends.
+func (l *leader) triggerRebalances(t *term) {
+	for duty.Sleep(t.ctx, rebalanceInterval) {
 		l.duty.Tell(rebalance{})
 	}
 }
 
 func (l *leader) endTerm(why string) {
 	l.g.log.Info("leadership lost", "why", why, "revision", l.term.revision())
-	l.term.end()
+	l.term.cancel()
 	l.term = nil
 	l.g.subscription.setTerm(nil)
 }
--- a/gateway/leader_test.go
+++ b/gateway/leader_test.go
@@ -21,7 +21,7 @@
 			steps++
 			continue
 		}
-		assert.Equal(t, due, last.Add(minStep), "what came after the last step is carried out in time")
+		assert.Equal(t, due, last.Add(minStepInterval), "what came after the last step is carried out in time")
 	}
-	assert.Equal(t, steps, int(time.Second/minStep))
+	assert.Equal(t, steps, int(time.Second/minStepInterval))
 }
--- a/gateway/leaderstep.go
+++ b/gateway/leaderstep.go
@@ -16,8 +16,8 @@
 	"tarragongw/peer/feed"
 )
 
-// recordRenewal notes how a renewal of the lease ended.
-func (l *leader) recordRenewal(m *leaseRenewed) {
+// recordRenewal records the result of a lease renewal.
+func (l *leader) recordRenewal(m *renewalDone) {
 	if m.term != l.term {
 		return
 	}
@@ -28,35 +28,35 @@
 		l.resumeTerm()
 	case errors.Is(m.err, kv.ErrLeaseLost):
 		l.endTerm("the lease has ended")
-		l.seen.present = false
+		l.observed.present = false
 	default:
-		l.g.log.Warn("lease not renewed", "err", m.err, "age", l.term.age(l.g.opts.Clock.Now()))
+		l.g.log.Warn("lease not renewed", "err", m.err, "age", l.term.leaseAge(l.g.opts.Clock.Now()))
 	}
 }
 
 // step carries out what the assignments decide, and returns when it is due again.
 func (l *leader) step(now time.Time) time.Time {
 	t := l.term
-	l.adopt(t)
-	boot := l.g.opts.Clock.Now()
-	away := t.age(boot) > storeSuspectAfter && t.backing.backed(boot, l.g.countedRouters())
-	if away != l.away {
-		l.away = away
-		l.g.log.Info("store counts as away for grants", "away", away, "lease_age", t.age(l.g.opts.Clock.Now()))
-	}
-	due := now.Add(campaignRetryInterval)
-	for name, p := range t.services {
-		if p.assigner == nil {
+	l.readMissingTables(t)
+	bootTime := l.g.opts.Clock.Now()
+	suspected := t.leaseAge(bootTime) > storeSuspectAfter && t.quorum.reached(bootTime, l.g.countedRouters())
+	if suspected != l.storeSuspected {
+		l.storeSuspected = suspected
+		l.g.log.Info("grants for a store outage", "away", suspected, "lease_age", t.leaseAge(l.g.opts.Clock.Now()))
+	}
+	due := now.Add(leaderCheckInterval)
+	for name, assignment := range t.services {
+		if assignment.assigner == nil {
 			continue
 		}
-		p.assigner.SetStoreAway(away)
-		actions := p.assigner.Step(now)
-		l.carryOut(t, name, p, actions, now)
-		if p.unpublished && !now.Before(p.publishDue) {
-			l.publish(p, now)
+		assignment.assigner.SetStoreAway(suspected)
+		actions := assignment.assigner.Step(now)
+		l.carryOut(t, name, assignment, actions, now)
+		if assignment.unpublished && !now.Before(assignment.publishDue) {
+			l.publishTable(assignment, now)
 		}
-		if p.unpublished && p.publishDue.Before(due) {
-			due = p.publishDue
+		if assignment.unpublished && assignment.publishDue.Before(due) {
+			due = assignment.publishDue
 		}
 		if actions.Next.Before(due) {
 			due = actions.Next
@@ -65,17 +65,17 @@
 	return due
 }
 
-// adopt reads the divisions of services that have none in this term yet, once the targets are
-// known.
+// readMissingTables reads the key tables of services that have none in this term yet, once the
+// targets are known.
 //
-// What goes wrong before: a router that has just started leads and reads the table first.
-// It finds none of the holders, takes all of them for gone, and has each give up its keys.
-// Callers are refused for seconds with "the grant has to lapse".
-func (l *leader) adopt(t *term) {
+// Without that order, a router that has just started and leads could read a table before the
+// targets. It would find none of the holders, take all of them for gone, and order each to release
+// its keys. Callers would be refused for seconds with "the grant has to lapse".
+func (l *leader) readMissingTables(t *term) {
 	if l.targets == nil {
 		return
 	}
-	for _, s := range l.divided() {
+	for _, s := range l.keyedServices() {
 		if t.services[s.Name] != nil {
 			continue
 		}
@@ -86,19 +86,19 @@
 
 func (l *leader) readTable(t *term, service string) *tableRead {
 	m := &tableRead{term: t, service: service}
-	r, err := l.g.storeFor(forKeys).Get(t.ctx, tablePrefix+service)
+	record, err := l.g.storeFor(purposeKeys).Get(t.ctx, tablePrefix+service)
 	switch {
 	case errors.Is(err, kv.ErrNotFound):
 	case err != nil:
 		m.err = err
 	default:
-		m.revision = r.Revision
-		m.table, m.err = decodeTable(r.Value)
+		m.revision = record.Revision
+		m.table, m.err = decodeTable(record.Value)
 	}
 	return m
 }
 
-func (l *leader) read(m *tableRead) {
+func (l *leader) handleTableRead(m *tableRead) {
 	if m.term != l.term {
 		return
 	}
@@ -106,131 +106,135 @@
 		m.err = errors.Wrap(kv.ErrUnknown, "the store was restored meanwhile")
 	}
 	if m.err != nil {
-		l.g.log.Error("division of keys not read", "service", m.service, "err", m.err)
+		l.g.log.Error("key table not read", "service", m.service, "err", m.err)
 		delete(m.term.services, m.service)
 		return
 	}
-	cfg := assign.Config{LongHold: min(longHold, l.g.opts.HoldMax), OldLeader: oldLeaderBound, WriteInterval: tableWriteInterval}
+	cfg := assign.Config{LongHold: min(outageGrantTTL, l.g.opts.HoldMax), OldLeader: orderLimitWithQuorum, WriteInterval: tableWriteInterval}
 	table := l.newestTable(m, &cfg)
-	a := assign.TakeOver(time.Now(), cfg, m.service, table)
-	l.targets.apply(a)
-	if m.term.oldStops != nil {
-		a.OldLeaderStops(m.term.oldStops.usual, m.term.oldStops.long)
+	assigner := assign.TakeOver(time.Now(), cfg, m.service, table)
+	l.targets.apply(assigner)
+	if m.term.oldLeaderDeadlines != nil {
+		assigner.OldLeaderStops(m.term.oldLeaderDeadlines.normal, m.term.oldLeaderDeadlines.outage)
 	}
-	m.term.services[m.service] = &serviceAssignment{assigner: a, revision: m.revision}
+	m.term.services[m.service] = &serviceAssignment{assigner: assigner, revision: m.revision}
 	l.g.log.Info("assigns keys", "service", m.service, "table_revision", m.revision)
 }
 
-func (l *leader) carryOut(t *term, service string, p *serviceAssignment, actions assign.Actions, now time.Time) {
+func (l *leader) carryOut(t *term, service string, assignment *serviceAssignment, actions assign.Actions, now time.Time) {
 	for _, o := range actions.Orders {
-		l.g.workers.Run(func() { l.duty.Tell(l.order(t, service, o)) })
+		l.g.workers.Run(func() { l.duty.Tell(l.sendOrder(t, service, o)) })
 	}
-	if w := actions.Write; w != nil {
-		pause, revision := p.notBefore.Sub(now), p.revision
+	if write := actions.Write; write != nil {
+		delay, revision := assignment.writeNotBefore.Sub(now), assignment.revision
 		l.g.workers.Run(func() {
-			duty.Sleep(t.ctx, pause)
-			l.duty.Tell(l.write(t, service, revision, w))
+			duty.Sleep(t.ctx, delay)
+			l.duty.Tell(l.writeTable(t, service, revision, write))
 		})
 	}
 }
 
-// order sends an order, unless this router may not lead any more by now.
+// sendOrder sends an order, unless this router may no longer give orders.
 //
-// A router that was suspended may have lost the lead without knowing it. Its renewals would
-// be refused by all targets that the new leader reaches; for the others their time bounds
+// A router that was suspended may have lost leadership without knowing it. Targets that the new
+// leader reaches would refuse its renewals. For the other targets, the time limit on orders bounds
 // how long the new leader has to wait.
-func (l *leader) order(t *term, service string, o assign.Order) *ordered {
-	m := &ordered{term: t, service: service, order: o, outcome: assign.Unanswered}
+func (l *leader) sendOrder(t *term, service string, o assign.Order) *orderDone {
+	m := &orderDone{term: t, service: service, order: o, outcome: assign.Unanswered}
 	now := l.g.opts.Clock.Now()
-	left, err := l.mayOrder(t, now)
+	left, err := l.orderTimeLeft(t, now)
 	if err != nil {
 		m.err, m.outcome = err, assign.NotSent
 		duty.Sleep(t.ctx, leaderRenewInterval)
 		return m
 	}
-	// What is begun in time must not go out late.
+	// An order that is started in time must not be sent late.
 	ctx, cancel := context.WithTimeout(t.ctx, left)
 	defer cancel()
-	until := clock.BootTime(l.g.opts.Clock, now+left)
+	deadline := clock.BootTime(l.g.opts.Clock, now+left)
 	began := time.Now()
-	m.outcome, m.handover, m.err = l.g.opts.Adapter.SendOrder(ctx, &o, until)
+	m.outcome, m.handover, m.err = l.g.opts.Adapter.SendOrder(ctx, &o, deadline)
 	m.took = time.Since(began)
 	return m
 }
 
-// mayOrder returns for how long from now on this router may give orders, or why it may not
-// any more.
-func (l *leader) mayOrder(t *term, now time.Duration) (time.Duration, error) {
-	age := t.age(now)
+// orderTimeLeft returns for how long from now this router may give orders, or an error that says
+// why it no longer may.
+func (l *leader) orderTimeLeft(t *term, now time.Duration) (time.Duration, error) {
+	age := t.leaseAge(now)
 	switch {
-	case age >= oldLeaderBound:
+	case age >= orderLimitWithQuorum:
 		return 0, errors.Errorf("the lease was renewed %v ago", age)
-	case age < aloneBound:
-		return aloneBound - age, nil
+	case age < orderLimitWithoutQuorum:
+		return orderLimitWithoutQuorum - age, nil
 	}
-	left := t.backing.backedFor(now, l.g.countedRouters())
+	left := t.quorum.reachedFor(now, l.g.countedRouters())
 	if left <= 0 {
-		return 0, errors.Errorf("the lease was renewed %v ago, and too few routers back this one", age)
+		return 0, errors.Errorf("the lease was renewed %v ago, and there is no quorum of followers", age)
 	}
-	return min(left, oldLeaderBound-age), nil
+	return min(left, orderLimitWithQuorum-age), nil
 }
 
-// joined notes a follower.
-func (l *leader) joined(m *followerJoined) {
+// handleFollowerJoined records a follower.
+func (l *leader) handleFollowerJoined(m *followerJoined) {
 	t := l.term
-	if t == nil || !t.named(uint64(m.term)) {
+	if t == nil || !t.hasRevision(uint64(m.term)) {
 		return
 	}
 	now := l.g.opts.Clock.Now()
-	ok, promised := t.backing.join(m.router, now+m.promised, l.g.countedRouters())
-	l.oldLeader(ok, promised-now)
+	ok, promised := t.quorum.addFollower(m.router, now+m.promised, l.g.countedRouters())
+	l.noteOldLeaderDeadlines(ok, promised-now)
 }
 
-// counted notes that the number of routers may have changed.
-func (l *leader) counted() {
+// handleRouterCountRead checks the quorum again, because the number of routers may have changed.
+func (l *leader) handleRouterCountRead() {
 	if t := l.term; t != nil {
-		ok, promised := t.backing.counted(l.g.countedRouters())
-		l.oldLeader(ok, promised-l.g.opts.Clock.Now())
+		ok, promised := t.quorum.recheck(l.g.countedRouters())
+		l.noteOldLeaderDeadlines(ok, promised-l.g.opts.Clock.Now())
 	}
 }
 
-// oldLeader notes when the old leader has stopped at the latest, which is known once enough
-// routers follow.
-func (l *leader) oldLeader(known bool, promised time.Duration) {
+// noteOldLeaderDeadlines records until when the old leader may give orders at the latest, which is
+// known once enough routers follow this one.
+func (l *leader) noteOldLeaderDeadlines(known bool, promised time.Duration) {
 	if !known {
 		return
 	}
 	t := l.term
-	stops := oldLeaderStops(time.Now(), promised)
-	if t.oldStops != nil {
-		stops.usual = t.oldStops.usual // known since the first time
+	deadlines := oldLeaderDeadlinesAt(time.Now(), promised)
+	if t.oldLeaderDeadlines != nil {
+		deadlines.normal = t.oldLeaderDeadlines.normal // doesn't change after the first time
 	}
-	if t.oldStops == nil || stops.long.Before(t.oldStops.long) { // the more follow, the more is known
-		t.oldStops = stops
-		l.g.log.Info("old leader stops", "alone_in", time.Until(t.oldStops.usual), "backed_in", promised, "term", t.revision())
+	if t.oldLeaderDeadlines == nil || deadlines.outage.Before(t.oldLeaderDeadlines.outage) { // more followers may give an earlier bound
+		t.oldLeaderDeadlines = deadlines
+		l.g.log.Info("old leader stops", "alone_in", time.Until(t.oldLeaderDeadlines.normal), "backed_in", promised, "term", t.revision())
 	}
-	for _, p := range t.services {
-		if p.assigner != nil {
-			p.assigner.OldLeaderStops(t.oldStops.usual, t.oldStops.long)
+	for _, assignment := range t.services {
+		if assignment.assigner != nil {
+			assignment.assigner.OldLeaderStops(t.oldLeaderDeadlines.normal, t.oldLeaderDeadlines.outage)
 		}
 	}
 }
 
-// lastOrders has when the last grants of older leaders may arrive.
-type lastOrders struct {
-	// usual is that of grants of the usual length, long that of the long ones.
-	usual, long time.Time
+// grantDeadlines is when the last grants of older leaders may arrive.
+type grantDeadlines struct {
+	// normal is for grants with the normal TTL, outage for those with outageGrantTTL.
+	normal, outage time.Time
 }
 
-// oldLeaderStops returns when older leaders have stopped: alone after aloneBound from now,
-// and with long grants when the last promise to back one ends, which may be over already.
-// The old lease has ended, so that its last renewal is older than the first bound assumes
-// by more than an order's delay on the wire; to the end of a promise that has to be added.
-func oldLeaderStops(now time.Time, promised time.Duration) *lastOrders {
-	return &lastOrders{usual: now.Add(max(aloneBound, promised)), long: now.Add(promised + assign.WireDelay)}
+// oldLeaderDeadlinesAt returns when the last grants of older leaders may arrive, given for how long
+// the last promise to one of them still holds; negative is how long ago it ended. A leader without
+// a quorum stops within orderLimitWithoutQuorum from now. One with a quorum, which may give grants
+// with outageGrantTTL, stops when the last promise ends.
+//
+// The delay of an order on the wire is added to the second bound only. The first one contains it
+// already: the old lease has expired, so its last renewal is older than the bound assumes by more
+// than that delay.
+func oldLeaderDeadlinesAt(now time.Time, promised time.Duration) *grantDeadlines {
+	return &grantDeadlines{normal: now.Add(max(orderLimitWithoutQuorum, promised)), outage: now.Add(promised + assign.WireDelay)}
 }
 
-func (l *leader) answered(m *ordered) {
+func (l *leader) handleOrderDone(m *orderDone) {
 	o := &m.order
 	if m.outcome != assign.Accepted || o.Kind == assign.Release || o.First {
 		l.g.log.Info("order", "kind", o.Kind, "service", m.service, "target", o.Holder.Target, "from", o.From, "to", o.To,
@@ -239,20 +243,20 @@
 	if m.term != l.term {
 		return
 	}
-	if p := m.term.services[m.service]; p != nil && p.assigner != nil {
-		p.assigner.Done(time.Now(), o.ID, m.outcome, m.handover)
-		if o.First && m.outcome == assign.Accepted && p.stored != nil {
-			p.unpublished = true
+	if assignment := m.term.services[m.service]; assignment != nil && assignment.assigner != nil {
+		assignment.assigner.Done(time.Now(), o.ID, m.outcome, m.handover)
+		if o.First && m.outcome == assign.Accepted && assignment.stored != nil {
+			assignment.unpublished = true
 		}
 	}
 }
 
-// publish puts the division as it is stored, less what its new holders have not accepted
-// yet, in force on all routers.
-func (l *leader) publish(p *serviceAssignment, now time.Time) {
-	p.published++
-	p.unpublished, p.publishDue = false, now.Add(publishInterval)
-	l.g.state.duty.Tell(&feed.Table{Revision: uint64(p.revision), Sequence: p.published, Table: p.assigner.Overlay(p.stored)})
+// publishTable sends all routers the stored key table, without the ranges that their new holders
+// have not accepted yet.
+func (l *leader) publishTable(assignment *serviceAssignment, now time.Time) {
+	assignment.published++
+	assignment.unpublished, assignment.publishDue = false, now.Add(publishInterval)
+	l.g.state.duty.Tell(&feed.Table{Revision: uint64(assignment.revision), Sequence: assignment.published, Table: assignment.assigner.Overlay(assignment.stored)})
 }
 
 func errText(err error) string {
@@ -262,41 +266,41 @@
 	return err.Error()
 }
 
-// write puts a division into the store, if this router still leads and the division that
-// it knows is the one that the store has. The second condition keeps a write that the
-// store carries out seconds after it was given up from undoing a later one.
-func (l *leader) write(t *term, service string, revision kv.Revision, w *assign.Write) *written {
-	m := &written{term: t, service: service, generation: w.Generation, table: w.Table}
-	data, err := encodeTable(w.Table)
+// writeTable writes a key table to the store, provided that this router still leads and that the
+// stored table has the given revision. The second condition keeps a write that timed out, and that
+// the store carries out seconds later, from undoing a newer one.
+func (l *leader) writeTable(t *term, service string, revision kv.Revision, write *assign.Write) *tableWritten {
+	m := &tableWritten{term: t, service: service, generation: write.Generation, table: write.Table}
+	data, err := encodeTable(write.Table)
 	if err != nil {
 		m.err = err
 		return m
 	}
-	m.revision, m.conflict, m.err = l.g.storeFor(forKeys).Commit(t.ctx, kv.Txn{
-		Conditions: append(t.lead.Load().conditions(), kv.Condition{Key: tablePrefix + service, Revision: revision}),
+	m.revision, m.conflict, m.err = l.g.storeFor(purposeKeys).Commit(t.ctx, kv.Txn{
+		Conditions: append(t.leadership.Load().conditions(), kv.Condition{Key: tablePrefix + service, Revision: revision}),
 		Puts:       []kv.Put{{Key: tablePrefix + service, Value: data}},
 	})
 	return m
 }
 
-func (l *leader) wrote(m *written) {
+func (l *leader) handleTableWritten(m *tableWritten) {
 	if m.term != l.term {
 		return
 	}
-	p := m.term.services[m.service]
-	if p == nil || p.assigner == nil {
+	assignment := m.term.services[m.service]
+	if assignment == nil || assignment.assigner == nil {
 		return
 	}
 	if m.err == nil && m.revision.Era() != m.term.revision().Era() {
 		m.err = errors.Wrap(kv.ErrUnknown, "the store was restored meanwhile")
 	}
-	p.assigner.Written(m.generation, m.err == nil)
+	assignment.assigner.Written(m.generation, m.err == nil)
 	if m.err == nil {
-		p.revision, p.notBefore = m.revision, time.Time{}
-		p.stored, p.unpublished = m.table, true
+		assignment.revision, assignment.writeNotBefore = m.revision, time.Time{}
+		assignment.stored, assignment.unpublished = m.table, true
 		return
 	}
-	p.notBefore = time.Now().Add(writeRetryDelay)
+	assignment.writeNotBefore = time.Now().Add(writeRetryDelay)
 	l.g.log.Warn("division of keys not written", "service", m.service, "err", m.err)
 	if l.g.era() != l.term.revision().Era() {
 		l.resumeTerm()
@@ -306,10 +310,10 @@
 		switch {
 		case r.Key == leaderKey && r.Revision != m.term.revision():
 			l.endTerm("another leader wrote")
-			l.seen.present = r.Revision != 0
+			l.observed.present = r.Revision != 0
 			return
 		case r.Key == tablePrefix+m.service:
-			p.revision = r.Revision
+			assignment.revision = r.Revision
 		}
 	}
 }
@@ -321,47 +325,48 @@
 	}
 	now := time.Now()
 	l.publishServiceTimes()
-	for name, p := range l.term.services {
+	for name, assignment := range l.term.services {
 		s := l.g.service(name)
-		if p.assigner == nil || s == nil {
+		if assignment.assigner == nil || s == nil {
 			continue
 		}
 		for _, k := range s.keyLoad.take() {
-			p.assigner.Load().Add(now, k, 1)
+			assignment.assigner.Load().Add(now, k, 1)
 		}
-		for _, m := range p.assigner.Rebalance(now, s.speed, l.g.subscription.unseen()) {
-			if p.assigner.Begin(now, m) {
-				l.logMove(name, m)
+		for _, move := range assignment.assigner.Rebalance(now, s.serviceTime, l.g.subscription.reportScale()) {
+			if assignment.assigner.Begin(now, move) {
+				l.logMove(name, move)
 			}
 		}
-		l.limit(now, name, p, s)
+		l.updateLimits(now, name, assignment, s)
 	}
 }
 
-// limit tells all routers which keys are asked for more than their holders can do, where that
-// has changed, and again while any are.
-func (l *leader) limit(now time.Time, name string, p *serviceAssignment, s *service) {
-	limits := p.assigner.Limits(now, s.speed, s.pressed, l.g.subscription.unseen())
-	renew := len(limits) > 0 && now.Sub(p.limitedAt) >= limitsRenewInterval
-	if !renew && !limitsDiffer(p.limits, limits) {
+// updateLimits sends all routers limits for the keys that get more requests than their holders can
+// serve: when the limits have changed, and repeatedly while there are any.
+func (l *leader) updateLimits(now time.Time, name string, assignment *serviceAssignment, s *service) {
+	limits := assignment.assigner.Limits(now, s.serviceTime, s.overloaded, l.g.subscription.reportScale())
+	renew := len(limits) > 0 && now.Sub(assignment.limitedAt) >= limitsRenewInterval
+	if !renew && !limitsDiffer(assignment.limits, limits) {
 		return
 	}
-	if limitsDiffer(p.limits, limits) {
+	if limitsDiffer(assignment.limits, limits) {
 		l.g.log.Info("keys limited", "service", name, "limits", limits)
 	}
-	p.limits, p.limitedAt = limits, now
+	assignment.limits, assignment.limitedAt = limits, now
 	s.setLimits(limits)
 	l.g.subscription.source.SetLimits(feed.Limits{Service: name, Limits: limits})
 }
 
-// limitsDiffer reports whether other keys are limited, or some by more than limitsChange.
-func limitsDiffer(old, now []keyspace.Limit) bool {
-	return !slices.EqualFunc(old, now, func(a, b keyspace.Limit) bool {
-		return a.Key == b.Key && math.Abs(a.Admit-b.Admit) <= limitsChange*a.Admit
+// limitsDiffer reports whether different keys are limited, or whether a limit has changed by more than
+// limitsChangeThreshold.
+func limitsDiffer(old, current []keyspace.Limit) bool {
+	return !slices.EqualFunc(old, current, func(a, b keyspace.Limit) bool {
+		return a.Key == b.Key && math.Abs(a.Admit-b.Admit) <= limitsChangeThreshold*a.Admit
 	})
 }
 
-// publishServiceTimes tells the other routers what has changed of the targets' speed, every
+// publishServiceTimes sends the other routers the targets' service times that have changed, every
 // serviceTimesInterval.
 func (l *leader) publishServiceTimes() {
 	now := time.Now()
@@ -375,9 +380,9 @@
 		if !s.byKey {
 			continue
 		}
-		s.drainServiceTimes() // its own answers are in what it tells
-		if news := s.changedServiceTimes(); len(news) > 0 {
-			l.g.subscription.source.SetServiceTimes(feed.ServiceTimes{Service: name, Targets: news})
+		s.drainServiceTimes() // the published times contain this router's own measurements already
+		if changed := s.changedServiceTimes(); len(changed) > 0 {
+			l.g.subscription.source.SetServiceTimes(feed.ServiceTimes{Service: name, Targets: changed})
 		}
 	}
 }
@@ -388,23 +393,23 @@
 		"share", float64(keys)/float64(int(keyspace.LastKey)+1))
 }
 
-// stepDown asks the leader to give the lead up; done is closed once it has.
+// stepDown asks the leader to give up leadership; finished is closed when it has.
 type stepDown struct {
-	done chan struct{}
+	finished chan struct{}
 }
 
-// leaseEnded tells that the store has ended the lease of a leader that stops.
+// leaseEnded reports that the store has ended the lease of a leader that is stopping.
 type leaseEnded struct {
-	term *term
-	down *stepDown
+	term    *term
+	request *stepDown
 }
 
-// stop has the store end the lease, and leads on until it has: while the store is away
-// nobody else can lead, and without renewals the keys of all targets lapse.
-func (l *leader) stop(m *stepDown) {
+// handleStepDown ends the lease in the store, and keeps leading until the store has answered: while
+// the store is unreachable no other router can lead, and without renewals all grants would expire.
+func (l *leader) handleStepDown(m *stepDown) {
 	l.stopping = true
 	if l.term == nil {
-		close(m.done)
+		close(m.finished)
 		return
 	}
 	t := l.term
@@ -414,7 +419,7 @@
 			if err == nil || errors.Is(err, kv.ErrLeaseLost) {
 				break
 			}
-			l.g.log.Warn("lease not ended; leads on", "err", err)
+			l.g.log.Warn("lease not ended; this router continues to lead", "err", err)
 			if !duty.Sleep(t.ctx, leaderRenewInterval) {
 				break
 			}
@@ -426,12 +431,12 @@
 func (l *leader) endLease(t *term) error {
 	ctx, cancel := context.WithTimeout(l.g.lifetime, leaderTTL)
 	defer cancel()
-	return l.g.storeFor(forLead).EndLease(ctx, t.lead.Load().lease)
+	return l.g.storeFor(purposeLead).EndLease(ctx, t.leadership.Load().lease)
 }
 
-func (l *leader) ended(m *leaseEnded) {
+func (l *leader) handleLeaseEnded(m *leaseEnded) {
 	if m.term == l.term {
 		l.endTerm("the router stops")
 	}
-	close(m.down.done)
+	close(m.request.finished)
 }
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -19,8 +19,8 @@
 	}
 	mux := http.NewServeMux()
 	mux.Handle(MetricsPath, g.opts.Telemetry.Handler())
-	g.metricsServer = &http.Server{Handler: mux, ReadHeaderTimeout: askTimeout}
-	g.goRun(func() { g.serveOwn(g.metricsServer, g.metricsListener) })
+	g.metricsServer = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
+	g.goRun(func() { g.serveInternal(g.metricsServer, g.metricsListener) })
 }
 
 // countOpened counts a connection to a target of the service that is opened for the cause.
@@ -33,7 +33,7 @@
 }
 
 // serveOwn serves until the process ends.
-func (g *Gateway) serveOwn(s *http.Server, l net.Listener) {
+func (g *Gateway) serveInternal(s *http.Server, l net.Listener) {
 	if err := s.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) && g.lifetime.Err() == nil {
 		g.log.Error("own listener ended", "address", l.Addr().String(), "err", err)
 	}
--- a/gateway/observe.go
+++ b/gateway/observe.go
@@ -33,7 +33,7 @@
 	if x.key != nil {
 		key = int(*x.key)
 	}
-	g.log.Info("placed", "id", x.meta.ID, "service", x.s.name, "key", key, "config", x.route.version,
+	g.log.Info("placed", "id", x.meta.ID, "service", x.service.name, "key", key, "config", x.route.version,
 		"target", d.Target.ID, "in", d.Target.DataCentre, "born", d.Target.Born, "work", d.Work, "report_age", d.ReportAge, "waited", waited, "send", x.sends+1)
 }
 
@@ -41,13 +41,13 @@
 func (g *Gateway) serveReady() {
 	mux := http.NewServeMux()
 	mux.HandleFunc(g.opts.Adapter.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
-		if g.leaving.Load() || !g.known.Load() {
+		if g.stopping.Load() || !g.synced.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	g.readyServer = &http.Server{Handler: mux, ReadHeaderTimeout: askTimeout}
-	g.goRun(func() { g.serveOwn(g.readyServer, g.readyListener) })
+	g.readyServer = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
+	g.goRun(func() { g.serveInternal(g.readyServer, g.readyListener) })
 }
 
 // askTimeout bounds a question of the platform's or of who collects metrics.
-const askTimeout = 5 * time.Second
+const readHeaderTimeout = 5 * time.Second
--- a/gateway/pools.go
+++ b/gateway/pools.go
@@ -32,57 +32,57 @@
 type pools struct {
 	dialect target.Dialect
 	// observe is given the header of each answer of a target.
-	observe func(t *directory.Target, h http.Header)
+	observeAnswer func(t *directory.Target, h http.Header)
 	// opening is told of each connection that is opened, and why.
-	opening func(service string, cause target.OpenCause)
+	connOpening func(service string, cause target.OpenCause)
 
 	mu  sync.Mutex
 	all map[directory.Target]*target.Pool
 }
 
 func newPools(
-	dialect target.Dialect, observe func(*directory.Target, http.Header), opening func(string, target.OpenCause),
+	dialect target.Dialect, observeAnswer func(*directory.Target, http.Header), connOpening func(string, target.OpenCause),
 ) *pools {
-	return &pools{dialect: dialect, observe: observe, opening: opening, all: map[directory.Target]*target.Pool{}}
+	return &pools{dialect: dialect, observeAnswer: observeAnswer, connOpening: connOpening, all: map[directory.Target]*target.Pool{}}
 }
 
 // identity is what a pool belongs to: one life of a target at one address.
-func identity(t *directory.Target) directory.Target {
+func poolKey(t *directory.Target) directory.Target {
 	return directory.Target{ID: t.ID, Born: t.Born, Address: t.Address, Service: t.Service}
 }
 
 // get returns the target's pool; maxConns bounds the connections of this router to it.
 func (p *pools) get(t *directory.Target, maxConns int) (*target.Pool, error) {
-	key := identity(t)
+	id := poolKey(t)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if pool := p.all[key]; pool != nil {
+	if pool := p.all[id]; pool != nil {
 		return pool, nil
 	}
 	dialect := p.dialect
-	dialect.Observe = func(h http.Header) { p.observe(&key, h) }
+	dialect.Observe = func(h http.Header) { p.observeAnswer(&id, h) }
 	pool, err := target.New(target.PoolConfig{
 		Address: t.Address, MaxConns: max(maxConns, minConns), ControlConns: -1, MaxIdle: maxIdle,
 		DialTimeout: dialTimeout, ProgressTimeout: progressTimeout, Dialect: dialect, Wait: -1,
-		Opening: func(cause target.OpenCause) { p.opening(key.Service, cause) },
+		Opening: func(cause target.OpenCause) { p.connOpening(id.Service, cause) },
 	})
 	if err != nil {
 		return nil, errors.Wrapf(err, "connections to target %s", t.ID)
 	}
-	p.all[key] = pool
+	p.all[id] = pool
 	return pool, nil
 }
 
 // retain closes the pools of targets that are not there any more; work in flight goes on.
 func (p *pools) retain(targets []directory.Target) {
-	there := make(map[directory.Target]bool, len(targets))
+	present := make(map[directory.Target]bool, len(targets))
 	for i := range targets {
-		there[identity(&targets[i])] = true
+		present[poolKey(&targets[i])] = true
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for key, pool := range p.all {
-		if !there[key] {
+		if !present[key] {
 			pool.Close()
 			delete(p.all, key)
 		}
@@ -92,6 +92,6 @@
 func (p *pools) closeAll() { p.retain(nil) }
 
 // connsFor is this router's part of the connections that a target takes from all.
-func connsFor(all, routers int) int {
-	return max(int(float64(all)*connShare)/max(routers, 1), minConns)
+func connsPerRouter(maxConns, routers int) int {
+	return max(int(float64(maxConns)*connShare)/max(routers, 1), minConns)
 }
--- a/gateway/backing_test.go
+++ b/gateway/quorum_test.go
@@ -12,7 +12,7 @@
 	"tarragongw/core/keyspace"
 )
 
-const longAgo = -time.Hour
+const expiredLongAgo = -time.Hour
 
 // An old leader that renews without the store and a new one that believes it has stopped
 // never go together, also while the number of routers grows by up to two fifths. The routers that
@@ -24,21 +24,21 @@
 	for before := 2; before <= 24; before++ {
 		for after := before; after <= before+before*2/5; after++ {
 			for backers := range before {
-				old := newBacking(name(0), longAgo)
+				old := newQuorum(name(0), expiredLongAgo)
 				for i := 1; i <= backers; i++ {
-					old.back(name(i), now+time.Second)
+					old.recordPromise(name(i), now+time.Second)
 				}
-				left := old.backedFor(now, before)
-				assert.Equal(t, left == time.Second, backers+1 >= int(math.Ceil(backingShare*float64(before))))
+				left := old.reachedFor(now, before)
+				assert.Equal(t, left == time.Second, backers+1 >= int(math.Ceil(quorumShare*float64(before))))
 				promise := func(i int) time.Duration {
 					if i <= backers {
 						return now + time.Second
 					}
-					return longAgo
+					return expiredLongAgo
 				}
-				next := newBacking(name(after-1), promise(after-1))
+				next := newQuorum(name(after-1), promise(after-1))
 				for i := after - 2; i > 0; i-- {
-					ok, ends := next.join(name(i), promise(i), after)
+					ok, ends := next.addFollower(name(i), promise(i), after)
 					assert.Assert(t, !ok || left == 0 || ends > now, "%d routers, then %d; %d back", before, after, backers)
 				}
 			}
@@ -47,42 +47,42 @@
 }
 
 func TestPromisesToTheOldLeaderAreWaitedOut(t *testing.T) {
-	b := newBacking("a", longAgo)
-	ok, _ := b.join("b", 5*time.Second, 4)
+	b := newQuorum("a", expiredLongAgo)
+	ok, _ := b.addFollower("b", 5*time.Second, 4)
 	assert.Assert(t, !ok)
-	ok, until := b.join("c", time.Second, 4)
+	ok, until := b.addFollower("c", time.Second, 4)
 	assert.Assert(t, ok)
 	assert.Equal(t, until, 5*time.Second)
 }
 
 // Guards against a router that has just started, leads, and takes itself for the whole fleet.
 func TestRouterThatHasCountedNobodyIsNotBacked(t *testing.T) {
-	b := newBacking("a", longAgo)
-	assert.Assert(t, !b.backed(0, 0))
-	ok, _ := b.join("b", longAgo, 0)
+	b := newQuorum("a", expiredLongAgo)
+	assert.Assert(t, !b.reached(0, 0))
+	ok, _ := b.addFollower("b", expiredLongAgo, 0)
 	assert.Assert(t, !ok)
-	ok, _ = b.counted(0)
+	ok, _ = b.recheck(0)
 	assert.Assert(t, !ok)
-	ok, _ = b.counted(3)
+	ok, _ = b.recheck(3)
 	assert.Assert(t, ok)
-	assert.Assert(t, !b.backed(0, 3))
-	assert.Assert(t, b.backed(0, 1))
+	assert.Assert(t, !b.reached(0, 3))
+	assert.Assert(t, b.reached(0, 1))
 }
 
 // Symptom: after the leader is lost, keys of targets that are lost soon after it are
 // unserved for ten seconds.
 // Sequence: one of ten routers began shortly before and doesn't know what it promised.
 func TestOneRouterWithoutMemoryDoesNotCount(t *testing.T) {
-	b := newBacking("a", longAgo)
+	b := newQuorum("a", expiredLongAgo)
 	for i := range 9 {
-		until := time.Duration(longAgo)
+		until := time.Duration(expiredLongAgo)
 		if i == 0 {
 			until = time.Hour
 		}
-		ok, ends := b.join(string(rune('b'+i)), until, 10)
+		ok, ends := b.addFollower(string(rune('b'+i)), until, 10)
 		assert.Equal(t, ok, i >= 4)
 		if ok {
-			assert.Equal(t, ends == longAgo, i >= 6, "%d follow", i+2)
+			assert.Equal(t, ends == expiredLongAgo, i >= 6, "%d follow", i+2)
 		}
 	}
 }
@@ -94,19 +94,19 @@
 func TestLongGrantAtTheEndOfABackingIsWaitedOut(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, promised := range []time.Duration{-time.Second, 0, 300 * time.Millisecond, 3 * time.Second} {
-		a := takeOver(now)
-		a.OldLeaderStops(oldLeaderStops(now, promised).usual, oldLeaderStops(now, promised).long)
-		assertHeldUntil(t, a, now, now.Add(promised+assign.WireDelay+longHold))
+		a := takeOverTable(now)
+		a.OldLeaderStops(oldLeaderDeadlinesAt(now, promised).normal, oldLeaderDeadlinesAt(now, promised).outage)
+		assertHolderUntil(t, a, now, now.Add(promised+assign.WireDelay+outageGrantTTL))
 	}
 }
 
-func takeOver(now time.Time) *assign.Assigner {
+func takeOverTable(now time.Time) *assign.Assigner {
 	table := keyspace.New("s")
 	table.Segments[0].Holder = keyspace.Holder{Target: "a"}
-	return assign.TakeOver(now, assign.Config{LongHold: longHold, OldLeader: oldLeaderBound}, "s", table)
+	return assign.TakeOver(now, assign.Config{LongHold: outageGrantTTL, OldLeader: orderLimitWithQuorum}, "s", table)
 }
 
-func assertHeldUntil(t *testing.T, a *assign.Assigner, now, until time.Time) {
+func assertHolderUntil(t *testing.T, a *assign.Assigner, now, until time.Time) {
 	t.Helper()
 	for at := now; at.Before(until); at = at.Add(50 * time.Millisecond) {
 		a.Step(at)
@@ -118,11 +118,11 @@
 // Sequence: the leader is lost, no router was without the store, and none began of late.
 func TestShortGrantsAreNotWaitedOutAsLongOnes(t *testing.T) {
 	now := time.Unix(1000, 0)
-	a := takeOver(now)
-	stops := oldLeaderStops(now, -time.Minute)
-	a.OldLeaderStops(stops.usual, stops.long)
-	assertHeldUntil(t, a, now, now.Add(aloneBound+assign.DefaultHold))
-	a.Step(now.Add(aloneBound + assign.DefaultHold + 200*time.Millisecond))
+	a := takeOverTable(now)
+	stops := oldLeaderDeadlinesAt(now, -time.Minute)
+	a.OldLeaderStops(stops.normal, stops.outage)
+	assertHolderUntil(t, a, now, now.Add(orderLimitWithoutQuorum+assign.DefaultHold))
+	a.Step(now.Add(orderLimitWithoutQuorum + assign.DefaultHold + 200*time.Millisecond))
 	assert.Equal(t, a.Table().Find(0).Target, "")
 }
 
@@ -133,22 +133,22 @@
 		t.Helper()
 		assert.Assert(t, got > want-time.Second && got <= want, "%v", got)
 	}
-	about(f.promisedElsewhere(leaderSeen{revision: 7}), -3*time.Second)
-	f.promise(leaderSeen{revision: 6}, time.Now().Add(time.Second))
-	about(f.promisedElsewhere(leaderSeen{revision: 7}), time.Second)
-	about(f.promisedElsewhere(leaderSeen{revision: 6}), -3*time.Second)
-	f.promise(leaderSeen{revision: 6}, time.Now().Add(-time.Second))
-	about(f.promisedElsewhere(leaderSeen{revision: 7}), -time.Second)
+	about(f.promisedToOther(leaderStatus{revision: 7}), -3*time.Second)
+	f.recordPromise(leaderStatus{revision: 6}, time.Now().Add(time.Second))
+	about(f.promisedToOther(leaderStatus{revision: 7}), time.Second)
+	about(f.promisedToOther(leaderStatus{revision: 6}), -3*time.Second)
+	f.recordPromise(leaderStatus{revision: 6}, time.Now().Add(-time.Second))
+	about(f.promisedToOther(leaderStatus{revision: 7}), -time.Second)
 }
 
 func TestWeakRoutersAskForTheLeadLater(t *testing.T) {
 	for _, share := range []float64{0, 0.32, 1} {
-		assert.Assert(t, campaignAfter(share, 12) < 12*campaignSpread)
-		assert.Assert(t, campaignAfter(share, 1000) < mostSpread)
+		assert.Assert(t, campaignDelay(share, 12) < 12*campaignSpreadPerRouter)
+		assert.Assert(t, campaignDelay(share, 1000) < maxCampaignSpread)
 	}
-	assert.Assert(t, campaignAfter(0.16, 12) >= weakPause)
-	assert.Assert(t, campaignAfter(0.16, 12) > mostSpread, "a small VM asks after the last of the others")
-	assert.Assert(t, campaignAfter(1, 0) < campaignSpread)
+	assert.Assert(t, campaignDelay(0.16, 12) >= lowCPUCampaignDelay)
+	assert.Assert(t, campaignDelay(0.16, 12) > maxCampaignSpread, "a small VM asks after the last of the others")
+	assert.Assert(t, campaignDelay(1, 0) < campaignSpreadPerRouter)
 }
 
 // Symptom: a router that has just begun to lead stops assigning keys.
@@ -156,6 +156,6 @@
 // the division of the keys.
 func TestTargetsMayChangeWhileTheDivisionIsRead(t *testing.T) {
 	l := &leader{term: &term{services: map[string]*serviceAssignment{"s": {}}}}
-	l.setTargets(&targetsSeen{targets: []directory.Target{{ID: "a", Service: "s"}}})
+	l.setTargets(&targetStatus{targets: []directory.Target{{ID: "a", Service: "s"}}})
 	assert.Equal(t, len(l.targets.targets), 1)
 }
--- a/gateway/restoredraw_test.go
+++ b/gateway/randomrestores_test.go
@@ -15,46 +15,46 @@
 )
 
 var (
-	drawnSeeds = flag.Int("restore-seeds", 2, "number of drawn sequences of restores")
-	firstSeed  = flag.Uint64("restore-first-seed", 1, "seed of the first drawn sequence of restores")
+	randomSeeds     = flag.Int("restore-seeds", 2, "number of drawn sequences of restores")
+	firstRandomSeed = flag.Uint64("restore-first-seed", 1, "seed of the first drawn sequence of restores")
 )
 
 // drawnEvents is how many events a drawn sequence has.
-const drawnEvents = 8
+const randomEvents = 8
 
 // Some sequence of restores, moves and lost routers leaves a key with two holders or with none.
 func TestDrawnRestores(t *testing.T) {
-	for i := range *drawnSeeds {
-		seed := *firstSeed + uint64(i)
-		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { drawRestores(t, seed) })
+	for i := range *randomSeeds {
+		seed := *firstRandomSeed + uint64(i)
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { testRandomRestores(t, seed) })
 	}
 }
 
-func drawRestores(t *testing.T, seed uint64) {
+func testRandomRestores(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, seed))
 	f := newRestoredFleet(t, 3)
 	f.store.Snapshot()
-	doubles := f.watchDoubles()
-	for i := range drawnEvents {
-		f.drawEvent(random, i)
+	holders := f.watchForTwoHolders()
+	for i := range randomEvents {
+		f.randomEvent(random, i)
 		time.Sleep(time.Duration(random.IntN(800)) * time.Millisecond)
 	}
-	f.allServed()
+	f.waitUntilAllServed()
 	before := f.highestToken(100)
 	f.moveKey(100)
-	f.allServed()
+	f.waitUntilAllServed()
 	assert.Assert(t, f.highestToken(100) > before)
-	doubles.end(t)
+	holders.end(t)
 }
 
-func (f *fleet) drawEvent(random *rand.Rand, nth int) {
+func (f *fleet) randomEvent(random *rand.Rand, nth int) {
 	switch random.IntN(6) {
 	case 0:
 		f.store.Snapshot()
 	case 1, 2:
-		how := platformtest.Restored{RewriteAfter: time.Duration(random.IntN(500)) * time.Millisecond, KeepLeases: random.IntN(2) == 0}
-		f.t.Logf("restore, %+v", how)
-		f.store.Restore(how)
+		restore := platformtest.Restored{RewriteAfter: time.Duration(random.IntN(500)) * time.Millisecond, KeepLeases: random.IntN(2) == 0}
+		f.t.Logf("restore, %+v", restore)
+		f.store.Restore(restore)
 	case 3:
 		f.t.Log("a target leaves and returns")
 		f.leaveAndReturn(random)
--- a/gateway/readahead.go
+++ b/gateway/readahead.go
@@ -15,11 +15,11 @@
 // place waits for a place at a target.
 func (x *exchange) place() (dispatch.Decision, *fault.Fault) {
 	if x.body == nil {
-		return x.s.acquire(x.r.Context(), x.ask(), func() {})
+		return x.service.acquire(x.r.Context(), x.dispatchRequest(), func() {})
 	}
 	ctx, cancel := context.WithCancel(x.r.Context())
 	defer cancel()
-	return x.s.acquire(ctx, x.ask(), func() { go x.readAhead(cancel) })
+	return x.service.acquire(ctx, x.dispatchRequest(), func() { go x.readAhead(cancel) })
 }
 
 // readAhead reads the body of a request that waits for a place, and ends the wait where the
--- a/gateway/request_test.go
+++ b/gateway/request_test.go
@@ -58,7 +58,7 @@
 	})
 	f.add(plainTarget("a"))
 	f.configure(plainConfig)
-	f.served(f.gateways[0], call{method: "GET", path: "/read/1", key: -1})
+	f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: -1})
 	assert.Equal(t, f.send(f.gateways[0], call{method: "GET", path: "/nothing/1", key: -1}).status, http.StatusNotFound)
 }
 
@@ -74,7 +74,7 @@
 				return false
 			}
 			broken = true
-			hangUp(t, w)
+			closeConnection(t, w)
 			return true
 		})
 	}
@@ -86,7 +86,7 @@
 	assert.Equal(t, f.runsOf(got.id), 1)
 }
 
-func hangUp(t *testing.T, w http.ResponseWriter) {
+func closeConnection(t *testing.T, w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	assert.NilError(t, err)
 	conn.Close()
@@ -194,7 +194,7 @@
 // Requests that come behind another on one connection are answered in order.
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	f := newFleet(t, 1, plainConfig, plainTarget("a"))
-	f.served(f.gateways[0], call{method: "GET", path: "/read/0", key: -1})
+	f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/0", key: -1})
 	conn, err := net.Dial("tcp", f.gateways[0].callerListener.Addr().String())
 	assert.NilError(t, err)
 	defer conn.Close()
--- a/gateway/restore_test.go
+++ b/gateway/restore_test.go
@@ -22,7 +22,7 @@
 )
 
 // restored is how the store of most tests comes back.
-var restored = platformtest.Restored{RewriteAfter: 300 * time.Millisecond}
+var defaultRestore = platformtest.Restored{RewriteAfter: 300 * time.Millisecond}
 
 var restoreKeys = []int{100, 20000, 33000, 50000, 65000}
 
@@ -37,17 +37,17 @@
 	for i := range routers {
 		f.start(fmt.Sprintf("router-%d", i))
 	}
-	f.allServed()
+	f.waitUntilAllServed()
 	return f
 }
 
 // allServed waits until all live routers serve all keys.
-func (f *fleet) allServed() {
+func (f *fleet) waitUntilAllServed() {
 	f.t.Helper()
 	for _, g := range f.gateways {
 		for _, k := range restoreKeys {
 			if g.lifetime.Err() == nil {
-				f.served(g, call{method: http.MethodGet, path: "/read/1", key: k})
+				f.sendUntilServed(g, call{method: http.MethodGet, path: "/read/1", key: k})
 			}
 		}
 	}
@@ -67,14 +67,14 @@
 }
 
 // doubleWatch looks for keys that two targets hold.
-type doubleWatch struct {
-	stop  chan struct{}
-	done  sync.WaitGroup
-	found string
+type holderWatch struct {
+	stop      chan struct{}
+	done      sync.WaitGroup
+	violation string
 }
 
-func (f *fleet) watchDoubles() *doubleWatch {
-	w := &doubleWatch{stop: make(chan struct{})}
+func (f *fleet) watchForTwoHolders() *holderWatch {
+	w := &holderWatch{stop: make(chan struct{})}
 	targets := make([]*platformtest.Target, 0, len(f.targets))
 	for _, t := range f.targets {
 		targets = append(targets, t)
@@ -82,7 +82,7 @@
 	w.done.Go(func() {
 		for {
 			for _, k := range restoreKeys {
-				w.look(targets, uint16(k))
+				w.check(targets, uint16(k))
 			}
 			select {
 			case <-w.stop:
@@ -94,25 +94,25 @@
 	return w
 }
 
-func (w *doubleWatch) look(targets []*platformtest.Target, k uint16) {
-	var held []*platformtest.Target
+func (w *holderWatch) check(targets []*platformtest.Target, k uint16) {
+	var holders []*platformtest.Target
 	for _, t := range targets {
 		if t.Holds(k) {
-			held = append(held, t)
+			holders = append(holders, t)
 		}
 	}
 	// The first is asked again: the key may have moved in between.
-	if len(held) > 1 && held[0].Holds(k) && held[1].Holds(k) && w.found == "" {
-		w.found = fmt.Sprintf("%s and %s hold key %d", held[0].ID, held[1].ID, k)
+	if len(holders) > 1 && holders[0].Holds(k) && holders[1].Holds(k) && w.violation == "" {
+		w.violation = fmt.Sprintf("%s and %s hold key %d", holders[0].ID, holders[1].ID, k)
 	}
 }
 
 // end stops the watch and fails the test if it found anything.
-func (w *doubleWatch) end(t *testing.T) {
+func (w *holderWatch) end(t *testing.T) {
 	t.Helper()
 	close(w.stop)
 	w.done.Wait()
-	assert.Equal(t, w.found, "")
+	assert.Equal(t, w.violation, "")
 }
 
 // highestToken is the highest token that any target has seen for the key.
@@ -127,33 +127,33 @@
 // Two targets hold a key, or nobody serves it, because a restored store names a holder that has
 // given it away since.
 func TestRestoreForgetsAMove(t *testing.T) {
-	t.Run("leases have lapsed", func(t *testing.T) { restoreForgetsAMove(t, restored) })
+	t.Run("leases have lapsed", func(t *testing.T) { testRestoreUndoesAMove(t, defaultRestore) })
 	t.Run("leases begin anew", func(t *testing.T) {
-		restoreForgetsAMove(t, platformtest.Restored{RewriteAfter: restored.RewriteAfter, KeepLeases: true})
+		testRestoreUndoesAMove(t, platformtest.Restored{RewriteAfter: defaultRestore.RewriteAfter, KeepLeases: true})
 	})
 }
 
-func restoreForgetsAMove(t *testing.T, how platformtest.Restored) {
+func testRestoreUndoesAMove(t *testing.T, restore platformtest.Restored) {
 	f := newRestoredFleet(t, 3)
 	f.store.Snapshot()
 	_, holder := f.moveKey(100)
-	f.allServed()
-	doubles := f.watchDoubles()
+	f.waitUntilAllServed()
+	holders := f.watchForTwoHolders()
 	before := f.highestToken(100)
-	f.store.Restore(how)
+	f.store.Restore(restore)
 	began := time.Now()
-	f.allServed()
+	f.waitUntilAllServed()
 	assert.Assert(t, time.Since(began) < servedWithin, "after %v", time.Since(began))
 	assert.Equal(t, f.holder(100), holder)
 	waittest.Until(t, "a router leads in the next era", func() bool {
 		g := f.leader()
 		return g != nil && g.era() == firstEra+1
 	})
-	time.Sleep(restored.RewriteAfter)
+	time.Sleep(defaultRestore.RewriteAfter)
 	f.moveKey(100)
-	f.allServed()
+	f.waitUntilAllServed()
 	assert.Assert(t, f.highestToken(100) > before)
-	doubles.end(t)
+	holders.end(t)
 }
 
 // Targets refuse all grants, or two hold a key under one token, because a restored store has
@@ -162,18 +162,18 @@
 	f := newRestoredFleet(t, 2)
 	f.store.Snapshot()
 	f.moveKey(100)
-	f.allServed()
+	f.waitUntilAllServed()
 	before := f.highestToken(100)
-	doubles := f.watchDoubles()
+	holders := f.watchForTwoHolders()
 	for _, g := range f.gateways {
 		abandon(g)
 	}
-	f.store.Restore(restored)
+	f.store.Restore(defaultRestore)
 	f.start("late-0")
 	f.start("late-1")
 	waittest.Until(t, "the key is held under a higher token", func() bool { return f.highestToken(100) > before && f.holder(100) != "" })
-	f.allServed()
-	doubles.end(t)
+	f.waitUntilAllServed()
+	holders.end(t)
 }
 
 // A new leader grants keys by a restored table while a target that it doesn't name holds them.
@@ -181,13 +181,13 @@
 	f := newRestoredFleet(t, 3)
 	f.store.Snapshot()
 	f.moveKey(100)
-	doubles := f.watchDoubles()
+	holders := f.watchForTwoHolders()
 	lost := f.leader()
 	abandon(lost)
-	f.store.Restore(restored)
-	waittest.Until(t, "another router leads", func() bool { return f.leaderBut(lost) != nil })
-	f.allServed()
-	doubles.end(t)
+	f.store.Restore(defaultRestore)
+	waittest.Until(t, "another router leads", func() bool { return f.leaderOtherThan(lost) != nil })
+	f.waitUntilAllServed()
+	holders.end(t)
 }
 
 // A leader that was cut off goes on in a restored store with what it knew, although another led
@@ -196,20 +196,20 @@
 	f := newRestoredFleet(t, 3)
 	f.store.Snapshot()
 	first := f.leader()
-	f.ways[first.opts.Name].cut.Store(true)
-	waittest.Until(t, "another router leads", func() bool { return f.leaderBut(first) != nil })
-	second := f.leaderBut(first)
+	f.links[first.opts.Name].cut.Store(true)
+	waittest.Until(t, "another router leads", func() bool { return f.leaderOtherThan(first) != nil })
+	second := f.leaderOtherThan(first)
 	f.moveKey(100)
-	doubles := f.watchDoubles()
+	holders := f.watchForTwoHolders()
 	abandon(second)
-	f.store.Restore(restored)
-	f.ways[first.opts.Name].cut.Store(false)
+	f.store.Restore(defaultRestore)
+	f.links[first.opts.Name].cut.Store(false)
 	waittest.Until(t, "a router leads in the next era", func() bool {
-		g := f.leaderBut(second)
+		g := f.leaderOtherThan(second)
 		return g != nil && g.era() == firstEra+1
 	})
-	f.allServed()
-	doubles.end(t)
+	f.waitUntilAllServed()
+	holders.end(t)
 	assert.Assert(t, !strings.Contains(f.log.String(), "leadership kept"), "the leader of before went on")
 }
 
@@ -218,18 +218,18 @@
 	f := newRestoredFleet(t, 3)
 	f.store.Snapshot()
 	_, holder := f.moveKey(100)
-	doubles := f.watchDoubles()
-	f.store.Restore(restored)
+	holders := f.watchForTwoHolders()
+	f.store.Restore(defaultRestore)
 	time.Sleep(time.Second)
-	f.store.Restore(restored)
+	f.store.Restore(defaultRestore)
 	began := time.Now()
-	f.allServed()
+	f.waitUntilAllServed()
 	assert.Assert(t, time.Since(began) < servedWithin, "after %v", time.Since(began))
 	assert.Equal(t, f.holder(100), holder)
 	time.Sleep(2 * time.Second)
 	f.moveKey(100)
-	f.allServed()
-	doubles.end(t)
+	f.waitUntilAllServed()
+	holders.end(t)
 }
 
 // A configuration that was in force is taken back, because a restored store has an older one.
@@ -239,7 +239,7 @@
 	f.configure(strings.ReplaceAll(keyedConfig, "/read/", "/look/"))
 	newer := call{method: http.MethodGet, path: "/look/1", key: 100}
 	for _, g := range f.gateways {
-		f.served(g, newer)
+		f.sendUntilServed(g, newer)
 	}
 	f.store.Restore(platformtest.Restored{RewriteAfter: 2 * time.Second})
 	f.start("late")
@@ -250,7 +250,7 @@
 		}
 	}
 	for _, g := range f.gateways {
-		f.served(g, newer)
+		f.sendUntilServed(g, newer)
 	}
 }
 
@@ -262,14 +262,14 @@
 	f.registerAll(20)
 	f.configure(strings.ReplaceAll(keyedConfig, "/read/", "/seek/"))
 	for _, g := range f.gateways {
-		f.served(g, call{method: http.MethodGet, path: "/seek/1", key: 100})
+		f.sendUntilServed(g, call{method: http.MethodGet, path: "/seek/1", key: 100})
 	}
 	f.store.Restore(platformtest.Restored{RewriteAfter: time.Minute})
 	f.configure(strings.ReplaceAll(keyedConfig, "/read/", "/look/"))
 	f.registerAll(40) // the store's revision is beyond that of before
 	began := time.Now()
 	for _, g := range f.gateways {
-		f.served(g, call{method: http.MethodGet, path: "/look/1", key: 100})
+		f.sendUntilServed(g, call{method: http.MethodGet, path: "/look/1", key: 100})
 	}
 	assert.Assert(t, time.Since(began) < 2*time.Second, "after %v", time.Since(began))
 }
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -17,7 +17,7 @@
 
 // pollEvery is how often requests that wait for a place are looked at again: what is
 // believed of the other routers' work fades within a fifth of a second.
-const pollEvery = 10 * time.Millisecond
+const pollInterval = 10 * time.Millisecond
 
 // service is what the router keeps for one service: the decisions of core/dispatch behind
 // a lock, and the requests that wait.
@@ -75,7 +75,7 @@
 
 // acquire waits for a place, and calls waits first where there is none yet. Its work counts
 // until done.
-func (s *service) acquire(ctx context.Context, r dispatch.Request, waits func()) (dispatch.Decision, *fault.Fault) {
+func (s *service) acquire(ctx context.Context, r dispatch.Request, onWait func()) (dispatch.Decision, *fault.Fault) {
 	s.mu.Lock()
 	s.lastID++
 	r.ID = s.lastID
@@ -84,23 +84,23 @@
 	if d.Verdict == dispatch.Wait {
 		answer = make(chan dispatch.Decision, 1)
 		s.waiting[r.ID] = answer
-		s.arm()
+		s.armPoll()
 	}
 	s.mu.Unlock()
 	if answer == nil {
 		return d, refusalOf(&d)
 	}
-	waits()
+	onWait()
 	select {
 	case d = <-answer:
 		return d, refusalOf(&d)
 	case <-ctx.Done():
 	}
-	return s.leave(ctx, r.ID, answer)
+	return s.withdraw(ctx, r.ID, answer)
 }
 
 // leave takes a request that waits back. A place that it was given meanwhile is given up.
-func (s *service) leave(ctx context.Context, id uint64, answer chan dispatch.Decision) (dispatch.Decision, *fault.Fault) {
+func (s *service) withdraw(ctx context.Context, id uint64, answer chan dispatch.Decision) (dispatch.Decision, *fault.Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.core.Cancel(id) {
@@ -108,11 +108,11 @@
 	} else if d := <-answer; d.Verdict == dispatch.Send {
 		s.core.Done(time.Now(), d.Target.ID, dispatch.Left, 0, 1)
 	}
-	return dispatch.Decision{}, endOf(ctx)
+	return dispatch.Decision{}, endedWhileWaiting(ctx)
 }
 
 // endOf is the fault of a request that ended before it was sent.
-func endOf(ctx context.Context) *fault.Fault {
+func endedWhileWaiting(ctx context.Context) *fault.Fault {
 	kind := fault.CallerGone
 	if context.Cause(ctx) == context.DeadlineExceeded {
 		kind = fault.DeadlineUnmeetable
@@ -141,7 +141,7 @@
 }
 
 // report notes what an answer tells of its target's work.
-func (s *service) report(id string, r dispatch.Report) {
+func (s *service) recordReport(id string, r dispatch.Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.core.Report(time.Now(), id, r)
@@ -153,15 +153,15 @@
 		s.waiting[id] <- d
 		delete(s.waiting, id)
 	}
-	s.arm()
+	s.armPoll()
 }
 
 // arm has what waits looked at again; the lock is held.
-func (s *service) arm() {
+func (s *service) armPoll() {
 	if len(s.waiting) == 0 || s.timer != nil {
 		return
 	}
-	s.timer = time.AfterFunc(pollEvery, func() {
+	s.timer = time.AfterFunc(pollInterval, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.timer = nil
@@ -170,14 +170,14 @@
 }
 
 // counted pays for retries with a request of the service.
-func (s *service) counted() {
+func (s *service) countRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.budget.Success()
 }
 
 // mayRetry takes one further attempt from the budget.
-func (s *service) mayRetry() bool {
+func (s *service) takeRetry() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.budget.Take(time.Now())
@@ -218,7 +218,7 @@
 }
 
 // pressed reports whether a target has had too much to do of late.
-func (s *service) pressed(id string) bool {
+func (s *service) overloaded(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.core.Pressed(time.Now(), id)
@@ -245,7 +245,7 @@
 }
 
 // speed is how long a target takes for a request in seconds; zero where it isn't known.
-func (s *service) speed(id string) float64 {
+func (s *service) serviceTime(id string) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.core.ServiceTime(id)
--- a/gateway/sizes.go
+++ b/gateway/sizes.go
@@ -21,27 +21,27 @@
 func (s *sizes) expect(route string, r *http.Request) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	of := s.of(route)
+	mean := s.meanOf(route)
 	if r.ContentLength >= 0 {
-		return r.ContentLength + int64(of.answer)
+		return r.ContentLength + int64(mean.answer)
 	}
-	return int64(of.request + of.answer)
+	return int64(mean.request + mean.answer)
 }
 
 // note remembers the sizes that are known.
-func (s *sizes) note(route string, r *http.Request, answer *http.Response) {
+func (s *sizes) record(route string, r *http.Request, answer *http.Response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	of := s.of(route)
+	mean := s.meanOf(route)
 	if r.ContentLength > 0 {
-		of.request += (float64(r.ContentLength) - of.request) * sizeGain
+		mean.request += (float64(r.ContentLength) - mean.request) * sizeGain
 	}
 	if answer.ContentLength > 0 {
-		of.answer += (float64(answer.ContentLength) - of.answer) * sizeGain
+		mean.answer += (float64(answer.ContentLength) - mean.answer) * sizeGain
 	}
 }
 
-func (s *sizes) of(route string) *size {
+func (s *sizes) meanOf(route string) *size {
 	of := s.all[route]
 	if of == nil {
 		of = &size{}
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -10,11 +10,11 @@
 	// maxLeave the longest such time: by then the platform has asked twice whether this router
 	// is ready, and sends no more. What is taken on later has less time to end, however long
 	// the grace is.
-	leaveShare = 0.5
-	maxLeave   = 2900 * time.Millisecond
+	acceptShare   = 0.5
+	maxAcceptTime = 2900 * time.Millisecond
 	// cutShare is the part of the grace that requests in flight have to end. The others are
 	// told so in the rest of it; of the usual grace of 6 s that is 0.7 s.
-	cutShare = 0.88
+	drainShare = 0.88
 )
 
 // Stop ends the router gracefully: it is not ready from now on, gives the lead up, answers
@@ -23,18 +23,18 @@
 // off.
 func (g *Gateway) Stop() (cut int) {
 	began := time.Now()
-	g.leaving.Store(true)
+	g.stopping.Store(true)
 	g.log.Info("stopping", "grace", g.opts.Grace)
-	down := &stepDown{done: make(chan struct{})}
+	down := &stepDown{finished: make(chan struct{})}
 	g.leader.duty.Tell(down)
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(part(g.opts.Grace, cutShare)))
+	ctx, cancel := context.WithDeadline(context.Background(), began.Add(fraction(g.opts.Grace, drainShare)))
 	defer cancel()
-	leave := time.After(leaveAfter(g.opts.Grace))
+	acceptEnd := time.After(acceptTime(g.opts.Grace))
 	select {
-	case <-down.done:
-		g.members.leave(ctx)
-		<-leave
-	case <-leave:
+	case <-down.finished:
+		g.membership.remove(ctx)
+		<-acceptEnd
+	case <-acceptEnd:
 	}
 	g.mu.RLock()
 	callers := g.callers
@@ -43,10 +43,10 @@
 		cut = callers.Shutdown(ctx)
 	}
 	select {
-	case <-down.done:
+	case <-down.finished:
 	case <-ctx.Done(): // the store didn't answer; this router led on to its end
 	}
-	g.members.leave(ctx)
+	g.membership.remove(ctx)
 	g.cancel()
 	g.pools.closeAll()
 	g.log.Info("stopped", "cut", cut, "took", time.Since(began))
@@ -54,6 +54,8 @@
 }
 
 // leaveAfter is how long after the request to stop a router takes nothing on any more.
-func leaveAfter(grace time.Duration) time.Duration { return min(part(grace, leaveShare), maxLeave) }
+func acceptTime(grace time.Duration) time.Duration {
+	return min(fraction(grace, acceptShare), maxAcceptTime)
+}
 
-func part(d time.Duration, share float64) time.Duration { return time.Duration(float64(d) * share) }
+func fraction(d time.Duration, share float64) time.Duration { return time.Duration(float64(d) * share) }
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -19,15 +19,15 @@
 )
 
 // persistent is a caller that keeps its connection as long as it may, and then opens another.
-type persistent struct {
+type persistentCaller struct {
 	fleet *fleet
 	g     *Gateway
 	name  string
 	// depth is how many requests it sends before it reads the answers.
-	depth int
-	conn  net.Conn
-	in    *bufio.Reader
-	sent  int
+	depth     int
+	conn      net.Conn
+	in        *bufio.Reader
+	sentCount int
 }
 
 // sentRequest is a request that a caller sent and what became of it.
@@ -37,7 +37,7 @@
 	status int
 }
 
-func (p *persistent) connect() bool {
+func (p *persistentCaller) connect() bool {
 	conn, err := net.Dial("tcp", p.g.callerListener.Addr().String())
 	if err != nil {
 		return false
@@ -49,12 +49,12 @@
 
 // round sends depth requests at once and reads their answers; status zero is none. It
 // reports whether the connection may be used further.
-func (p *persistent) round(path string) ([]sentRequest, bool) {
+func (p *persistentCaller) sendBatch(path string) ([]sentRequest, bool) {
 	var sent []sentRequest
 	var text strings.Builder
 	for range p.depth {
-		p.sent++
-		id := fmt.Sprintf("%s-%d", p.name, p.sent)
+		p.sentCount++
+		id := fmt.Sprintf("%s-%d", p.name, p.sentCount)
 		fmt.Fprintf(&text, "GET %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: 60000\r\n\r\n",
 			path, host, platform.HeaderRequestID, id, platform.HeaderDeadline)
 		sent = append(sent, sentRequest{id: id, at: time.Now()})
@@ -91,10 +91,10 @@
 	f := newFleet(t, 1, strings.ReplaceAll(plainConfig, `"timeout":"1000ms"`, `"timeout":"60000ms"`), plainTarget("a"), plainTarget("b"))
 	g := f.gateways[0]
 	f.setSlots(64)
-	var long atomic.Int64
+	var longReads atomic.Int64
 	slow := func(_ http.ResponseWriter, r *http.Request) bool {
 		if strings.HasPrefix(r.URL.Path, "/read/long") {
-			long.Add(1)
+			longReads.Add(1)
 			time.Sleep(2 * g.opts.Grace)
 		}
 		return false
@@ -105,7 +105,7 @@
 	}
 	var mu sync.Mutex
 	var all []sentRequest
-	note := func(sent []sentRequest) {
+	record := func(sent []sentRequest) {
 		mu.Lock()
 		defer mu.Unlock()
 		all = append(all, sent...)
@@ -113,26 +113,26 @@
 	var callers sync.WaitGroup
 	stopped := make(chan struct{})
 
-	blocker := &persistent{fleet: f, g: g, name: "blocker", depth: 3}
+	blocker := &persistentCaller{fleet: f, g: g, name: "blocker", depth: 3}
 	assert.Assert(t, blocker.connect())
-	callers.Go(func() { blocker.round("/read/long") })
-	waittest.Until(t, "the long read and those behind it are at work", func() bool { return long.Load() == int64(blocker.depth) })
-	var rested []*persistent
+	callers.Go(func() { blocker.sendBatch("/read/long") })
+	waittest.Until(t, "the long read and those behind it are at work", func() bool { return longReads.Load() == int64(blocker.depth) })
+	var idle []*persistentCaller
 	for i := range 4 {
-		p := &persistent{fleet: f, g: g, name: fmt.Sprintf("rested-%d", i), depth: 1}
+		p := &persistentCaller{fleet: f, g: g, name: fmt.Sprintf("rested-%d", i), depth: 1}
 		assert.Assert(t, p.connect())
-		sent, kept := p.round("/read/first")
+		sent, kept := p.sendBatch("/read/first")
 		assert.Assert(t, kept && sent[0].status == http.StatusOK)
-		rested = append(rested, p)
+		idle = append(idle, p)
 	}
 	for i := range 6 {
-		p := &persistent{fleet: f, g: g, name: fmt.Sprintf("busy-%d", i), depth: 1 + i%3}
+		p := &persistentCaller{fleet: f, g: g, name: fmt.Sprintf("busy-%d", i), depth: 1 + i%3}
 		callers.Go(func() {
 			for p.connect() {
 				for kept := true; kept; {
 					var sent []sentRequest
-					sent, kept = p.round("/read/next")
-					note(sent)
+					sent, kept = p.sendBatch("/read/next")
+					record(sent)
 				}
 				select {
 				case <-stopped:
@@ -143,18 +143,18 @@
 		})
 	}
 	began := time.Now()
-	for i, p := range rested {
+	for i, p := range idle {
 		// From shortly before accepting ends to shortly before the end.
 		callers.Go(func() {
-			time.Sleep(time.Until(began.Add(part(g.opts.Grace, leaveShare) + time.Duration(i-1)*300*time.Millisecond)))
-			sent, _ := p.round("/read/late")
-			note(sent)
+			time.Sleep(time.Until(began.Add(fraction(g.opts.Grace, acceptShare) + time.Duration(i-1)*300*time.Millisecond)))
+			sent, _ := p.sendBatch("/read/late")
+			record(sent)
 		})
 	}
 	g.Stop()
 	close(stopped)
 	callers.Wait()
-	notAccepted := began.Add(part(g.opts.Grace, leaveShare))
+	notAccepted := began.Add(fraction(g.opts.Grace, acceptShare))
 	served := 0
 	for _, r := range all {
 		if r.status == http.StatusOK {
@@ -174,8 +174,8 @@
 // Guards against requests that are taken on late in a long grace, and cut off at its end.
 func TestNothingIsTakenOnLateInALongGrace(t *testing.T) {
 	for _, grace := range []time.Duration{6 * time.Second, 10 * time.Second, time.Minute} {
-		assert.Assert(t, leaveAfter(grace) < 3*time.Second, "%v", grace)
-		assert.Assert(t, leaveAfter(grace) > 2*time.Second, "two questions of the platform come before: %v", grace)
+		assert.Assert(t, acceptTime(grace) < 3*time.Second, "%v", grace)
+		assert.Assert(t, acceptTime(grace) > 2*time.Second, "two questions of the platform come before: %v", grace)
 	}
-	assert.Equal(t, leaveAfter(2*time.Second), time.Second)
+	assert.Equal(t, acceptTime(2*time.Second), time.Second)
 }
--- a/gateway/storecalls.go
+++ b/gateway/storecalls.go
@@ -9,12 +9,12 @@
 
 // What calls to the store are for, as store_calls_total names it.
 const (
-	forLead    = "lead"
-	forKeys    = "keys"
-	forConfig  = "config"
-	forTargets = "targets"
-	forRouters = "routers"
-	forOwn     = "own_record"
+	purposeLead      = "lead"
+	purposeKeys      = "keys"
+	purposeConfig    = "config"
+	purposeTargets   = "targets"
+	purposeRouters   = "routers"
+	purposeOwnRecord = "own_record"
 )
 
 // storeFor returns the store for calls that are counted under the purpose.
@@ -29,15 +29,15 @@
 func (g *Gateway) purposeOf(prefix string) string {
 	switch prefix {
 	case leaderPrefix:
-		return forLead
+		return purposeLead
 	case routerPrefix:
-		return forRouters
+		return purposeRouters
 	case tablePrefix:
-		return forKeys
+		return purposeKeys
 	case g.opts.Adapter.TargetPrefix:
-		return forTargets
+		return purposeTargets
 	default:
-		return forConfig
+		return purposeConfig
 	}
 }
 
--- a/gateway/storecalls_test.go
+++ b/gateway/storecalls_test.go
@@ -19,9 +19,9 @@
 	ctx := t.Context()
 	_, at, err := g.storeFor(g.purposeOf(leaderPrefix)).List(ctx, leaderPrefix)
 	assert.NilError(t, err)
-	_, _, err = g.storeFor(forTargets).Watch(ctx, "targets/", at, time.Millisecond)
+	_, _, err = g.storeFor(purposeTargets).Watch(ctx, "targets/", at, time.Millisecond)
 	assert.NilError(t, err)
-	_, err = g.storeFor(forKeys).Get(ctx, tablePrefix+"nothing")
+	_, err = g.storeFor(purposeKeys).Get(ctx, tablePrefix+"nothing")
 	assert.Assert(t, err != nil)
 	for _, line := range []string{
 		`tarragongw_store_calls_total{kind="list_lead",outcome="ok"} 1`,
--- a/gateway/storewatches.go
+++ b/gateway/storewatches.go
@@ -15,15 +15,15 @@
 	stop context.CancelFunc
 }
 
-// startWatch begins to watch a prefix; the lock is held.
+// startWatch starts to watch a prefix; the caller holds the lock.
 func (f *subscription) startWatch(prefix string, pause func([]kv.Record) time.Duration, wait time.Duration) *watch {
 	ctx, cancel := context.WithCancel(f.g.lifetime)
 	w := &watch{stop: cancel, watcher: &watcher{
-		store: f.g.storeFor(f.g.purposeOf(prefix)), log: f.g.log, prefix: prefix, pause: pause, wait: wait, lost: f.rewatch,
-		gate: &f.g.gate, probe: f.g.members.renewNow,
-		tell: func(message any) {
+		store: f.g.storeFor(f.g.purposeOf(prefix)), log: f.g.log, prefix: prefix, pause: pause, wait: wait, historyLost: f.restartWatches,
+		gate: &f.g.gate, probe: f.g.membership.renewNow,
+		notify: func(message any) {
 			if ctx.Err() == nil {
-				f.g.state.duty.Tell(&fromPrefix{prefix, message})
+				f.g.state.duty.Tell(&prefixMessage{prefix, message})
 			}
 		},
 	}}
@@ -31,51 +31,53 @@
 	return w
 }
 
-// always is a pause that doesn't depend on what has changed.
-func always(pause time.Duration) func([]kv.Record) time.Duration {
+// constantPause returns a pause that doesn't depend on the changed records.
+func constantPause(pause time.Duration) func([]kv.Record) time.Duration {
 	return func([]kv.Record) time.Duration { return pause }
 }
 
-func pauseAfterLeader(changed []kv.Record) time.Duration {
+// leaderWatchPause is the pause after a change of the leader record.
+func leaderWatchPause(changed []kv.Record) time.Duration {
 	if changed[len(changed)-1].Deleted {
-		return leaderPause
+		return leaderDeletedWatchPause
 	}
-	return subscribePause
+	return leaderFoundWatchPause
 }
 
-// restingWait is how long a watch for what changes seldom waits.
-func (f *subscription) restingWait() time.Duration {
-	wait := maxRestingWait
+// rareChangeWait returns how long a watch for records that change rarely waits.
+func (f *subscription) rareChangeWait() time.Duration {
+	wait := maxRareChangeWait
 	if history := f.g.opts.StoreHistory; history > 0 {
-		wait = min(wait, time.Duration(restingShare*float64(history)))
+		wait = min(wait, time.Duration(rareChangeHistoryShare*float64(history)))
 	}
-	return time.Duration(float64(wait) * (1 - restingJitter*rand.Float64()))
+	return time.Duration(float64(wait) * (1 - rareChangeJitter*rand.Float64()))
 }
 
-// fallbackDelay is how long this router goes without a leader before it asks the store.
+// fallbackDelay returns how long this router waits for a feed before it reads the state from the
+// store.
 func (f *subscription) fallbackDelay() time.Duration {
-	delay := min(max(f.g.opts.KnownWithin-fallbackRest, minFallbackDelay), maxFallbackDelay)
+	delay := min(max(f.g.opts.KnownWithin-fallbackReserve, minFallbackDelay), maxFallbackDelay)
 	return delay + rand.N(fallbackJitter)
 }
 
-// staleDelay is how long this router waits for another leader where its own says that it
-// doesn't hear from the store; that took it freshFor.
+// staleDelay returns how long this router waits for another leader after its own has reported that it
+// can't reach the store. It is shorter, because the leader has needed freshnessLimit to notice that.
 func (f *subscription) staleDelay() time.Duration {
 	return max(f.fallbackDelay()-minFallbackDelay, 0)
 }
 
-// rewatch has all watches asked anew.
-func (f *subscription) rewatch() {
+// restartWatches restarts all running watches.
+func (f *subscription) restartWatches() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, w := range f.watches() {
-		w.again()
+	for _, w := range f.runningWatches() {
+		w.restart()
 	}
 }
 
-// watches returns those that run; the lock is held.
-func (f *subscription) watches() []*watch {
-	all := slices.Clone(f.restWatches)
+// runningWatches returns the watches that run; the caller holds the lock.
+func (f *subscription) runningWatches() []*watch {
+	all := slices.Clone(f.otherWatches)
 	for _, w := range []*watch{f.leaderWatch, f.configWatch, f.targetsWatch} {
 		if w != nil {
 			all = append(all, w)
@@ -84,57 +86,57 @@
 	return all
 }
 
-// watchLeader has this router ask the store who leads.
+// watchLeader starts to watch the leader record, unless it is watched already.
 func (f *subscription) watchLeader() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.leaderWatch == nil {
-		f.leaderWatch = f.startWatch(leaderPrefix, pauseAfterLeader, f.restingWait())
+		f.leaderWatch = f.startWatch(leaderPrefix, leaderWatchPause, f.rareChangeWait())
 	}
 }
 
-// watchStore begins to watch the store for the configuration and the targets, and for the
-// division of keys unless this router is the one that writes it.
+// watchStore starts to watch the configuration, the targets and the routers in the store. It also
+// watches the key tables if tables is set; a leader doesn't, because it is the one that writes them.
 func (f *subscription) watchStore(tables bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.configWatch == nil {
-		f.configWatch = f.startWatch(f.g.opts.Adapter.ConfigPrefix, always(configPause), f.restingWait())
+		f.configWatch = f.startWatch(f.g.opts.Adapter.ConfigPrefix, constantPause(configWatchPause), f.rareChangeWait())
 	}
 	if f.targetsWatch == nil {
-		f.targetsWatch = f.startWatch(f.g.opts.Adapter.TargetPrefix, always(targetsPause), targetsWait)
+		f.targetsWatch = f.startWatch(f.g.opts.Adapter.TargetPrefix, constantPause(targetsWatchPause), targetsWatchWait)
 	}
-	if len(f.restWatches) > 0 && (len(f.restWatches) > 1 || !tables) {
+	if len(f.otherWatches) > 0 && (len(f.otherWatches) > 1 || !tables) {
 		return
 	}
-	for _, w := range f.restWatches {
+	for _, w := range f.otherWatches {
 		w.stop()
 	}
-	f.restWatches = []*watch{f.startWatch(routerPrefix, always(routersPause), f.restingWait())}
+	f.otherWatches = []*watch{f.startWatch(routerPrefix, constantPause(routersWatchPause), f.rareChangeWait())}
 	if tables {
-		f.restWatches = append(f.restWatches, f.startWatch(tablePrefix, always(tablesPause), f.restingWait()))
+		f.otherWatches = append(f.otherWatches, f.startWatch(tablePrefix, constantPause(tablesWatchPause), f.rareChangeWait()))
 	}
 }
 
-// unsubscribed notes that no leader tells this router what the store knows. It asks the store
-// itself unless one does again within the delay.
-func (f *subscription) unsubscribed(delay time.Duration) {
+// scheduleFallback records that no feed of a leader that reaches the store is up. Unless one comes up
+// within the delay, this router reads the state from the store.
+func (f *subscription) scheduleFallback(delay time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.subscribed = false
 	if !f.fallbackPending && !f.watchesTables() {
 		f.fallbackPending, f.fallbackDue = true, time.Now().Add(delay)
-		f.fallBackIn(delay, f.losses)
+		f.fallBackAfter(delay, f.fallbackGeneration)
 	}
 }
 
-func (f *subscription) fallBackIn(delay time.Duration, loss int) {
-	time.AfterFunc(delay, func() { f.fallBack(loss) })
+func (f *subscription) fallBackAfter(delay time.Duration, generation int) {
+	time.AfterFunc(delay, func() { f.fallBack(generation) })
 }
 
-// awaitFeed puts off what is pending, because a leader was found; the lock is held.
-func (f *subscription) awaitFeed() {
-	if f.fallbackPending && f.g.opts.KnownWithin >= fallbackRest+maxFallbackDelay {
+// postponeFallback postpones a pending fallback, because a leader was found; the caller holds the lock.
+func (f *subscription) postponeFallback() {
+	if f.fallbackPending && f.g.opts.KnownWithin >= fallbackReserve+maxFallbackDelay {
 		earliest := time.Now().Add(newLeaderGrace)
 		if f.fallbackDue.Before(earliest) {
 			f.fallbackDue = earliest
@@ -142,65 +144,65 @@
 	}
 }
 
-// watchesTables reports whether this router asks the store for all it needs; the lock is
-// held.
-func (f *subscription) watchesTables() bool { return f.targetsWatch != nil && len(f.restWatches) > 1 }
+// watchesTables reports whether this router watches everything in the store, the key tables
+// included; the caller holds the lock.
+func (f *subscription) watchesTables() bool { return f.targetsWatch != nil && len(f.otherWatches) > 1 }
 
-// fallBack asks the store for all, but for a store that doesn't answer: once it does, the
-// leader may feed this router again within the usual delay, and a store that returns isn't
-// asked for everything by a whole fleet at once.
-func (f *subscription) fallBack(loss int) {
+// fallBack starts to watch everything in the store. If the store is unreachable, it first waits until
+// the store answers again, and then for another fallback delay: the leader's feed may come up
+// within it, and a store that has just recovered is not read completely by a whole fleet at once.
+func (f *subscription) fallBack(generation int) {
 	if f.g.gate.isShut() {
 		f.g.goRun(func() {
 			if f.g.gate.wait(f.g.lifetime) {
-				f.fallBackIn(f.fallbackDelay(), loss)
+				f.fallBackAfter(f.fallbackDelay(), generation)
 			}
 		})
 		return
 	}
-	if f.endFallbackDelay(loss) && f.g.lifetime.Err() == nil {
+	if f.endFallbackDelay(generation) && f.g.lifetime.Err() == nil {
 		f.watchLeader()
 		f.watchStore(true)
 	}
 }
 
-// endFallbackDelay ends the delay of a loss, and reports whether the store is to be asked for
-// all now: a leader may feed this router again, or the delay may have been prolonged.
-func (f *subscription) endFallbackDelay(loss int) bool {
+// endFallbackDelay ends the delay of the generation, and reports whether to watch everything in the
+// store now. It does not if a feed has come up meanwhile, or if the delay was extended.
+func (f *subscription) endFallbackDelay(generation int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if loss != f.losses {
+	if generation != f.fallbackGeneration {
 		return false
 	}
 	if early := time.Until(f.fallbackDue); early > 0 {
-		f.fallBackIn(early, loss)
+		f.fallBackAfter(early, generation)
 		return false
 	}
 	f.fallbackPending = false
 	return f.term == nil && !f.watchesTables()
 }
 
-// searchDelay is the pause before one of so many routers asks the store who leads, once it
-// has lost its leader.
+// searchDelay returns the delay before a router that has lost its leader asks the store who leads,
+// given the number of routers.
 //
-// It answers a leader that stops or loses the store: its followers notice at one moment, and
-// a watch of each would cost the store twice as many calls as there are routers. Some few
-// see the lease end and campaign; the others learn by one call who has won. A small VM,
-// which is to lead last, is never among the first.
-func searchDelay(routers int, weak bool) time.Duration {
+// All followers notice at the same moment that a leader has stopped or lost the store, and if each
+// of them watched the leader record, that would cost the store twice as many calls as there are
+// routers. With the delay, a few see the lease end and campaign; the others learn by a single call
+// who has won. A small VM, which should lead only if no other can, is never among the first.
+func searchDelay(routers int, lowCPU bool) time.Duration {
 	if routers == 0 {
-		routers = unknownRouters
+		routers = assumedRouters
 	}
-	if !weak && rand.Float64()*float64(routers) < firstSearchers {
+	if !lowCPU && rand.Float64()*float64(routers) < immediateSearchers {
 		return 0
 	}
 	return minSearchDelay + rand.N(maxSearchDelay-minSearchDelay)
 }
 
-// searchLeader has this router ask the store who leads, now or after a delay; those that
-// are not among the first wait for the additional delay too.
+// searchLeader makes this router ask the store who leads, either immediately or after a delay. The
+// additional delay applies to the second case only.
 func (f *subscription) searchLeader(additional time.Duration) {
-	delay := searchDelay(f.g.countedRouters(), f.g.weak())
+	delay := searchDelay(f.g.countedRouters(), f.g.lowCPU())
 	if delay == 0 {
 		f.watchLeader()
 		return
@@ -222,25 +224,25 @@
 	})
 }
 
-// stopWatching ends all watches, because a leader tells it all.
+// stopWatching stops all watches, because the leader's feed replaces them.
 func (f *subscription) stopWatching() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.subscribed, f.fallbackPending = true, false
-	f.losses++
-	for _, w := range f.watches() {
+	f.fallbackGeneration++
+	for _, w := range f.runningWatches() {
 		w.stop()
 	}
-	f.leaderWatch, f.configWatch, f.targetsWatch, f.restWatches = nil, nil, nil, nil
+	f.leaderWatch, f.configWatch, f.targetsWatch, f.otherWatches = nil, nil, nil, nil
 }
 
-// fresh reports whether this router has heard of the targets from the store of late.
-func (f *subscription) fresh() bool {
+// targetsFresh reports whether the store has answered a targets watch within freshnessLimit.
+func (f *subscription) targetsFresh() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.targetsWatch == nil {
 		return false
 	}
 	last := f.targetsWatch.lastContact.Load()
-	return last != nil && time.Since(*last) < freshFor
+	return last != nil && time.Since(*last) < freshnessLimit
 }
--- a/gateway/subscription.go
+++ b/gateway/subscription.go
@@ -11,106 +11,112 @@
 )
 
 const (
-	// configPause is kept between a change and the next watch, see watcher.pause;
-	// configurations change seldom, at times in a storm.
-	configPause = 100 * time.Millisecond
-	// leaderPause is that of the leader's record, and subscribePause where that names a
-	// leader: time enough to subscribe to it before the record is asked for again.
-	leaderPause    = 20 * time.Millisecond
-	subscribePause = 400 * time.Millisecond
-	// routersPause is that of the routers' records, of which just the number counts.
-	routersPause = 500 * time.Millisecond
-	// targetsPause is that of the targets, which write every second or so. A leaving target
-	// must get no new work within two seconds, of which the way to the followers and the
-	// search for a lost leader take one.
-	targetsPause = 500 * time.Millisecond
-	// tablesPause is short, because keys that move wait for it.
-	tablesPause = 15 * time.Millisecond
-	// maxRestingWait is the longest wait of a watch for what changes seldom, and
-	// restingShare the part of the store's history that it may take: a watch that waits
-	// for longer than the store keeps history has to list everything again. Each wait is
-	// shortened by up to restingJitter of it, so that routers don't ask all at once.
-	maxRestingWait = 24 * time.Second
-	restingShare   = 0.6
-	restingJitter  = 0.25
-	// targetsWait is shorter: the leader must know whether it still hears from the store.
-	targetsWait = 400 * time.Millisecond
-	// freshFor is how long ago the store may have answered for the leader to tell others
-	// what it knows: a pause and a watch, and the time that a call takes when it is slow.
-	freshFor = targetsPause + targetsWait + 150*time.Millisecond
-	// initialFeedTimeout is how long a router waits for its first feed before it asks the
-	// store.
+	// configWatchPause is the pause between a change of the configuration and the next watch, see
+	// watcher.pause. The configuration changes rarely, but sometimes many times in a row.
+	configWatchPause = 100 * time.Millisecond
+	// leaderDeletedWatchPause is the pause after the leader record was deleted, and
+	// leaderFoundWatchPause the one after it has named a leader: long enough to subscribe to that
+	// leader, which ends the watch.
+	leaderDeletedWatchPause = 20 * time.Millisecond
+	leaderFoundWatchPause   = 400 * time.Millisecond
+	// routersWatchPause is the pause after a change of the routers' records. Only their number
+	// matters.
+	routersWatchPause = 500 * time.Millisecond
+	// targetsWatchPause is the pause after a change of the targets' entries, which each target
+	// writes about once a second. A draining target must stop getting new work within two seconds, and
+	// sending the change to the followers and finding a new leader may take one of them.
+	targetsWatchPause = 500 * time.Millisecond
+	// tablesWatchPause is the pause after a change of a key table. It is short, because requests for
+	// keys that are being moved wait for it.
+	tablesWatchPause = 15 * time.Millisecond
+	// maxRareChangeWait is the longest wait of a watch for records that change rarely, and
+	// rareChangeHistoryShare the share of the store's history that the wait may take: a watch that
+	// waits for longer than the store keeps history has to list everything again. Each wait is
+	// shortened at random by a share of up to rareChangeJitter, to spread the routers' calls.
+	maxRareChangeWait      = 24 * time.Second
+	rareChangeHistoryShare = 0.6
+	rareChangeJitter       = 0.25
+	// targetsWatchWait is the longest wait of a watch for targets. It is shorter, because the leader
+	// has to notice when the store no longer answers.
+	targetsWatchWait = 400 * time.Millisecond
+	// freshnessLimit is how long ago the last answer to a targets watch may be while the leader still
+	// counts as up to date: a pause, a wait, and the duration of a slow call.
+	freshnessLimit = targetsWatchPause + targetsWatchWait + 150*time.Millisecond
+	// initialFeedTimeout is how long a router waits for its first feed before it reads the state
+	// from the store.
 	initialFeedTimeout = 1500 * time.Millisecond
-	// minFallbackDelay and maxFallbackDelay bound how long a router that was fed goes
-	// without before it asks the store. The next leader is there sooner where one stopped in
-	// an orderly way; without the delay each such stop has all routers list all targets at
-	// once.
+	// minFallbackDelay and maxFallbackDelay bound how long a router that has lost its feed waits
+	// before it reads the state from the store. After a planned stop of the leader the next one is
+	// there sooner. Without the delay, all routers would list all targets at once after each
+	// planned stop.
 	minFallbackDelay = 600 * time.Millisecond
 	maxFallbackDelay = 1400 * time.Millisecond
-	// fallbackRest is what of the time within which changes must be known is left for the
-	// silence after which a leader counts as lost, and for asking the store.
-	fallbackRest = 1400 * time.Millisecond
-	// newLeaderGrace is by how much longer a router waits once it has found the next leader,
-	// which has to read the store first, where changes need not be known any sooner.
+	// fallbackReserve is the part of Options.KnownWithin that is reserved for noticing that the
+	// leader is lost and for reading the state from the store.
+	fallbackReserve = 1400 * time.Millisecond
+	// newLeaderGrace is how long a router at least waits for the feed of a leader that it has just
+	// found, if Options.KnownWithin allows it: the new leader has to read the store first.
 	newLeaderGrace = 300 * time.Millisecond
 	// fallbackJitter spreads the routers' calls when all lose their leader at once.
 	fallbackJitter = 100 * time.Millisecond
-	// firstSearchers is how many routers of a fleet, on average, ask the store at once who
-	// leads; the others do after a delay between minSearchDelay and maxSearchDelay.
-	firstSearchers = 10
-	minSearchDelay = 150 * time.Millisecond
-	maxSearchDelay = 450 * time.Millisecond
-	// staleSearchDelay is added to it where the leader lives but doesn't hear from the
-	// store: its lease lapses about then.
+	// immediateSearchers is how many routers of a fleet, on average, ask the store immediately who
+	// leads. The others do so after a delay between minSearchDelay and maxSearchDelay.
+	immediateSearchers = 10
+	minSearchDelay     = 150 * time.Millisecond
+	maxSearchDelay     = 450 * time.Millisecond
+	// staleSearchDelay is added to that delay if the leader is alive but can't reach the store:
+	// its lease expires at about that time.
 	staleSearchDelay = 250 * time.Millisecond
-	// configLagTimeout is how long after the leader has a configuration a router asks the
-	// store for it, where the feed didn't bring it.
+	// configLagTimeout is how long a router waits for the feed to bring a configuration that the
+	// leader has, before it reads the configuration from the store.
 	configLagTimeout = 900 * time.Millisecond
-	// reconnectInterval is the pause before a lost leader is tried again.
+	// reconnectInterval is the pause before a router tries to subscribe to a lost leader again.
 	reconnectInterval = 300 * time.Millisecond
 )
 
-// subscription sees to it that this router knows the targets and the division of keys: from the
-// leader where it is fed, else from the store.
+// subscription keeps this router's knowledge of the configuration, the targets and the key tables up
+// to date: from the leader's feed, or from the store while there is no feed.
 type subscription struct {
 	g *Gateway
-	// source is what this router tells others while it leads.
+	// source is what this router sends to its followers while it leads.
 	source *feed.Source
 	// followers counts the routers that report to this one.
 	followers atomic.Int64
 
 	mu     sync.Mutex
-	leader leaderSeen
-	// moved is closed when the leader changes.
-	moved chan struct{}
+	leader leaderStatus
+	// changed is closed when the leader or this router's term changes.
+	changed chan struct{}
 	// term is this router's own, nil while it doesn't lead.
 	term *term
-	// watches are what this router asks the store for itself; nil where it asks for
-	// nothing, because a leader feeds it.
+	// The watches on the store; nil if not running, because the leader's feed replaces them.
+	// otherWatches are those of the routers' records and the key tables.
 	leaderWatch, configWatch, targetsWatch *watch
-	restWatches                            []*watch
-	// subscribed says that the leader tells this router what the store knows.
+	otherWatches                           []*watch
+	// subscribed is set while the feed of a leader that reaches the store is up.
 	subscribed bool
-	// connected says that a leader tells this router anything, searching that the store is
-	// asked after a delay who leads.
+	// connected is set while the feed of any leader is up, whether it reaches the store or not.
+	// searching is set while a delayed search for the leader is scheduled.
 	connected, searching bool
-	// fallbackPending says that the store is asked after a delay unless a leader feeds this
-	// router before. losses counts the times that one has: a delay belongs to one loss.
-	// fallbackDue is when that is.
-	fallbackPending bool
-	fallbackDue     time.Time
-	losses          int
-	// backs is the term of the leader that this router backs, until backsUntil.
-	backs      kv.Revision
-	backsUntil time.Time
-	started    time.Time
-	// newer is the version that the leader has and this router doesn't, since newerAt.
-	newer   uint64
-	newerAt time.Time
+	// fallbackPending is set while this router waits until fallbackDue for a feed, before it reads
+	// the state from the store. fallbackGeneration changes with each feed that comes up, so that
+	// the timers of earlier losses have no effect.
+	fallbackPending    bool
+	fallbackDue        time.Time
+	fallbackGeneration int
+	// promisedTerm is the term of the leader to which this router has promised to follow no other
+	// leader until promisedUntil, see quorum.
+	promisedTerm  kv.Revision
+	promisedUntil time.Time
+	started       time.Time
+	// missingVersion is the version of a configuration that the leader has and this router lacks;
+	// missingSince is when that was noticed, or when the store was last asked for it.
+	missingVersion uint64
+	missingSince   time.Time
 }
 
 func newSubscription(g *Gateway) *subscription {
-	return &subscription{g: g, source: feed.NewSource(), moved: make(chan struct{}), started: time.Now()}
+	return &subscription{g: g, source: feed.NewSource(), changed: make(chan struct{}), started: time.Now()}
 }
 
 // leaderKnown reports whether a router is known to lead.
@@ -120,64 +126,64 @@
 	return f.leader.present
 }
 
-// setLeader notes who leads.
-func (f *subscription) setLeader(leader leaderSeen) {
+// setLeader records who leads.
+func (f *subscription) setLeader(leader leaderStatus) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !leader.present && leader.revision != 0 && leader.revision < f.leader.revision {
 		return
 	}
 	if f.leader == leader {
-		return // a listing that says the same again ends no feed
+		return // an unchanged leader must not end the feed
 	}
 	f.leader = leader
 	if leader.present {
-		f.awaitFeed()
+		f.postponeFallback()
 	}
-	f.signal()
+	f.signalChange()
 }
 
-// setTerm notes that this router leads, or that it doesn't any more.
+// setTerm records that this router leads, or with nil that it no longer does.
 func (f *subscription) setTerm(t *term) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.term = t
-	f.signal()
+	f.signalChange()
 }
 
-// signal has the loop look again; the lock is held.
-func (f *subscription) signal() {
-	close(f.moved)
-	f.moved = make(chan struct{})
+// signalChange wakes the loop in run; the caller holds the lock.
+func (f *subscription) signalChange() {
+	close(f.changed)
+	f.changed = make(chan struct{})
 }
 
 // run follows one leader after the other until the router ends.
 //
-// The watches begin here and not with the subscription itself: a store that answers before the
-// router has it finds state that rests on nothing, and its first answer is lost.
+// The watches are started here and not in newSubscription: if the store answered before the Gateway
+// is complete, its first answer would be lost.
 func (f *subscription) run() {
 	f.watchLeader()
-	f.unsubscribed(initialFeedTimeout)
+	f.scheduleFallback(initialFeedTimeout)
 	for f.g.lifetime.Err() == nil {
 		f.mu.Lock()
-		leader, leads, moved := f.leader, f.term != nil, f.moved
+		leader, leads, changed := f.leader, f.term != nil, f.changed
 		f.mu.Unlock()
 		if leads {
 			f.watchStore(false)
 		} else {
 			if leader.present && leader.name != f.g.opts.Name && leader.address != "" {
-				err := f.subscribe(leader, moved)
+				err := f.subscribe(leader, changed)
 				f.g.log.Info("feed lost", "leader", leader.name, "term", leader.revision, "err", err)
 			}
 			f.searchLeader(0)
-			f.unsubscribed(f.fallbackDelay())
+			f.scheduleFallback(f.fallbackDelay())
 		}
-		f.pause(moved, leads)
+		f.waitForChange(changed, leads)
 	}
 }
 
-// pause waits for a change of the leader, or for the time to try again.
-func (f *subscription) pause(moved <-chan struct{}, leads bool) {
+// waitForChange waits for a change of the leader, or until it is time to connect again.
+func (f *subscription) waitForChange(changed <-chan struct{}, leads bool) {
 	again := reconnectInterval
 	if leads {
 		again = time.Hour
@@ -185,42 +191,42 @@
 	timer := time.NewTimer(again)
 	defer timer.Stop()
 	select {
-	case <-moved:
+	case <-changed:
 	case <-timer.C:
 	case <-f.g.lifetime.Done():
 	}
 }
 
 // subscribe follows the leader until it is lost or another one leads.
-func (f *subscription) subscribe(leader leaderSeen, moved <-chan struct{}) error {
+func (f *subscription) subscribe(leader leaderStatus, changed <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(f.g.lifetime)
 	defer cancel()
 	go func() {
 		select {
-		case <-moved:
+		case <-changed:
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
 	defer func() {
 		if f.setConnected(false) {
-			f.g.members.renewNow() // nobody says any more when the store is back
+			f.g.membership.renewNow() // no feed tells this router any more when the store answers again
 		}
 	}()
 	handler := &updateHandler{f: f, leader: leader}
 	follower := &feed.Follower{
 		Router: f.g.opts.Name, Address: leader.address, Term: uint64(leader.revision), Reports: f.reports,
-		Promised: f.promisedElsewhere(leader), Backs: f.g.gate.isShut,
-		Backed: func(until time.Time) { f.promise(leader, until) },
+		Promised: f.promisedToOther(leader), Backs: f.g.gate.isShut,
+		Backed: func(until time.Time) { f.recordPromise(leader, until) },
 		Update: handler.handle,
 	}
 	return follower.Run(ctx)
 }
 
-// compare asks the store where the leader has a newer configuration than this router for
-// longer than the feed takes to bring it: one that is too long for it.
-func (f *subscription) compare(version uint64) {
-	inForce := uint64(0) // without a configuration
+// checkConfigVersion reads the configuration from the store if the leader has had a newer one than
+// this router for longer than configLagTimeout, because it is too long for the feed.
+func (f *subscription) checkConfigVersion(version uint64) {
+	inForce := uint64(0) // zero if there is no configuration
 	if v := f.g.view.Load(); v != nil {
 		inForce = v.config.Version
 	}
@@ -229,12 +235,12 @@
 	}
 	f.mu.Lock()
 	now := time.Now()
-	if f.newer != version {
-		f.newer, f.newerAt = version, now
+	if f.missingVersion != version {
+		f.missingVersion, f.missingSince = version, now
 	}
-	late := now.Sub(f.newerAt) >= configLagTimeout
+	late := now.Sub(f.missingSince) >= configLagTimeout
 	if late {
-		f.newerAt = now
+		f.missingSince = now
 	}
 	f.mu.Unlock()
 	if late {
@@ -246,35 +252,34 @@
 // fetchConfig reads the configuration from the store.
 func (f *subscription) fetchConfig() {
 	a := &f.g.opts.Adapter
-	r, err := f.g.storeFor(forConfig).Get(f.g.lifetime, a.ConfigKey)
+	r, err := f.g.storeFor(purposeConfig).Get(f.g.lifetime, a.ConfigKey)
 	if err != nil {
 		f.g.log.Warn("configuration not read", "err", err)
 		return
 	}
-	f.g.state.duty.Tell(&fromPrefix{a.ConfigPrefix, &change{records: []kv.Record{r}, at: time.Now()}})
+	f.g.state.duty.Tell(&prefixMessage{a.ConfigPrefix, &change{records: []kv.Record{r}, at: time.Now()}})
 }
 
-// promise notes that this router backs a leader until a time, and follows no other before.
-func (f *subscription) promise(leader leaderSeen, until time.Time) {
+// recordPromise records that this router has promised a leader to follow no other until a time.
+func (f *subscription) recordPromise(leader leaderStatus, until time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.backs, f.backsUntil = leader.revision, until
+	f.promisedTerm, f.promisedUntil = leader.revision, until
 }
 
-// promisedElsewhere is for how long this router still backs another leader; negative is how
-// long ago that has ended. What it did before its start it doesn't know, and so may have
-// backed one until then.
-func (f *subscription) promisedElsewhere(leader leaderSeen) time.Duration {
+// promisedToOther returns for how long this router's promise to another leader still holds; if
+// negative, how long ago it ended. This router doesn't know what it promised before its start, so any
+// such promise counts as having ended at the start.
+func (f *subscription) promisedToOther(leader leaderStatus) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.backs == leader.revision || f.backsUntil.Before(f.started) {
+	if f.promisedTerm == leader.revision || f.promisedUntil.Before(f.started) {
 		return time.Until(f.started)
 	}
-	return time.Until(f.backsUntil)
+	return time.Until(f.promisedUntil)
 }
 
-// setConnected notes whether a leader, fed by the store or not, tells this router anything,
-// and returns what was noted before.
+// setConnected sets connected, and returns its previous value.
 func (f *subscription) setConnected(connected bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -283,14 +288,14 @@
 	return before
 }
 
-// waits reports whether a leader will tell this router when the store answers again.
-func (f *subscription) waits() bool {
+// hasConnectedLeader reports whether a leader will tell this router when the store answers again.
+func (f *subscription) hasConnectedLeader() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.connected && f.term == nil
 }
 
-// isSubscribed reports whether a leader tells this router what the store knows.
+// isSubscribed reports whether the feed of a leader that reaches the store is up.
 func (f *subscription) isSubscribed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/gateway/subscription_test.go
+++ b/gateway/subscription_test.go
@@ -41,16 +41,16 @@
 	g.view.Store(&view{config: &routes.Config{Version: 1}})
 	begin, reads := time.Now(), func() int { return store.Calls()["kv-key"] }
 	for time.Since(begin) < configLagTimeout-100*time.Millisecond {
-		f.compare(2)
+		f.checkConfigVersion(2)
 		time.Sleep(10 * time.Millisecond)
 	}
 	assert.Equal(t, reads(), 0)
 	for time.Since(begin) < 2*configLagTimeout-100*time.Millisecond {
-		f.compare(2)
+		f.checkConfigVersion(2)
 		time.Sleep(10 * time.Millisecond)
 	}
 	assert.Equal(t, reads(), 1)
-	f.compare(1)
+	f.checkConfigVersion(1)
 	assert.Equal(t, reads(), 1)
 }
 
@@ -59,7 +59,7 @@
 // answer is told to; the configuration that it brings is lost.
 func TestNothingIsAskedBeforeTheRouterIsWhole(t *testing.T) {
 	g, store := idleGateway(t)
-	g.members = newMembers(g)
+	g.membership = newMembership(g)
 	newSubscription(g)
 	time.Sleep(100 * time.Millisecond)
 	assert.Equal(t, len(store.Calls()), 0)
@@ -100,30 +100,30 @@
 	f := &subscription{g: &Gateway{opts: Options{StoreHistory: 20 * time.Second}}}
 	waits := map[time.Duration]bool{}
 	for range 100 {
-		wait := f.restingWait()
+		wait := f.rareChangeWait()
 		assert.Assert(t, wait <= 12*time.Second && wait >= 9*time.Second, "%v", wait)
 		waits[wait] = true
 	}
 	assert.Assert(t, len(waits) > 50)
 	f.g.opts.StoreHistory = 0
-	assert.Assert(t, f.restingWait() <= maxRestingWait)
+	assert.Assert(t, f.rareChangeWait() <= maxRareChangeWait)
 }
 
 // Guards against feeds that end, on all routers at once, because the store is asked once more
 // who leads.
 func TestSameLeaderEndsNoFeed(t *testing.T) {
 	f := newSubscription(&Gateway{})
-	leader := leaderSeen{name: "a", address: "a:1", revision: 7, present: true}
+	leader := leaderStatus{name: "a", address: "a:1", revision: 7, present: true}
 	f.setLeader(leader)
-	moved := f.moved
+	changed := f.changed
 	f.setLeader(leader)
 	select {
-	case <-moved:
+	case <-changed:
 		t.Fatal("the feed is ended")
 	default:
 	}
-	f.setLeader(leaderSeen{revision: 9})
-	<-moved
+	f.setLeader(leaderStatus{revision: 9})
+	<-changed
 }
 
 // Guards against routers that serve by an old configuration while their leader doesn't hear
@@ -134,7 +134,7 @@
 	for _, g := range f.gateways {
 		waittest.Until(t, "it is fed or leads", func() bool { return g == old || g.subscription.isSubscribed() })
 	}
-	f.ways[old.opts.Name].cut.Store(true)
+	f.links[old.opts.Name].cut.Store(true)
 	began := time.Now()
 	f.configure(plainConfig)
 	for _, g := range f.gateways {
@@ -149,7 +149,7 @@
 // Guards against a fleet that lists everything in the store because its leader alone is cut
 // off, although another leads soon.
 func TestFollowersOfACutOffLeaderLookForTheNextOneFirst(t *testing.T) {
-	unstalled(t, func() error {
+	retryOnStall(t, func() error {
 		f := newFleet(t, 0, plainConfig, plainTarget("a"))
 		f.knownWithin = 3 * time.Second
 		for i := range 5 {
@@ -161,11 +161,11 @@
 			waittest.Until(t, "it is fed or leads", func() bool { return g == old || g.subscription.isSubscribed() })
 		}
 		before := f.store.Calls()
-		f.ways[old.opts.Name].cut.Store(true)
-		waittest.Until(t, "another leads", func() bool { return f.leaderBut(old) != nil })
+		f.links[old.opts.Name].cut.Store(true)
+		waittest.Until(t, "another leads", func() bool { return f.leaderOtherThan(old) != nil })
 		for _, g := range f.gateways {
 			waittest.Until(t, "it is fed or leads", func() bool {
-				return g == old || g == f.leaderBut(old) || g.subscription.isSubscribed()
+				return g == old || g == f.leaderOtherThan(old) || g.subscription.isSubscribed()
 			})
 		}
 		after := f.store.Calls()
@@ -180,11 +180,11 @@
 // has not read the store yet.
 func TestLeaderJustFoundIsAwaited(t *testing.T) {
 	g, store := idleGateway(t)
-	g.members = newMembers(g)
+	g.membership = newMembership(g)
 	g.opts.KnownWithin = 3 * time.Second
 	f := newSubscription(g)
-	f.unsubscribed(newLeaderGrace / 10)
-	f.setLeader(leaderSeen{name: "a", address: "a:1", revision: 2, present: true})
+	f.scheduleFallback(newLeaderGrace / 10)
+	f.setLeader(leaderStatus{name: "a", address: "a:1", revision: 2, present: true})
 	time.Sleep(newLeaderGrace / 2)
 	f.stopWatching() // the leader feeds it
 	time.Sleep(newLeaderGrace)
@@ -196,9 +196,9 @@
 	g, _ := idleGateway(t)
 	g.opts.KnownWithin = 2 * time.Second
 	f := newSubscription(g)
-	f.unsubscribed(time.Minute)
+	f.scheduleFallback(time.Minute)
 	due := f.fallbackDue
-	f.setLeader(leaderSeen{name: "a", address: "a:1", revision: 2, present: true})
+	f.setLeader(leaderStatus{name: "a", address: "a:1", revision: 2, present: true})
 	assert.Equal(t, f.fallbackDue, due)
 }
 
@@ -206,9 +206,9 @@
 // against a small fleet, or the small VMs of a large one, that wait or don't.
 func TestFewOfManyRoutersLookForTheNextLeaderAtOnce(t *testing.T) {
 	const draws = 2000
-	first := func(routers int, weak bool) (n int) {
+	first := func(routers int, lowCPU bool) (n int) {
 		for range draws {
-			delay := searchDelay(routers, weak)
+			delay := searchDelay(routers, lowCPU)
 			if delay == 0 {
 				n++
 				continue
@@ -220,7 +220,7 @@
 	assert.Equal(t, first(5, false), draws)
 	assert.Equal(t, first(5, true), 0)
 	share := float64(first(200, false)) / draws
-	assert.Assert(t, share > 0.5*firstSearchers/200.0 && share < 2*firstSearchers/200.0, "%v", share)
+	assert.Assert(t, share > 0.5*immediateSearchers/200.0 && share < 2*immediateSearchers/200.0, "%v", share)
 }
 
 // Guards against a fleet that asks a store which returns for everything at once, and against
@@ -242,8 +242,8 @@
 	}
 	after := f.store.Calls()
 	// A leader tries its lease and its record; each of the others some few times.
-	own := int(outage/leaderRenewInterval + 2*outage/probeEvery)
-	probes := during["kv-keep"] - before["kv-keep"] - own
+	leaderCalls := int(outage/leaderRenewInterval + 2*outage/probeInterval)
+	probes := during["kv-keep"] - before["kv-keep"] - leaderCalls
 	assert.Assert(t, probes <= 4*4, "%d probes of four routers", probes)
 	listings := after["kv-range "+platform.TargetPrefix] - during["kv-range "+platform.TargetPrefix]
 	assert.Assert(t, listings <= 1, "%d listings of all targets", listings)
@@ -252,27 +252,27 @@
 // Guards against a router that serves by an old configuration for seconds after the store
 // answers it again, because it waited for word of a leader that was cut off with it.
 func TestRouterCutOffWithItsLeaderFindsTheStoreSoon(t *testing.T) {
-	unstalled(t, func() error {
+	retryOnStall(t, func() error {
 		f := newFleet(t, 5, plainConfig, plainTarget("a"))
 		old := f.leader()
-		var with *Gateway
+		var follower *Gateway
 		for _, g := range f.gateways {
 			waittest.Until(t, "it is fed or leads", func() bool { return g == old || g.subscription.isSubscribed() })
 			if g != old {
-				with = g
+				follower = g
 			}
 		}
-		both := []*Gateway{old, with}
-		for _, g := range both {
-			f.ways[g.opts.Name].cut.Store(true)
+		cutOff := []*Gateway{old, follower}
+		for _, g := range cutOff {
+			f.links[g.opts.Name].cut.Store(true)
 		}
 		time.Sleep(6 * time.Second)
-		for _, g := range both {
-			f.ways[g.opts.Name].cut.Store(false)
+		for _, g := range cutOff {
+			f.links[g.opts.Name].cut.Store(false)
 		}
 		began := time.Now()
 		f.configure(plainConfig)
-		for _, g := range both {
+		for _, g := range cutOff {
 			waittest.Until(t, "the configuration is in force", func() bool { return int(g.view.Load().config.Version) == f.version })
 		}
 		if took := time.Since(began); took > 1900*time.Millisecond {
@@ -287,9 +287,9 @@
 func TestFirstConfigurationIsReadWhereTheFeedDoesNotBringIt(t *testing.T) {
 	g, store := idleGateway(t)
 	f := &subscription{g: g}
-	f.compare(0)
+	f.checkConfigVersion(0)
 	for begin := time.Now(); time.Since(begin) < configLagTimeout+200*time.Millisecond; time.Sleep(10 * time.Millisecond) {
-		f.compare(2)
+		f.checkConfigVersion(2)
 	}
 	assert.Equal(t, store.Calls()["kv-key"], 1)
 }
--- a/gateway/view.go
+++ b/gateway/view.go
@@ -24,7 +24,7 @@
 }
 
 // next returns the service of the next request.
-func (r *route) next() (string, bool) {
+func (r *route) nextService() (string, bool) {
 	if len(r.Shares) == 1 {
 		return r.Shares[0].Service, true
 	}
@@ -49,13 +49,13 @@
 		m.Services = append(m.Services, model.Service{
 			Name: r.Name, Division: model.Any, Hosts: []string{r.Host}, PathPrefix: r.Prefix,
 			Deadline: model.Extract{From: model.FromHeader, Name: h.Deadline}, Timeout: r.Timeout,
-			Repeatable: model.Extract{Default: repeatWord(r.Repeat)},
+			Repeatable: model.Extract{Default: repeatability(r.Repeat)},
 		})
 	}
 	return m
 }
 
-func repeatWord(r routes.Repeat) string {
+func repeatability(r routes.Repeat) string {
 	if r == routes.Idempotent {
 		return "repeatable"
 	}
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -15,79 +15,80 @@
 )
 
 const (
-	// minBackoff and maxBackoff bound the pause after a failed call. Many routers ask a
-	// store that returns, so each draws its pauses at random.
+	// minBackoff and maxBackoff bound the pause after a failed call. The pauses are random, to
+	// spread the calls of many routers to a store that has just recovered.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 600 * time.Millisecond
-	// outage is the shortest absence of the store in which entries can lapse: targets are
-	// silent for three heartbeats of about a second first. A watch that was merely cut is
-	// none.
-	outage = 1500 * time.Millisecond
+	// minOutage is the shortest outage of the store in which entries can expire: that takes
+	// three missed heartbeats of a target, about a second each. A single interrupted watch is
+	// not an outage.
+	minOutage = 1500 * time.Millisecond
 )
 
-// change is what a watcher tells.
+// change reports records that a watcher has read.
 type change struct {
-	// listed says that records are all there are, not just those that changed.
+	// listed is set if records are all records under the prefix, not only the changed ones.
 	listed  bool
 	records []kv.Record
-	// absent is how long the store was not reached before.
-	absent time.Duration
-	at     time.Time
+	// unreachableFor is how long the store was unreachable before.
+	unreachableFor time.Duration
+	at             time.Time
 }
 
-// absence tells that the store has not been reached since.
-type absence struct{ since time.Time }
+// storeUnreachable reports that the store has been unreachable since a time.
+type storeUnreachable struct{ since time.Time }
 
 // watcher follows the records under one prefix.
 type watcher struct {
 	store  kv.Ledger
 	log    *slog.Logger
 	prefix string
-	// pause is kept between a change and the next watch. Targets write their entries every
-	// second or so, and each write ends the waiting watches of all routers: without a pause
-	// the calls grow with the product of both.
+	// pause returns the pause between a change and the next watch. Targets write their entries
+	// about once a second, and each write ends the pending watches of all routers: without a
+	// pause the number of calls grows with the product of both numbers.
 	pause func(changed []kv.Record) time.Duration
-	// tell is given *change and *absence.
-	tell func(message any)
-	// wait is how long a watch waits for a change; each costs a call.
+	// notify is called with a *change or a *storeUnreachable.
+	notify func(message any)
+	// wait is how long a watch waits for a change; each watch costs a call.
 	wait time.Duration
-	// gate keeps watches back while the store doesn't answer.
+	// gate holds watches back while the store doesn't answer.
 	gate *storeGate
-	// probe has the store asked by the cheapest call.
+	// probe triggers the cheapest call to the store.
 	probe func()
-	// lost is called when the store has dropped history.
-	lost func()
-
-	since kv.Revision
-	known bool
-	// failing is when the first call of a row of failures began; zero if the last was good.
-	failing time.Time
-	backoff time.Duration
-
-	// lastContact is when the store answered last; nil before the first time. It keeps its
-	// monotonic reading, so that a step of the VM's clock doesn't age it.
+	// historyLost is called when the store no longer has the history that the watch needs.
+	historyLost func()
+
+	since  kv.Revision
+	listed bool
+	// failingSince is when the first of the consecutive failed calls began; zero if the last call
+	// succeeded.
+	failingSince time.Time
+	backoff      time.Duration
+
+	// lastContact is when the store last answered; nil before its first answer. It keeps its
+	// monotonic reading, so that a step of the VM's clock doesn't change its age.
 	lastContact atomic.Pointer[time.Time]
 
-	// mu guards cut, which ends the watch that waits.
-	mu  sync.Mutex
-	cut context.CancelFunc
+	// mu guards cancelWatch, which cancels the pending watch.
+	mu          sync.Mutex
+	cancelWatch context.CancelFunc
 }
 
-// again has the watch that waits asked anew, because the store may never answer it.
-func (w *watcher) again() {
+// restart cancels the pending watch, which the store may never answer, so that a new one is sent.
+func (w *watcher) restart() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.cut != nil {
-		w.cut()
+	if w.cancelWatch != nil {
+		w.cancelWatch()
 	}
 }
 
 // watch waits for changes.
 func (w *watcher) watch(ctx context.Context) ([]kv.Record, kv.Revision, error) {
-	asked, cut := context.WithCancel(ctx)
-	defer cut()
+	asked, cancel := context.WithCancel(ctx)
+	defer cancel()
 	w.mu.Lock()
-	w.cut = cut
+	w.cancelWatch = cancel
 	w.mu.Unlock()
 	records, at, err := w.store.Watch(asked, w.prefix, w.since, w.wait)
 	if err != nil && asked.Err() != nil && ctx.Err() == nil {
@@ -112,23 +113,23 @@
 	}
 }
 
-// step makes one call: a listing where nothing is known yet, else a watch.
+// step makes one call: a listing if the records are not known yet, else a watch.
 func (w *watcher) step(ctx context.Context) (*change, error) {
-	if !w.known {
+	if !w.listed {
 		records, at, err := w.store.List(ctx, w.prefix)
 		if err != nil {
 			return nil, err
 		}
-		w.since, w.known = at, true
+		w.since, w.listed = at, true
 		return &change{listed: true, records: records}, nil
 	}
 	records, at, err := w.watch(ctx)
 	if errors.Is(err, kv.ErrCompacted) {
-		w.known = false
+		w.listed = false
 		w.log.Warn("store history lost", "prefix", w.prefix, "since", w.since)
-		// Watches of the other prefixes may have been passed over by the same changes and
-		// still wait for the next.
-		w.lost()
+		// Watches of other prefixes may have missed changes in the same gap, and still wait
+		// for the next one.
+		w.historyLost()
 		return w.step(ctx)
 	}
 	if err != nil {
@@ -140,14 +141,14 @@
 
 func (w *watcher) succeeded(began time.Time, message *change) {
 	message.at = time.Now()
-	if !w.failing.IsZero() {
-		message.absent = message.at.Sub(w.failing)
-		w.log.Info("store regained", "prefix", w.prefix, "absent", message.absent)
+	if !w.failingSince.IsZero() {
+		message.unreachableFor = message.at.Sub(w.failingSince)
+		w.log.Info("store regained", "prefix", w.prefix, "absent", message.unreachableFor)
 	}
-	w.failing, w.backoff = time.Time{}, 0
+	w.failingSince, w.backoff = time.Time{}, 0
 	w.lastContact.Store(&message.at)
-	if message.listed || message.absent > 0 || len(message.records) > 0 {
-		w.tell(message)
+	if message.listed || message.unreachableFor > 0 || len(message.records) > 0 {
+		w.notify(message)
 	}
 }
 
@@ -155,12 +156,12 @@
 	if ctx.Err() != nil {
 		return
 	}
-	if w.failing.IsZero() {
-		w.failing = began
+	if w.failingSince.IsZero() {
+		w.failingSince = began
 		w.log.Warn("store lost", "prefix", w.prefix, "err", err)
 	}
-	if time.Since(w.failing) >= outage {
-		w.tell(&absence{since: w.failing})
+	if time.Since(w.failingSince) >= minOutage {
+		w.notify(&storeUnreachable{since: w.failingSince})
 	}
 	w.gate.shut()
 	w.probe()
