--- a/gateway/callerages.go
+++ b/gateway/callerages.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// ageMost bounds the age that is told from what a caller has left, as a part of its whole
-// time: some callers begin with less than others.
+// maxAgeShare bounds the estimated age as a share of the longest time that callers of the route wait.
+// A larger age is not credible, because some callers simply have less time than others.
 const maxAgeShare = 0.75
 
-// patience learns how long the callers of a route wait in all. A caller that comes back
-// after a refusal has less left than one that comes first, and the difference is what it
-// has waited already; its answer is late that much sooner.
+// callerAges estimates how long callers have already waited before an attempt. It learns the longest
+// time that callers of a route wait. A caller that retries after a refusal has less time left, and the
+// difference is what it has already waited; its answer is late sooner by that much.
 type callerAges struct {
 	mu      sync.Mutex
 	longest map[string]time.Duration
 }
 
-// age is for how long the caller has waited before this attempt; left is the time in
-// milliseconds that it says it still waits.
-func (p *callerAges) age(route, header string) time.Duration {
+// age returns how long the caller has waited before this attempt. header is the time in milliseconds
+// for which the caller says it still waits.
+func (a *callerAges) age(route, header string) time.Duration {
 	millis, err := strconv.ParseInt(header, 10, 32)
 	if err != nil || millis <= 0 {
 		return 0
 	}
 	left := time.Duration(millis) * time.Millisecond
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.longest == nil {
-		p.longest = map[string]time.Duration{}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.longest == nil {
+		a.longest = map[string]time.Duration{}
 	}
-	longest := max(p.longest[route], left)
-	p.longest[route] = longest
+	longest := max(a.longest[route], left)
+	a.longest[route] = longest
 	if age := longest - left; float64(age) <= maxAgeShare*float64(longest) {
 		return age
 	}
--- a/gateway/feedreports.go
+++ b/gateway/feedreports.go
@@ -4,7 +4,8 @@
 	"tarragongw/peer/feed"
 )
 
-// reports returns what this router saw of its services since the last call.
+// reports returns the requested keys and the service times that this router has collected since the
+// last call.
 func (f *subscription) reports() []feed.Report {
 	var all []feed.Report
 	f.g.mu.RLock()
@@ -17,7 +18,7 @@
 	return all
 }
 
-// setServiceTimes puts in force what the leader tells of the targets' speed.
+// setServiceTimes sets the targets' service times that the leader has sent.
 func (g *Gateway) setServiceTimes(all []feed.ServiceTimes) {
 	for _, p := range all {
 		if s := g.service(p.Service); s != nil {
@@ -26,7 +27,7 @@
 	}
 }
 
-// setLimits puts in force which keys the leader limits.
+// setLimits sets the key limits that the leader has sent.
 func (g *Gateway) setLimits(all []feed.Limits) {
 	for _, l := range all {
 		if s := g.service(l.Service); s != nil {
--- a/gateway/feedserver.go
+++ b/gateway/feedserver.go
@@ -8,12 +8,13 @@
 	"tarragongw/peer/feed"
 )
 
-// unseen is by how much the routers' requests exceed those that this router hears of.
+// reportScale returns the number of all routers divided by the number of routers whose requests this
+// router knows of: itself and the followers that report to it.
 func (f *subscription) reportScale() float64 {
 	return float64(f.g.routerCount()) / float64(min(int(f.followers.Load())+1, f.g.routerCount()))
 }
 
-// serveFollowers feeds the routers that follow this one.
+// serveFollowers serves the feed to the routers that follow this one.
 func (g *Gateway) serveFollowers() {
 	server := &feed.Server{
 		Log: g.log, Fresh: g.subscription.targetsFresh, Lead: g.subscription.feedSource,
@@ -24,11 +25,12 @@
 		Backed: g.subscription.recordFollowerPromise,
 	}
 	if err := server.Serve(g.lifetime, g.peerListener); err != nil {
-		g.log.Error("followers are fed no more", "err", err)
+		g.log.Error("feed server failed", "err", err)
 	}
 }
 
-// leads returns what followers of the term are told.
+// feedSource returns the source of the feed for followers of the term, and a context that ends with the
+// term; nil if this router doesn't lead in the term.
 func (f *subscription) feedSource(term uint64) (context.Context, *feed.Source) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -40,7 +42,8 @@
 	return f.term.ctx, f.source
 }
 
-// backed notes that a router backs this one as the leader of a term.
+// recordFollowerPromise records that a router has promised to follow no other leader than this one, the
+// leader of the term, until a time.
 func (f *subscription) recordFollowerPromise(router string, term uint64, until time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -49,7 +52,7 @@
 	}
 }
 
-// handleReport takes in what another router saw of a service.
+// handleReport adds the keys and service times that another router has reported for a service.
 func (g *Gateway) handleReport(r feed.Report) {
 	s := g.service(r.Service)
 	if s == nil {
--- a/gateway/feedupdates.go
+++ b/gateway/feedupdates.go
@@ -2,11 +2,11 @@
 
 import "tarragongw/peer/feed"
 
-// updateHandler handles what one leader sends to this router.
+// updateHandler handles the updates that one leader sends to this router.
 type updateHandler struct {
 	f      *subscription
 	leader leaderStatus
-	// fed says that the last update was of a leader that hears from the store.
+	// current is set if the leader reached the store when it sent its last update.
 	current bool
 }
 
@@ -31,11 +31,11 @@
 	}
 }
 
-// handleStale handles what a leader sends that doesn't hear from the store: tables at most.
+// handleStale handles an update of a leader that can't reach the store. It contains at most key tables.
 func (h *updateHandler) handleStale(u *feed.Update) {
 	f := h.f
 	if h.current || !f.setConnected(true) {
-		f.g.log.Info("leader doesn't hear from the store", "leader", h.leader.name, "term", h.leader.revision)
+		f.g.log.Info("leader cannot reach the store", "leader", h.leader.name, "term", h.leader.revision)
 		f.g.membership.renewNow()
 	}
 	if h.current {
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// maxSends bounds the sends of one request, those to a target that refused it included.
+	// maxSends bounds how often one request is sent, including to targets that refuse it.
 	maxSends = 4
-	// tablePatience is how long a request that its key's holder refused waits for a newer
-	// division of the keys, which travels to all routers in some milliseconds.
+	// newerTableTimeout is how long a request that was sent to the wrong target waits for a newer
+	// key table, which reaches all routers within a few milliseconds.
 	newerTableTimeout = 150 * time.Millisecond
-	// maxKeptBytes bounds what is kept of a body for another send: the size of a large photo.
+	// maxKeptBytes bounds how much of a body is kept for sending it again: the size of a large photo.
 	maxKeptBytes = 512 << 10
-	// headerOverhead is about the size of both headers, in bytes.
+	// headerOverhead is the approximate size of a request's and its answer's header together, in bytes.
 	headerOverhead = 600
 )
 
@@ -39,18 +39,19 @@
 	key     *keyspace.Key
 	body    *replay.Body
 	began   time.Time
-	// age is how long the caller has waited already, in attempts before this one.
+	// age is how long the caller has already waited in its earlier attempts.
 	age time.Duration
-	// sends counts the times that the request was sent, and targets those to which it was.
+	// sends counts how often the request was sent, and targets has the targets it was sent to. avoid
+	// is the last of them.
 	sends   int
 	targets map[string]bool
 	avoid   string
-	// table is the division of keys under which the request was sent last.
+	// table is the key table by which the request was last placed.
 	table *keyspace.Table
 }
 
-// Forward implements caller.Forwarder. It is the only place where a request is ever sent
-// again.
+// Forward implements caller.Forwarder. This is the only place from which a request is sent more than
+// once.
 func (g *Gateway) Forward(w http.ResponseWriter, r *http.Request, meta *request.Meta) *fault.Fault {
 	x, f := g.open(w, r, meta)
 	if f != nil {
@@ -69,7 +70,7 @@
 	}
 }
 
-// open finds out where the request goes.
+// open finds the route and the service of the request.
 func (g *Gateway) open(w http.ResponseWriter, r *http.Request, meta *request.Meta) (*exchange, *fault.Fault) {
 	v := g.view.Load()
 	if v == nil {
@@ -106,8 +107,8 @@
 	return x, nil
 }
 
-// keepTarget has the request's path and query written as the caller wrote them: taken
-// apart and put together again, an unusual escape would come out as another path.
+// keepRequestURI makes net/http send the request's path and query as the caller wrote them. Parsing
+// and encoding them again could turn an unusual escape into another path.
 func keepRequestURI(r *http.Request) {
 	if len(r.RequestURI) > 1 && r.RequestURI[0] == '/' && r.RequestURI[1] != '/' {
 		u := *r.URL
@@ -115,7 +116,7 @@
 		r.URL = &u
 	}
 	if _, named := r.Header["User-Agent"]; !named {
-		r.Header["User-Agent"] = nil // net/http would name itself
+		r.Header["User-Agent"] = nil // otherwise net/http would set its own
 	}
 }
 
@@ -133,7 +134,7 @@
 	return x.send(&d)
 }
 
-// ask describes the request to who places it.
+// dispatchRequest describes the request for placement.
 func (x *exchange) dispatchRequest() dispatch.Request {
 	q := dispatch.Request{
 		Key: x.key, Rank: x.route.Rank, Deadline: x.meta.Deadline, Avoid: x.avoid, Admitted: x.sends > 0,
@@ -145,7 +146,7 @@
 	return q
 }
 
-// send sends the request to the target it was placed at and passes the answer on.
+// send sends the request to the target at which it was placed, and copies the answer to the caller.
 func (x *exchange) send(d *dispatch.Decision) *fault.Fault {
 	began := time.Now()
 	result := dispatch.Failed
@@ -180,19 +181,20 @@
 	return f
 }
 
-// mayReplace reports whether an answer that says that the target failed may be replaced by
-// another target's, and takes what that costs. Where the key binds there is no other. The request's next send follows for certain.
+// mayReplaceAnswer reports whether an answer with a server error may be replaced by another target's
+// answer. If so, it takes a retry from the budget, and the request is certainly sent again. For a
+// service with keys there is no other target.
 func (x *exchange) mayReplaceAnswer() bool {
 	return x.route.Repeat == routes.Idempotent && !x.service.byKey && x.mayResend() && x.service.takeRetry()
 }
 
-// mayGoOn reports whether the request's own bounds allow another send.
+// mayResend reports whether the limits on the request's sends and targets allow another send.
 func (x *exchange) mayResend() bool {
 	return x.sends < maxSends && (len(x.targets) < x.route.MaxTargets || x.service.byKey) && x.r.Context().Err() == nil
 }
 
-// setHeaders names the target and the time that is left, right before the request is
-// written: waiting for a connection takes some of it.
+// setHeaders sets the headers that name the target and the time left. It is called right before the
+// request is written, because waiting for a connection takes some of that time.
 func (x *exchange) setHeaders(d *dispatch.Decision) *fault.Fault {
 	names := &x.g.opts.Adapter.Headers
 	h := x.r.Header
@@ -226,7 +228,7 @@
 	}
 }
 
-// failed keeps and logs an attempt that failed.
+// recordFailure records and logs a failed attempt.
 func (x *exchange) recordFailure(began time.Time, d *dispatch.Decision, f *fault.Fault) {
 	a := request.Attempt{
 		Number: x.sends, After: began.Sub(x.began), Took: time.Since(began), Target: d.Target.ID, Fault: f,
@@ -236,13 +238,14 @@
 		"kind", f.Kind, "ran", f.Ran, "err", f)
 }
 
-// again decides whether the request is sent once more after f.
+// mayRepeat decides whether the request is sent once more after f, and takes a retry from the budget
+// if that costs one.
 func (x *exchange) mayRepeat(f *fault.Fault) bool {
 	if x.sends == 0 || f.Kind == fault.DeadlineUnmeetable {
-		return false // it was refused a place, after all the waiting that is worth it
+		return false // it was never placed, or waiting longer is no use
 	}
 	if f.Kind == fault.TargetLost && f.Ran == fault.RanUnknown && f.Cause == nil {
-		return true // mayReplace has paid for it
+		return true // mayReplaceAnswer has taken the retry
 	}
 	repeatable := x.route.Repeat == routes.Idempotent
 	if retry.Permitted(f, repeatable) != retry.Allowed && !(repeatable && f.Kind == fault.AnswerInvalid) || !x.mayResend() {
@@ -252,13 +255,13 @@
 		return false
 	}
 	if f.Kind == fault.TargetUnreachable {
-		return true // nothing arrived anywhere
+		return true // no target has received the request
 	}
 	return x.service.takeRetry()
 }
 
-// newerTable waits for a division of the keys after the one that sent the request to a
-// target which doesn't hold its key.
+// waitForNewerTable waits for a newer key table than the one by which the request was sent to a target
+// that doesn't hold its key.
 func (x *exchange) waitForNewerTable() bool {
 	table, changed := x.service.currentTable()
 	if table != x.table {
@@ -276,9 +279,9 @@
 	}
 }
 
-// final turns the last fault into what the caller is told. A request that certainly did
-// not run is refused with an advice to come back, whatever kept it from running: callers
-// may then repeat also what must not run twice.
+// callerFault turns the last fault into the one that the caller is told. A request that certainly did
+// not run is refused with the advice to retry, whatever the reason: callers may then also repeat
+// requests that must not run twice.
 func callerFault(f *fault.Fault) *fault.Fault {
 	if f.Ran != fault.NotRun {
 		return f
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,7 +1,7 @@
-// Package gateway is a router on a store that has leases and transactions, in front of
-// targets that check who holds which keys. Routers need nothing of each other there: each
-// sends requests straight to the holder of their key, one of them at a time assigns keys,
-// and what must last lies in the store.
+// Package gateway implements a router for a platform whose store has leases and transactions, and
+// whose targets check themselves which keys they hold. Each router sends requests directly to the
+// holder of their key, without other routers on the way. One router at a time, the leader, assigns
+// the keys. All durable state is in the store.
 package gateway
 
 import (
@@ -46,14 +46,14 @@
 	services map[string]*service
 	targets  []directory.Target
 	routers  atomic.Int64
-	// tables are the newest divisions of keys, feed.Table by service.
+	// tables are the newest key tables, a feed.Table by service.
 	tables sync.Map
 
 	eraMu    sync.Mutex
 	eraState eraState
 
-	// known says that everything has been read from the store once; leaving that the
-	// process is to stop.
+	// synced is set once the configuration and the targets are known; firstSync is closed then.
+	// stopping is set when the router is asked to stop.
 	synced, stopping atomic.Bool
 	firstSync        chan struct{}
 
@@ -65,7 +65,7 @@
 	running  sync.WaitGroup
 }
 
-// New listens and prepares a router; it answers nothing before Start.
+// New creates a router and opens its listeners; it serves nothing before Start.
 func New(opts Options) (*Gateway, error) {
 	opts, err := opts.withDefaults()
 	if err != nil {
@@ -84,8 +84,8 @@
 	return g, nil
 }
 
-// callerConfig is the setting of the side towards callers, with the operators' limits
-// where they are known.
+// callerConfig returns the configuration of the server for callers; limits are those of the operators,
+// nil if unknown.
 func (g *Gateway) callerConfig(limits *routes.CallerLimits) caller.Config {
 	c := caller.Config{
 		RequestIDHeader: http.CanonicalHeaderKey(g.opts.Adapter.Headers.RequestID),
@@ -98,12 +98,12 @@
 	return c
 }
 
-// lookAhead is how many requests of a caller are served beside the one whose turn it is:
-// about as many as a target works on at once, so that one caller doesn't fill it.
+// lookAhead is how many pipelined requests of a connection are served in addition to the one whose
+// turn it is: about as many as a target works on at once, so that one caller doesn't fill a target.
 const lookAhead = 6
 
-// answerBefore covers the way to a caller in another region and a short wait for this
-// router's processor.
+// answerMargin is how long before its deadline a caller is told that the time is over. It covers the
+// way to a caller in another region and a short wait for this router's processor.
 const answerMargin = 40 * time.Millisecond
 
 func (g *Gateway) listen() error {
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// Start begins to follow the store and to serve.
+// Start starts to follow the store and to serve.
 func (g *Gateway) Start() {
 	g.leader = newLeader(g)
 	g.membership = newMembership(g)
@@ -158,8 +158,8 @@
 	return duty.Start(g.system, g.workers, g.opts.Mailbox, false, handle)
 }
 
-// firstPatience is how long callers' connections wait for the first configuration, whose
-// limits the server then has from its start. After it they are answered "not ready".
+// firstConfigTimeout is how long callers' connections wait for the first configuration, so that the
+// server has the configured limits from its start. After that, requests are answered "not ready".
 const firstConfigTimeout = 1500 * time.Millisecond
 
 func (g *Gateway) serveCallers() {
@@ -179,11 +179,11 @@
 	g.callers = caller.NewServerWith(g.handler, g.callerConfig(limits))
 	g.mu.Unlock()
 	if err := g.callers.Serve(g.callerListener); err != nil {
-		g.log.Error("callers are served no more", "err", err)
+		g.log.Error("server for callers failed", "err", err)
 	}
 }
 
-// setKnown notes whether everything has been read from the store.
+// setSynced records whether the configuration and the targets are known; once set, it stays set.
 func (g *Gateway) setSynced(synced bool) {
 	if !synced || g.synced.Swap(true) {
 		return
@@ -192,10 +192,10 @@
 	g.log.Info("ready")
 }
 
-// routerCount is the number of routers, one where it isn't known.
+// routerCount returns the number of routers; one if unknown.
 func (g *Gateway) routerCount() int { return max(g.countedRouters(), 1) }
 
-// countedRouters is the number of routers, zero where it isn't known.
+// countedRouters returns the number of routers; zero if unknown.
 func (g *Gateway) countedRouters() int { return int(g.routers.Load()) }
 
 func (g *Gateway) setRouters(n int) {
@@ -207,15 +207,14 @@
 	}
 }
 
-// service returns the service of the name, or nil.
+// service returns the service with the name, or nil.
 func (g *Gateway) service(name string) *service {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
 	return g.services[name]
 }
 
-// setServices puts the services of a configuration in force; those that stay keep what is
-// known of them.
+// setServices sets the services of a configuration; services that remain keep their state.
 func (g *Gateway) setServices(c *routes.Config) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -230,7 +229,7 @@
 	g.services = services
 }
 
-// setTargets hands the targets out to their services.
+// setTargets passes the targets on to their services.
 func (g *Gateway) setTargets(targets []directory.Target) {
 	g.mu.Lock()
 	g.targets = targets
@@ -246,7 +245,7 @@
 	g.pools.retain(targets)
 }
 
-// connsOf is how many connections this router may have to one target of the service.
+// connLimit returns how many connections this router may have to one target of the service.
 func (g *Gateway) connLimit(name string) int {
 	v := g.view.Load()
 	if v == nil {
@@ -259,10 +258,10 @@
 	return connsPerRouter(spec.MaxConns, g.routerCount())
 }
 
-// defaultConns is used where the configuration sets no bound on connections.
+// defaultConns is the limit if the configuration sets none.
 const defaultConns = 8
 
-// observeAnswer notes what an answer's header tells of its target.
+// observeAnswer records the load report in an answer's header.
 func (g *Gateway) observeAnswer(t *directory.Target, h http.Header) {
 	report, ok := g.opts.Adapter.DecodeLoad(h)
 	if !ok {
--- a/gateway/keysamples.go
+++ b/gateway/keysamples.go
@@ -7,10 +7,10 @@
 	"tarragongw/core/keyspace"
 )
 
-// maxKeySamples bounds the keys that are kept for the leader between two looks.
+// maxKeySamples bounds the keys that are kept between two calls of take.
 const maxKeySamples = 4096
 
-// keySamples gathers the keys that were asked for.
+// keySamples collects the keys of requests.
 type keySamples struct {
 	mu   sync.Mutex
 	keys []keyspace.Key
@@ -24,7 +24,7 @@
 	}
 }
 
-// take returns the keys since the last call.
+// take returns the keys collected since the last call.
 func (b *keySamples) take() []keyspace.Key {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -12,7 +12,7 @@
 // MetricsPath is where the metrics are served.
 const MetricsPath = "/metrics"
 
-// serveMetrics serves counters and histograms, where there is an address for them.
+// serveMetrics serves the metrics if there is an address for them.
 func (g *Gateway) serveMetrics() {
 	if g.metricsListener == nil || g.opts.Telemetry == nil {
 		return
@@ -23,7 +23,7 @@
 	g.goRun(func() { g.serveInternal(g.metricsServer, g.metricsListener) })
 }
 
-// countOpened counts a connection to a target of the service that is opened for the cause.
+// countOpened counts a connection that was opened to a target of the service, by cause.
 func (g *Gateway) countOpened(service string, cause target.OpenCause) {
 	if g.opts.Telemetry == nil {
 		return
@@ -32,9 +32,9 @@
 	g.opts.Telemetry.Scope().Tagged(tags).Counter("target_connections_opened_total").Inc(1)
 }
 
-// serveOwn serves until the process ends.
+// serveInternal serves an endpoint for the platform or for operators until the process ends.
 func (g *Gateway) serveInternal(s *http.Server, l net.Listener) {
 	if err := s.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) && g.lifetime.Err() == nil {
-		g.log.Error("own listener ended", "address", l.Addr().String(), "err", err)
+		g.log.Error("internal server failed", "address", l.Addr().String(), "err", err)
 	}
 }
--- a/gateway/observe.go
+++ b/gateway/observe.go
@@ -9,7 +9,7 @@
 	"tarragongw/core/fault"
 )
 
-// observer logs and counts each request once it has ended.
+// observer logs and counts each request when it has ended.
 type observer struct{ g *Gateway }
 
 // Observe implements caller.Observer.
@@ -27,7 +27,7 @@
 		"nth", out.Nth)
 }
 
-// logPlaced logs where a request is sent and what that rests on.
+// logPlaced logs the target at which a request was placed, and the data behind that decision.
 func (g *Gateway) logPlaced(x *exchange, d *dispatch.Decision, waited time.Duration) {
 	key := -1
 	if x.key != nil {
@@ -37,7 +37,7 @@
 		"target", d.Target.ID, "in", d.Target.DataCentre, "born", d.Target.Born, "work", d.Work, "report_age", d.ReportAge, "waited", waited, "send", x.sends+1)
 }
 
-// serveReady answers the platform's question whether this router takes new connections.
+// serveReady serves the platform's readiness check: whether this router accepts new connections.
 func (g *Gateway) serveReady() {
 	mux := http.NewServeMux()
 	mux.HandleFunc(g.opts.Adapter.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
@@ -49,5 +49,5 @@
 	g.goRun(func() { g.serveInternal(g.readyServer, g.readyListener) })
 }
 
-// askTimeout bounds a question of the platform's or of who collects metrics.
+// readHeaderTimeout bounds reading the header of a readiness check or of a request for metrics.
 const readHeaderTimeout = 5 * time.Second
--- a/gateway/options.go
+++ b/gateway/options.go
@@ -18,73 +18,74 @@
 	"tarragongw/telemetry"
 )
 
-// Headers names the fields of requests that this router reads or sets.
+// Headers has the names of the request headers that this router reads or sets.
 type Headers struct {
-	// RequestID names a request, Deadline says how many milliseconds its sender waits,
-	// Expect which target is meant, and Key which key it is for.
+	// RequestID identifies a request. Deadline is how many milliseconds the sender waits. Expect is
+	// the ID of the target that is meant. Key is the request's key.
 	RequestID, Deadline, Expect, Key string
 }
 
-// Adapter is how the platform writes what the gateway reads and does. It decides nothing.
+// Adapter translates between the platform's formats and the gateway's types. It makes no decisions.
 type Adapter struct {
 	Headers Headers
-	// Dialect is how targets say whether they ran a request.
+	// Dialect is how targets state whether they ran a request.
 	Dialect target.Dialect
-	// ReadyPath is where the platform asks whether this router takes new connections.
+	// ReadyPath is the path of the platform's readiness check.
 	ReadyPath string
-	// ConfigPrefix holds the configuration, under ConfigKey; TargetPrefix the targets.
+	// ConfigKey is the store key of the configuration, under ConfigPrefix; TargetPrefix is the prefix
+	// of the targets' entries.
 	ConfigPrefix, ConfigKey, TargetPrefix string
 
 	DecodeConfig func(value []byte) (*routes.Config, error)
 	DecodeTarget func(key string, value []byte) (directory.Target, error)
 	TargetID     func(key string) string
 	DecodeLoad   func(h http.Header) (dispatch.Report, bool)
-	// SendOrder carries an order out; the error explains one that wasn't accepted. Nothing of it
-	// is written once until has passed by clock.Boot.
+	// SendOrder sends an order to its target. The error says why an order was not accepted. No part
+	// of the order is sent after until, a time of clock.Boot.
 	SendOrder func(ctx context.Context, o *assign.Order, until time.Duration) (assign.Outcome, string, error)
 }
 
-// Options are what a Gateway is made of.
+// Options configures a Gateway.
 type Options struct {
-	// Name is this router's among all routers, DataCentre where it stands.
+	// Name identifies this router among all routers; DataCentre is the data centre that it runs in.
 	Name, DataCentre string
-	// CallerAddress, ReadyAddress and MetricsAddress are host:port; without a
-	// MetricsAddress none are served. PeerAddress is where the other routers reach this one.
+	// CallerAddress, ReadyAddress and MetricsAddress are the addresses to listen on, as host:port.
+	// Without a MetricsAddress, no metrics are served. PeerAddress is the one at which the other
+	// routers reach this one.
 	CallerAddress, ReadyAddress, MetricsAddress, PeerAddress string
 	Store                                                    kv.Ledger
 	Adapter                                                  Adapter
-	// LeaseMin is the shortest lease that the store gives.
+	// LeaseMin is the shortest TTL of a lease that the store grants.
 	LeaseMin time.Duration
-	// StoreHistory is for how long the store keeps changes for watches; zero where it isn't
-	// known.
+	// StoreHistory is for how long the store keeps changes for watches; zero if unknown.
 	StoreHistory time.Duration
-	// KnownWithin is the time within which a change that the store has must be in force on
-	// all routers; zero where it isn't known.
+	// KnownWithin is the time within which a change in the store must be in force on all routers;
+	// zero if unknown.
 	KnownWithin time.Duration
-	// HoldMax is the longest grant that targets take.
+	// HoldMax is the longest TTL of a grant that targets accept.
 	HoldMax time.Duration
-	// CPUShare is the part of a core that this process gets; zero where it isn't known.
+	// CPUShare is the share of a core that this process gets; zero if unknown.
 	CPUShare float64
-	// Grace is the time from the request to stop to the end by force.
+	// Grace is the time from the request to stop until the platform kills the process.
 	Grace time.Duration
-	// RetryShare and RetryMin bound the attempts beyond the first that a service gets from
-	// all routers together in RetryWindow.
+	// RetryShare and RetryMin limit the attempts beyond the first that all routers together may make
+	// for a service in RetryWindow: a share of the requests plus a fixed number.
 	RetryShare  float64
 	RetryMin    float64
 	RetryWindow time.Duration
-	// Mailbox bounds the messages that wait for a duty. Default 256.
+	// Mailbox bounds the number of messages that wait for a duty. The default is 256.
 	Mailbox   int
 	Clock     clock.Clock
 	Logger    *slog.Logger
 	Telemetry *telemetry.Telemetry
 }
 
-// defaultMailbox has room for the answers to some hundred orders that come at once.
+// defaultMailbox has room for the answers to a few hundred orders that arrive at the same time.
 const defaultMailbox = 256
 
 func (o Options) withDefaults() (Options, error) {
 	if o.Name == "" || o.Store == nil || o.Adapter.SendOrder == nil {
-		return o, errors.New("gateway: Name, Store and Adapter are needed")
+		return o, errors.New("gateway: Name, Store and Adapter.SendOrder are required")
 	}
 	if o.Mailbox <= 0 {
 		o.Mailbox = defaultMailbox
--- a/gateway/pools.go
+++ b/gateway/pools.go
@@ -16,24 +16,25 @@
 	// dialTimeout bounds opening a connection to a target within a data centre or a region,
 	// with room for one lost packet.
 	dialTimeout = 350 * time.Millisecond
-	// progressTimeout is the longest silence of a target at work; the times of the requests
-	// are shorter. It only ends what has none.
+	// progressTimeout is how long a target may make no progress with a request. The requests'
+	// deadlines are shorter, so it only ends requests without a deadline.
 	progressTimeout = 60 * time.Second
-	// maxIdle closes connections that rested, before most targets would.
+	// maxIdle is how long a connection may be idle; most targets would close it later.
 	maxIdle = dispatch.RestTime
-	// connShare is the part of a target's connections that the routers share out; the rest
-	// is for grants, checks, and routers that come and go.
+	// connShare is the share of a target's connections that is divided among the routers. The rest
+	// is for grants, health checks, and changes of the number of routers.
 	connShare = 0.8
-	// minConns lets a router work at a target at all where many share few connections.
+	// minConns is the least number of connections of a router to a target, even if many routers share
+	// few connections.
 	minConns = 2
 )
 
-// pools keeps the connections to each life of each target.
+// pools has a connection pool for each instance of each target.
 type pools struct {
 	dialect target.Dialect
-	// observe is given the header of each answer of a target.
+	// observeAnswer is called with the header of each answer of a target.
 	observeAnswer func(t *directory.Target, h http.Header)
-	// opening is told of each connection that is opened, and why.
+	// connOpening is called for each connection that is opened, with the cause.
 	connOpening func(service string, cause target.OpenCause)
 
 	mu  sync.Mutex
@@ -46,7 +47,7 @@
 	return &pools{dialect: dialect, observeAnswer: observeAnswer, connOpening: connOpening, all: map[directory.Target]*target.Pool{}}
 }
 
-// identity is what a pool belongs to: one life of a target at one address.
+// poolKey returns the key of a pool: one instance of a target at one address.
 func poolKey(t *directory.Target) directory.Target {
 	return directory.Target{ID: t.ID, Born: t.Born, Address: t.Address, Service: t.Service}
 }
@@ -73,7 +74,7 @@
 	return pool, nil
 }
 
-// retain closes the pools of targets that are not there any more; work in flight goes on.
+// retain closes the pools of all targets but the given ones; requests in flight continue.
 func (p *pools) retain(targets []directory.Target) {
 	present := make(map[directory.Target]bool, len(targets))
 	for i := range targets {
@@ -91,7 +92,7 @@
 
 func (p *pools) closeAll() { p.retain(nil) }
 
-// connsFor is this router's part of the connections that a target takes from all.
+// connsPerRouter returns a router's share of the connections that a target accepts from all routers.
 func connsPerRouter(maxConns, routers int) int {
 	return max(int(float64(maxConns)*connShare)/max(routers, 1), minConns)
 }
--- a/gateway/quorum.go
+++ b/gateway/quorum.go
@@ -9,62 +9,62 @@
 	"time"
 )
 
-// backingShare is the part of all routers that has to back a leader which doesn't reach
-// the store. Two such parts have a router in common also while the number of routers grows
-// by up to two fifths.
+// quorumShare is the share of all routers that forms a quorum. Any two quorums have a router in common,
+// even while the number of routers grows by up to two fifths.
 const quorumShare = 0.6
 
-// backing decides how long a leader may renew grants without the store, and how long one
-// that takes over has to wait for what the old leader may still renew.
+// quorum decides for how long a leader may renew grants without the store, and for how long a new
+// leader has to wait for grants that the old one may still renew.
 //
-// Alone, a leader may renew for aloneBound after the last renewal of its lease. Beyond that
-// only while enough routers say that they don't reach the store either: each then follows
-// no other leader for a time. A new leader that enough routers follow knows by that when
-// the old one has stopped at the latest. Without it each loss of a leader's way to the
-// store would leave the keys of targets that the new leader doesn't reach unserved for as
-// long as an outage of the store is to be borne.
+// By itself, a leader may renew grants for orderLimitWithoutQuorum after the last renewal of its lease.
+// After that it may only do so while a quorum of routers can't reach the store either: each of them
+// promises to follow no other leader until some time. A new leader that a quorum of routers follows
+// learns from their promises when the old one stops at the latest. Without promises, each time a
+// leader loses its connection to the store, the keys of targets that the new leader doesn't reach
+// would stay unserved for orderLimitWithQuorum.
 type quorum struct {
 	mu sync.Mutex
-	// until is when each router's backing of this leader ends, by the clock that counts
-	// suspension.
+	// promises is until when each router has promised to follow no other leader, by the clock that
+	// goes on during suspension.
 	promises map[string]time.Duration
-	// joined has the routers that follow this leader, itself among them, with when the last
-	// promise of each to another leader ends, or has ended.
+	// followers are the routers that follow this leader, including the leader itself, with the end of
+	// the last promise of each to another leader, possibly in the past.
 	followers map[string]time.Duration
 }
 
-// newBacking returns the backing of a leader which itself backs another until a time.
+// newQuorum returns the quorum of a leader whose own promise to another leader ends at until.
 func newQuorum(self string, until time.Duration) *quorum {
 	return &quorum{promises: map[string]time.Duration{}, followers: map[string]time.Duration{self: until}}
 }
 
-// enough reports whether so many routers and this one are the share of all; of an unknown
-// number, zero, none are. A router that has just started would else take itself for all.
+// isQuorum reports whether the leader and the given number of others are a quorum of all routers. If the
+// number of routers is unknown, which is zero, there is no quorum: otherwise a router that has just
+// started would be a quorum by itself.
 func isQuorum(others, routers int) bool {
 	return routers > 0 && others+1 >= int(math.Ceil(quorumShare*float64(routers)))
 }
 
-// back notes that a router backs this leader until a time.
-func (b *quorum) recordPromise(router string, until time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.promises[router] = max(b.promises[router], until)
+// recordPromise records that a router has promised to follow no other leader until a time.
+func (q *quorum) recordPromise(router string, until time.Duration) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.promises[router] = max(q.promises[router], until)
 }
 
-// backed reports whether enough of so many routers back this leader.
-func (b *quorum) reached(now time.Duration, routers int) bool { return b.reachedFor(now, routers) > 0 }
+// reached reports whether a quorum has made promises to this leader, given the number of routers.
+func (q *quorum) reached(now time.Duration, routers int) bool { return q.reachedFor(now, routers) > 0 }
 
-// backedFor is for how long enough of so many routers back this leader.
-func (b *quorum) reachedFor(now time.Duration, routers int) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	ends := latestFirst(b.promises)
+// reachedFor returns for how long the promises of a quorum hold, given the number of routers.
+func (q *quorum) reachedFor(now time.Duration, routers int) time.Duration {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	ends := latestFirst(q.promises)
 	for others := range len(ends) + 1 {
 		if !isQuorum(others, routers) {
 			continue
 		}
 		if others == 0 {
-			return orderLimitWithQuorum // this router is enough by itself
+			return orderLimitWithQuorum // this router is a quorum by itself
 		}
 		return max(ends[others-1]-now, 0)
 	}
@@ -75,34 +75,37 @@
 	return slices.SortedFunc(maps.Values(ends), func(x, y time.Duration) int { return cmp.Compare(y, x) })
 }
 
-// join notes that a router follows this leader, which backs another one until a time. It
-// reports whether enough follow, and when no older leader is backed any more.
+// addFollower records that a router follows this leader, and that its last promise to another leader
+// ends at until. It reports whether a quorum follows and, if so, when the promises to any older leader
+// have ended.
 //
-// Of those that backed an older leader at a time, so many follow this one as enough and all
-// followers exceed all routers; the promise of each of them ended later. One that began of
-// late, and so doesn't know what it promised, then counts for nothing.
-func (b *quorum) addFollower(router string, until time.Duration, routers int) (bool, time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if last, again := b.followers[router]; !again || until > last {
-		b.followers[router] = until
+// If a quorum had made promises to an older leader, its size plus the number of followers exceeds the
+// number of all routers. At least as many followers as the excess belonged to that quorum, and their
+// promises ended no sooner than the quorum did. So the n-th latest promise is a bound for any n up to the
+// excess. With n above one, a single router that has started recently, and therefore doesn't know its
+// promises, has no influence.
+func (q *quorum) addFollower(router string, until time.Duration, routers int) (bool, time.Duration) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if last, again := q.followers[router]; !again || until > last {
+		q.followers[router] = until
 	}
-	return b.oldLeaderPromisesEnd(routers)
+	return q.oldLeaderPromisesEnd(routers)
 }
 
-// counted is join where nobody has joined, but the number of routers may have become known.
-func (b *quorum) recheck(routers int) (bool, time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.oldLeaderPromisesEnd(routers)
+// recheck returns what addFollower would, after the number of routers may have changed.
+func (q *quorum) recheck(routers int) (bool, time.Duration) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.oldLeaderPromisesEnd(routers)
 }
 
-// oldEnds is what join returns; the lock is held.
-func (b *quorum) oldLeaderPromisesEnd(routers int) (bool, time.Duration) {
-	if !isQuorum(len(b.followers)-1, routers) {
+// oldLeaderPromisesEnd computes the results of addFollower; the caller holds the lock.
+func (q *quorum) oldLeaderPromisesEnd(routers int) (bool, time.Duration) {
+	if !isQuorum(len(q.followers)-1, routers) {
 		return false, 0
 	}
-	ends := latestFirst(b.followers)
+	ends := latestFirst(q.followers)
 	common := len(ends) - int(quorumShare*float64(routers))
 	return true, ends[min(max(common, 1), len(ends))-1]
 }
--- a/gateway/readahead.go
+++ b/gateway/readahead.go
@@ -8,11 +8,11 @@
 	"tarragongw/core/fault"
 )
 
-// readAheadBytes is how much of a body is read while its request waits for a place; what may
-// be kept for another send is more, so that the bound on memory is the same.
+// readAheadBytes is how much of a body is read while its request waits for placement. It is less than
+// maxKeptBytes, so it doesn't raise the bound on memory.
 const readAheadBytes = 64 << 10
 
-// place waits for a place at a target.
+// place places the request at a target, and waits for that if necessary.
 func (x *exchange) place() (dispatch.Decision, *fault.Fault) {
 	if x.body == nil {
 		return x.service.acquire(x.r.Context(), x.dispatchRequest(), func() {})
@@ -22,15 +22,14 @@
 	return x.service.acquire(ctx, x.dispatchRequest(), func() { go x.readAhead(cancel) })
 }
 
-// readAhead reads the body of a request that waits for a place, and ends the wait where the
-// body breaks off.
+// readAhead reads the body of a request that waits for placement, and calls end if the body breaks off.
 //
-// net/http notices that a caller has left only by a read, of the body or, once that was read
-// to its end, of what follows it. An upload that waited unread was sent to a target up to
-// seconds after its caller had left; one notices by placed lines with a long waited that
-// are followed by caller_gone at once, and by targets at work for nobody. A body that is
-// longer than readAheadBytes is not read to its end here, and its caller's end is noticed
-// only once it is sent.
+// net/http notices that a caller has left only when it reads from the connection: the body or, once
+// that was read completely, what follows it. An upload whose body was not read while it waited could be
+// sent to a target seconds after its caller had left. The symptoms were "placed" lines with a long
+// waited that were immediately followed by caller_gone, and targets working for callers that had left.
+// A body longer than readAheadBytes is not read completely here, so its caller's leaving is noticed only
+// when the body is sent.
 func (x *exchange) readAhead(end context.CancelFunc) {
 	want := int64(readAheadBytes)
 	if length := x.r.ContentLength; length > 0 {
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -15,12 +15,12 @@
 	"tarragongw/core/routes"
 )
 
-// pollEvery is how often requests that wait for a place are looked at again: what is
-// believed of the other routers' work fades within a fifth of a second.
+// pollInterval is how often the placement of waiting requests is tried again: the estimate of the
+// other routers' work at a target decays within 200 ms.
 const pollInterval = 10 * time.Millisecond
 
-// service is what the router keeps for one service: the decisions of core/dispatch behind
-// a lock, and the requests that wait.
+// service is the state of one service: core/dispatch behind a lock, and the requests that wait for
+// placement.
 type service struct {
 	name  string
 	byKey bool
@@ -31,7 +31,7 @@
 	waiting map[uint64]chan dispatch.Decision
 	lastID  uint64
 	timer   *time.Timer
-	// table is the division of keys that is in force.
+	// table is the key table in force.
 	table *keyspace.Table
 	// changed is closed when the table changes.
 	changed chan struct{}
@@ -46,7 +46,7 @@
 	}
 }
 
-// setTargets puts the service's targets in force.
+// setTargets sets the service's targets.
 func (s *service) setTargets(targets []directory.Target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,7 +54,7 @@
 	s.poll(time.Now())
 }
 
-// setTable puts a division of the keys in force.
+// setTable sets the key table.
 func (s *service) setTable(t *keyspace.Table) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,15 +66,15 @@
 	s.poll(now)
 }
 
-// currentTable returns the division in force and what is closed when it changes.
+// currentTable returns the key table in force, and a channel that is closed when it changes.
 func (s *service) currentTable() (*keyspace.Table, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table, s.changed
 }
 
-// acquire waits for a place, and calls waits first where there is none yet. Its work counts
-// until done.
+// acquire places a request. If it has to wait for that, onWait is called first. The request counts
+// towards the target's work until done is called.
 func (s *service) acquire(ctx context.Context, r dispatch.Request, onWait func()) (dispatch.Decision, *fault.Fault) {
 	s.mu.Lock()
 	s.lastID++
@@ -99,7 +99,7 @@
 	return s.withdraw(ctx, r.ID, answer)
 }
 
-// leave takes a request that waits back. A place that it was given meanwhile is given up.
+// withdraw ends the waiting of a request. If it was placed meanwhile, the placement is undone.
 func (s *service) withdraw(ctx context.Context, id uint64, answer chan dispatch.Decision) (dispatch.Decision, *fault.Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,7 +111,7 @@
 	return dispatch.Decision{}, endedWhileWaiting(ctx)
 }
 
-// endOf is the fault of a request that ended before it was sent.
+// endedWhileWaiting returns the fault of a request that ended before it was sent.
 func endedWhileWaiting(ctx context.Context) *fault.Fault {
 	kind := fault.CallerGone
 	if context.Cause(ctx) == context.DeadlineExceeded {
@@ -131,7 +131,7 @@
 	return f
 }
 
-// done ends work at a target.
+// done reports that a request at a target has ended.
 func (s *service) done(id string, result dispatch.Result, took time.Duration, turns float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,14 +140,14 @@
 	s.poll(now)
 }
 
-// report notes what an answer tells of its target's work.
+// recordReport records the load report in a target's answer.
 func (s *service) recordReport(id string, r dispatch.Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.core.Report(time.Now(), id, r)
 }
 
-// poll answers requests that need not wait any longer; the lock is held.
+// poll answers requests that no longer have to wait; the caller holds the lock.
 func (s *service) poll(now time.Time) {
 	for id, d := range s.core.Poll(now) {
 		s.waiting[id] <- d
@@ -156,7 +156,7 @@
 	s.armPoll()
 }
 
-// arm has what waits looked at again; the lock is held.
+// armPoll schedules the next poll if requests are waiting; the caller holds the lock.
 func (s *service) armPoll() {
 	if len(s.waiting) == 0 || s.timer != nil {
 		return
@@ -169,14 +169,14 @@
 	})
 }
 
-// counted pays for retries with a request of the service.
+// countRequest adds the share of a request to the retry budget.
 func (s *service) countRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.budget.Success()
 }
 
-// mayRetry takes one further attempt from the budget.
+// takeRetry takes a retry from the budget, and reports whether there was one.
 func (s *service) takeRetry() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,49 +189,49 @@
 	s.budget.SetRouters(n)
 }
 
-// drainServiceTimes returns what answers told of the targets' speed since the last call.
+// drainServiceTimes returns the service times that this router has measured since the last call.
 func (s *service) drainServiceTimes() []dispatch.TargetStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.core.DrainServiceTimes(time.Now())
 }
 
-// learnServiceTimes takes in what another router's answers told it.
+// learnServiceTimes adds service times that another router has measured.
 func (s *service) learnServiceTimes(serviceTimes []dispatch.TargetStats) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.core.LearnServiceTimes(time.Now(), serviceTimes)
 }
 
-// changedServiceTimes returns the targets' speeds that have changed since the last call.
+// changedServiceTimes returns the targets' service times that have changed since the last call.
 func (s *service) changedServiceTimes() []dispatch.TargetStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.core.ChangedServiceTimes()
 }
 
-// setServiceTimes puts the targets' speeds in force that all routers together know.
+// setServiceTimes sets the targets' service times, as measured by all routers together.
 func (s *service) setServiceTimes(serviceTimes []dispatch.TargetStats) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.core.SetServiceTimes(serviceTimes)
 }
 
-// pressed reports whether a target has had too much to do of late.
+// overloaded reports whether a target has recently been overloaded.
 func (s *service) overloaded(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.core.Pressed(time.Now(), id)
 }
 
-// setLimits puts the keys in force of which just a part of the requests is served.
+// setLimits sets the keys of which only a part of the requests is served.
 func (s *service) setLimits(all []keyspace.Limit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.core.SetLimits(time.Now(), all)
 }
 
-// keyOf reads the key of a request for a service that is divided by key.
+// keyOf returns the key of a request for a service with keys.
 func keyOf(h http.Header, name string) (*keyspace.Key, *fault.Fault) {
 	values := h[name]
 	if len(values) != 1 {
@@ -244,7 +244,7 @@
 	return &key, nil
 }
 
-// speed is how long a target takes for a request in seconds; zero where it isn't known.
+// serviceTime returns how long a target takes for a request, in seconds; zero if unknown.
 func (s *service) serviceTime(id string) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gateway/sizes.go
+++ b/gateway/sizes.go
@@ -5,11 +5,11 @@
 	"sync"
 )
 
-// sizeGain is the weight of a request in the mean size of its route's.
+// sizeGain is the weight of a new sample in a route's mean sizes.
 const sizeGain = 0.1
 
-// sizes are the mean sizes of requests and answers by route, in bytes. What goes to another
-// data centre is paid for by the byte, and a body in chunks doesn't say how long it is.
+// sizes are the mean sizes of requests and answers by route, in bytes. Traffic to another data centre
+// is paid for by the byte, and a chunked body doesn't announce its length.
 type sizes struct {
 	mu  sync.Mutex
 	all map[string]*size
@@ -17,7 +17,7 @@
 
 type size struct{ request, answer float64 }
 
-// expect returns the size of the request's body and of its answer's that is to be expected.
+// expect returns the expected size of the request's body and its answer's body together.
 func (s *sizes) expect(route string, r *http.Request) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -28,7 +28,7 @@
 	return int64(mean.request + mean.answer)
 }
 
-// note remembers the sizes that are known.
+// record adds the sizes of a request and its answer, if known, to the means.
 func (s *sizes) record(route string, r *http.Request, answer *http.Response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -6,21 +6,20 @@
 )
 
 const (
-	// leaveShare is the part of the grace after which nothing is taken on any more, and
-	// maxLeave the longest such time: by then the platform has asked twice whether this router
-	// is ready, and sends no more. What is taken on later has less time to end, however long
-	// the grace is.
+	// acceptShare is the share of the grace during which the router still accepts requests, and
+	// maxAcceptTime an upper limit: by then the platform has checked readiness twice, and sends no
+	// more requests. However long the grace, a request that is accepted later has less time to end.
 	acceptShare   = 0.5
 	maxAcceptTime = 2900 * time.Millisecond
-	// cutShare is the part of the grace that requests in flight have to end. The others are
-	// told so in the rest of it; of the usual grace of 6 s that is 0.7 s.
+	// drainShare is the share of the grace that requests in flight have to end. The rest of the grace,
+	// 0.7 s of the usual 6 s, is for answering the ones that have not ended.
 	drainShare = 0.88
 )
 
-// Stop ends the router gracefully: it is not ready from now on, gives the lead up, answers
-// all that still comes, and closes once what is in flight has ended. While the store doesn't
-// answer it leads on until the grace is nearly over. It returns how many requests were cut
-// off.
+// Stop stops the router gracefully. The router reports that it isn't ready, gives up leadership, still
+// serves new requests for a while, and closes when the requests in flight have ended. While the
+// store doesn't answer, it continues to lead until the grace is nearly over. Stop returns the number of
+// requests that were cut off.
 func (g *Gateway) Stop() (cut int) {
 	began := time.Now()
 	g.stopping.Store(true)
@@ -44,7 +43,7 @@
 	}
 	select {
 	case <-down.finished:
-	case <-ctx.Done(): // the store didn't answer; this router led on to its end
+	case <-ctx.Done(): // the store didn't answer, so this router led until now
 	}
 	g.membership.remove(ctx)
 	g.cancel()
@@ -53,7 +52,7 @@
 	return cut
 }
 
-// leaveAfter is how long after the request to stop a router takes nothing on any more.
+// acceptTime returns for how long a stopping router still accepts requests.
 func acceptTime(grace time.Duration) time.Duration {
 	return min(fraction(grace, acceptShare), maxAcceptTime)
 }
--- a/gateway/storecalls.go
+++ b/gateway/storecalls.go
@@ -7,7 +7,7 @@
 	"tarragongw/kv"
 )
 
-// What calls to the store are for, as store_calls_total names it.
+// The purposes of store calls; part of the label kind of the metric store_calls_total.
 const (
 	purposeLead      = "lead"
 	purposeKeys      = "keys"
@@ -17,7 +17,7 @@
 	purposeOwnRecord = "own_record"
 )
 
-// storeFor returns the store for calls that are counted under the purpose.
+// storeFor returns the store, with its calls counted under the purpose.
 func (g *Gateway) storeFor(purpose string) kv.Ledger {
 	if g.opts.Telemetry == nil {
 		return g.opts.Store
@@ -25,7 +25,7 @@
 	return &countedStore{store: g.opts.Store, observer: g.opts.Telemetry, purpose: purpose}
 }
 
-// purposeOf returns what a watch of the prefix is for.
+// purposeOf returns the purpose of a watch of the prefix.
 func (g *Gateway) purposeOf(prefix string) string {
 	switch prefix {
 	case leaderPrefix:
--- a/gateway/storegate.go
+++ b/gateway/storegate.go
@@ -5,12 +5,11 @@
 	"sync"
 )
 
-// storeGate keeps calls back while the store doesn't answer, but for the renewal of this
-// router's own record, which is the cheapest call and asks for all others.
+// storeGate holds calls back while the store doesn't answer. The renewal of this router's own record,
+// which is the cheapest call, is not held back and probes the store for all others.
 //
-// What goes wrong without it: each router repeats each of its watches against a store that
-// is down. Refused calls cost as much as others, and all of them come back together with
-// the store.
+// Without the gate, each router would repeat all of its watches against a store that is down. Refused
+// calls cost as much as others, and all of them would reach the store when it recovers.
 type storeGate struct {
 	mu sync.Mutex
 	// opened is nil while the gate is open, and closed when it opens.
@@ -26,7 +25,7 @@
 	}
 }
 
-// open lets all calls that wait go.
+// open releases all waiting calls.
 func (s *storeGate) open() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,7 +35,7 @@
 	}
 }
 
-// wait returns once the gate is open; false means that ctx ended first.
+// wait returns true once the gate is open, or false if ctx ends first.
 func (s *storeGate) wait(ctx context.Context) bool {
 	s.mu.Lock()
 	opened := s.opened
@@ -52,7 +51,7 @@
 	}
 }
 
-// isShut reports whether the store doesn't answer.
+// isShut reports whether the gate is shut, because the store doesn't answer.
 func (s *storeGate) isShut() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gateway/view.go
+++ b/gateway/view.go
@@ -8,13 +8,13 @@
 	"tarragongw/core/routes"
 )
 
-// view is what the request path reads; it is never changed.
+// view is the configuration as the request path reads it; it is immutable but for the splitters.
 type view struct {
 	config *routes.Config
 	routes map[string]*route
 }
 
-// route is a route with the state of its split.
+// route is a route with the state that splits its requests among services.
 type route struct {
 	routes.Route
 	version uint64
@@ -23,7 +23,7 @@
 	splitter *routes.Splitter
 }
 
-// next returns the service of the next request.
+// nextService returns the service for the next request; false if there is none.
 func (r *route) nextService() (string, bool) {
 	if len(r.Shares) == 1 {
 		return r.Shares[0].Service, true
@@ -41,8 +41,8 @@
 	return v
 }
 
-// callerModel is the part of the configuration that finds a request's route: to the side
-// of the callers each route is a service.
+// callerModel returns the model by which package caller finds a request's route. It has a service for
+// each route.
 func callerModel(c *routes.Config, h Headers) *model.Model {
 	m := &model.Model{Revision: c.Version}
 	for _, r := range c.Routes {
