--- a/gateway/callerleaves_test.go
+++ b/gateway/callerleaves_test.go
@@ -15,7 +15,7 @@
 	"tarragongw/platform"
 )
 
-// upload opens a connection and sends a request with the body, of which length bytes are announced.
+// upload opens a connection and sends a request with the body and the given Content-Length.
 func (f *fleet) upload(g *Gateway, id, body string, length int) net.Conn {
 	f.t.Helper()
 	conn, err := net.Dial("tcp", g.callerListener.Addr().String())
@@ -27,11 +27,12 @@
 	return conn
 }
 
-// patientConfig is plainConfig with a minute for each request.
+// longTimeoutConfig is plainConfig with a timeout of a minute.
 var longTimeoutConfig = strings.NewReplacer(`"timeout":"1000ms"`, `"timeout":"60000ms"`, `"target_latency":"400ms"`, `"target_latency":"60000ms"`).Replace(plainConfig)
 
-// busyFleet has one target that works on one request at a time, and on a read for work.
-func busyFleet(t *testing.T, work time.Duration) (*fleet, *Gateway) {
+// newBusyFleet starts one gateway, and one target that runs one request at a time and needs the time
+// work for a read.
+func newBusyFleet(t *testing.T, work time.Duration) (*fleet, *Gateway) {
 	f := newFleet(t, 1, longTimeoutConfig, plainTarget("a"))
 	g, target := f.gateways[0], f.targets["a"]
 	target.Answer(func(w http.ResponseWriter, r *http.Request) bool {
@@ -46,7 +47,7 @@
 	return f, g
 }
 
-// fill sends reads until one waits for a place.
+// fillSlots sends reads until one waits for placement.
 func (f *fleet) fillSlots(g *Gateway) {
 	f.t.Helper()
 	for i := range 50 {
@@ -58,11 +59,11 @@
 		}()
 		time.Sleep(20 * time.Millisecond)
 	}
-	f.t.Fatal("nothing waits")
+	f.t.Fatal("no request waits for placement")
 }
 
-// logged reports whether there is a line of the kind for the request.
-func (f *fleet) logged(kind, id string) bool {
+// hasLogged reports whether there is a log line with the message kind for the request.
+func (f *fleet) hasLogged(kind, id string) bool {
 	for line := range strings.Lines(f.log.String()) {
 		if strings.Contains(line, "msg="+kind+" ") && strings.Contains(line, " id="+id+" ") {
 			return true
@@ -71,32 +72,30 @@
 	return false
 }
 
-// Symptom: targets work on uploads whose callers left up to a second before they were sent on.
-// Sequence: all places of a service are taken; an upload waits for one; its caller leaves,
-// with the whole body sent or in the midst of it; a place becomes free, and the upload is
-// sent there.
-// Cause: net/http notices the end of a caller's connection only once the request's body has
-// been read to its end, and an upload that waits for a place has not been read.
+// Guards against targets that run uploads whose callers have already left. All slots of the target are
+// taken, and an upload waits; its caller leaves, in the middle of the body or after it; a slot becomes
+// free, and the upload is sent. net/http notices that a caller has left only once the request's body
+// has been read completely, and the body of a waiting upload was not read.
 func TestUploadWhoseCallerLeavesWhileItWaitsIsNotSentOn(t *testing.T) {
 	for name, length := range map[string]int{"whole": 5, "midway": 500} {
 		t.Run(name, func(t *testing.T) {
-			f, g := busyFleet(t, 1500*time.Millisecond)
+			f, g := newBusyFleet(t, 1500*time.Millisecond)
 			f.fillSlots(g)
 			before := g.handler.InFlight()
 			conn := f.upload(g, "left", "whole", length)
 			waittest.Until(t, "the upload is read", func() bool { return g.handler.InFlight() > before })
 			time.Sleep(50 * time.Millisecond)
 			assert.NilError(t, conn.Close())
-			waittest.Until(t, "it has ended", func() bool { return f.logged("request", "left") })
+			waittest.Until(t, "it has ended", func() bool { return f.hasLogged("request", "left") })
 			assert.Equal(t, f.runsOf("left"), 0)
-			assert.Assert(t, !f.logged("placed", "left"))
+			assert.Assert(t, !f.hasLogged("placed", "left"))
 		})
 	}
 }
 
-// An upload that waits is sent whole, also one that is longer than what is read ahead.
+// An upload that has waited is sent completely, even if it is longer than readAheadBytes.
 func TestUploadThatWaitsIsSentWhole(t *testing.T) {
-	f, g := busyFleet(t, 300*time.Millisecond)
+	f, g := newBusyFleet(t, 300*time.Millisecond)
 	f.fillSlots(g)
 	for _, size := range []int{1, readAheadBytes - 1, readAheadBytes, 5 * readAheadBytes} {
 		body := strings.Repeat("0123456789", size/10+1)[:size]
--- a/gateway/clusterstate.go
+++ b/gateway/clusterstate.go
@@ -50,61 +50,61 @@
 }
 
 func newClusterState(g *Gateway) *clusterState {
-	b := &clusterState{
+	cs := &clusterState{
 		g: g, directory: directory.New(), tables: map[string]feed.Table{}, routers: map[string]bool{}, knownPrefixes: map[string]bool{},
 		tableLogs: map[string]tableLog{},
 	}
-	b.duty = g.startDuty(b.handle)
-	return b
+	cs.duty = g.startDuty(cs.handle)
+	return cs
 }
 
-func (b *clusterState) handle(message any) {
+func (cs *clusterState) handle(message any) {
 	switch m := message.(type) {
 	case *prefixMessage:
-		b.handleChange(m)
+		cs.handleChange(m)
 	case *feed.Update:
-		b.applyUpdate(m)
+		cs.applyUpdate(m)
 	case *feed.Table:
-		b.useNewerTable(m)
+		cs.useNewerTable(m)
 	case tick:
-		b.publishTargets(b.directory.Tick(time.Now()))
+		cs.publishTargets(cs.directory.Tick(time.Now()))
 	}
 }
 
 // applyUpdate applies an update of the leader.
-func (b *clusterState) applyUpdate(u *feed.Update) {
+func (cs *clusterState) applyUpdate(u *feed.Update) {
 	if len(u.ConfigValue) > 0 {
-		b.handleConfig(&change{records: []kv.Record{{Key: b.g.opts.Adapter.ConfigKey, Value: u.ConfigValue}}})
+		cs.handleConfig(&change{records: []kv.Record{{Key: cs.g.opts.Adapter.ConfigKey, Value: u.ConfigValue}}})
 	}
-	changed := b.directory.Adopt(time.Now(), u.Whole, u.Targets, u.Gone)
-	b.publishTargets(changed)
+	changed := cs.directory.Adopt(time.Now(), u.Whole, u.Targets, u.Gone)
+	cs.publishTargets(changed)
 	for _, t := range u.Tables {
-		b.useNewerTable(&t)
+		cs.useNewerTable(&t)
 	}
-	if u.Routers > 0 && u.Routers != b.g.countedRouters() {
-		b.g.setRouters(u.Routers)
+	if u.Routers > 0 && u.Routers != cs.g.countedRouters() {
+		cs.g.setRouters(u.Routers)
 	}
 	if !u.Stale {
-		b.markKnown(b.g.opts.Adapter.TargetPrefix)
+		cs.markKnown(cs.g.opts.Adapter.TargetPrefix)
 	}
 }
 
 // markKnown records that the records under the prefix are known.
-func (b *clusterState) markKnown(prefix string) {
-	b.knownPrefixes[prefix] = true
-	a := &b.g.opts.Adapter
+func (cs *clusterState) markKnown(prefix string) {
+	cs.knownPrefixes[prefix] = true
+	a := &cs.g.opts.Adapter
 	if prefix == a.TargetPrefix {
-		b.g.subscription.source.SetKnown()
+		cs.g.subscription.source.SetKnown()
 	}
-	b.g.setSynced(b.config != nil && b.knownPrefixes[a.TargetPrefix])
+	cs.g.setSynced(cs.config != nil && cs.knownPrefixes[a.TargetPrefix])
 }
 
-func (b *clusterState) handleChange(m *prefixMessage) {
+func (cs *clusterState) handleChange(m *prefixMessage) {
 	if outage, ok := m.message.(*storeUnreachable); ok {
-		if m.prefix == b.g.opts.Adapter.TargetPrefix {
-			b.directory.StoreAway()
+		if m.prefix == cs.g.opts.Adapter.TargetPrefix {
+			cs.directory.StoreAway()
 		}
-		b.g.leader.duty.Tell(outage)
+		cs.g.leader.duty.Tell(outage)
 		return
 	}
 	c, ok := m.message.(*change)
@@ -112,93 +112,93 @@
 		return
 	}
 	switch m.prefix {
-	case b.g.opts.Adapter.ConfigPrefix:
-		b.handleConfig(c)
-	case b.g.opts.Adapter.TargetPrefix:
-		b.handleTargets(c)
+	case cs.g.opts.Adapter.ConfigPrefix:
+		cs.handleConfig(c)
+	case cs.g.opts.Adapter.TargetPrefix:
+		cs.handleTargets(c)
 	case leaderPrefix:
-		b.handleLeader(c)
+		cs.handleLeader(c)
 	case routerPrefix:
-		b.handleRouters(c)
+		cs.handleRouters(c)
 	case tablePrefix:
-		b.handleTables(c)
+		cs.handleTables(c)
 	}
-	b.markKnown(m.prefix)
+	cs.markKnown(m.prefix)
 }
 
 // handleConfig applies a configuration unless a newer one is in force. A configuration that can't be
 // decoded is ignored.
-func (b *clusterState) handleConfig(c *change) {
+func (cs *clusterState) handleConfig(c *change) {
 	for _, r := range c.records {
-		if r.Key != b.g.opts.Adapter.ConfigKey || r.Deleted {
+		if r.Key != cs.g.opts.Adapter.ConfigKey || r.Deleted {
 			continue
 		}
-		config, err := b.g.opts.Adapter.DecodeConfig(r.Value)
+		config, err := cs.g.opts.Adapter.DecodeConfig(r.Value)
 		if err != nil {
-			b.g.log.Error("configuration not decoded", "revision", r.Revision, "err", err)
+			cs.g.log.Error("configuration not decoded", "revision", r.Revision, "err", err)
 			continue
 		}
-		if b.config != nil && config.Version == b.config.Version {
+		if cs.config != nil && config.Version == cs.config.Version {
 			continue // sent again at the beginning of another leader's feed
 		}
-		if b.config != nil && config.Version < b.config.Version {
-			b.g.log.Info("older configuration ignored", "version", config.Version, "in_force", b.config.Version)
+		if cs.config != nil && config.Version < cs.config.Version {
+			cs.g.log.Info("older configuration ignored", "version", config.Version, "in_force", cs.config.Version)
 			continue
 		}
-		b.config = config
-		b.g.log.Info("configuration in force", "version", config.Version, "revision", r.Revision,
+		cs.config = config
+		cs.g.log.Info("configuration in force", "version", config.Version, "revision", r.Revision,
 			"routes", len(config.Routes), "services", len(config.Services))
-		b.g.subscription.source.SetConfig(config.Version, r.Value)
-		b.applyConfig(config)
+		cs.g.subscription.source.SetConfig(config.Version, r.Value)
+		cs.applyConfig(config)
 	}
 }
 
-func (b *clusterState) applyConfig(config *routes.Config) {
-	g := b.g
+func (cs *clusterState) applyConfig(config *routes.Config) {
+	g := cs.g
 	g.setServices(config)
 	g.view.Store(newView(config, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))))
 	g.handler.SetModel(callerModel(config, g.opts.Adapter.Headers))
-	for _, t := range b.tables {
-		b.useTable(t.Table)
+	for _, t := range cs.tables {
+		cs.useTable(t.Table)
 	}
 	// An empty list of targets must not be published before they are known: the leader would
 	// take the holders of all keys for gone.
-	if b.knownPrefixes[g.opts.Adapter.TargetPrefix] {
-		b.publishTargets(true)
+	if cs.knownPrefixes[g.opts.Adapter.TargetPrefix] {
+		cs.publishTargets(true)
 	}
 }
 
 // handleTargets records the targets' entries in the store.
-func (b *clusterState) handleTargets(c *change) {
-	a := &b.g.opts.Adapter
-	restored := c.listed && b.g.restoredSince(c.at.Add(-directory.ReturnGrace))
+func (cs *clusterState) handleTargets(c *change) {
+	a := &cs.g.opts.Adapter
+	restored := c.listed && cs.g.restoredSince(c.at.Add(-directory.ReturnGrace))
 	if c.unreachableFor >= minOutage || restored {
-		b.directory.StoreAway()
+		cs.directory.StoreAway()
 	}
-	b.directory.StoreBack(c.at)
+	cs.directory.StoreBack(c.at)
 	if restored {
-		b.publishTargets(b.directory.Restore(c.at, b.readTargets(c.records)))
+		cs.publishTargets(cs.directory.Restore(c.at, cs.readTargets(c.records)))
 		return
 	}
 	if c.listed {
-		b.publishTargets(b.directory.Replace(c.at, b.readTargets(c.records)))
+		cs.publishTargets(cs.directory.Replace(c.at, cs.readTargets(c.records)))
 		return
 	}
 	changed := false
 	for _, r := range c.records {
 		if r.Deleted {
-			changed = b.directory.Remove(c.at, a.TargetID(r.Key)) || changed
-		} else if t, ok := b.readTarget(r); ok {
-			changed = b.directory.Put(c.at, t) || changed
+			changed = cs.directory.Remove(c.at, a.TargetID(r.Key)) || changed
+		} else if t, ok := cs.readTarget(r); ok {
+			changed = cs.directory.Put(c.at, t) || changed
 		}
 	}
-	b.publishTargets(changed)
+	cs.publishTargets(changed)
 }
 
-func (b *clusterState) readTargets(records []kv.Record) []directory.Target {
+func (cs *clusterState) readTargets(records []kv.Record) []directory.Target {
 	var all []directory.Target
 	for _, r := range records {
-		if t, ok := b.readTarget(r); ok {
+		if t, ok := cs.readTarget(r); ok {
 			all = append(all, t)
 		}
 	}
@@ -206,120 +206,120 @@
 }
 
 // readTarget decodes an entry; it returns false if that fails.
-func (b *clusterState) readTarget(r kv.Record) (directory.Target, bool) {
-	t, err := b.g.opts.Adapter.DecodeTarget(r.Key, r.Value)
+func (cs *clusterState) readTarget(r kv.Record) (directory.Target, bool) {
+	t, err := cs.g.opts.Adapter.DecodeTarget(r.Key, r.Value)
 	if err != nil {
-		b.g.log.Warn("entry of a target ignored", "key", r.Key, "err", err)
+		cs.g.log.Warn("entry of a target ignored", "key", r.Key, "err", err)
 	}
 	return t, err == nil
 }
 
 // publishTargets publishes the targets if they have changed, and schedules a tick for the next change
 // that comes with time.
-func (b *clusterState) publishTargets(changed bool) {
+func (cs *clusterState) publishTargets(changed bool) {
 	if changed {
-		targets := b.directory.Targets()
-		b.g.setTargets(targets)
-		b.g.subscription.source.SetTargets(targets)
-		b.g.leader.duty.Tell(&targetStatus{targets, b.directory.Ended()})
-		b.g.log.Info("targets changed", "known", len(targets))
+		targets := cs.directory.Targets()
+		cs.g.setTargets(targets)
+		cs.g.subscription.source.SetTargets(targets)
+		cs.g.leader.duty.Tell(&targetStatus{targets, cs.directory.Ended()})
+		cs.g.log.Info("targets changed", "known", len(targets))
 	}
-	next := b.directory.Next()
+	next := cs.directory.Next()
 	if next.IsZero() {
 		return
 	}
-	if b.timer != nil {
-		b.timer.Stop()
+	if cs.timer != nil {
+		cs.timer.Stop()
 	}
-	b.timer = time.AfterFunc(max(time.Until(next), time.Millisecond), func() { b.duty.Tell(tick{}) })
+	cs.timer = time.AfterFunc(max(time.Until(next), time.Millisecond), func() { cs.duty.Tell(tick{}) })
 }
 
 // handleLeader records who leads.
-func (b *clusterState) handleLeader(c *change) {
+func (cs *clusterState) handleLeader(c *change) {
 	found := false
 	for _, r := range c.records {
 		if r.Key == leaderKey {
 			found = true
-			b.observeLeader(r)
+			cs.observeLeader(r)
 		}
 	}
 	if c.listed && !found {
-		b.observeLeader(kv.Record{Key: leaderKey, Deleted: true})
+		cs.observeLeader(kv.Record{Key: leaderKey, Deleted: true})
 	}
 }
 
-func (b *clusterState) observeLeader(r kv.Record) {
+func (cs *clusterState) observeLeader(r kv.Record) {
 	status := &leaderStatus{revision: r.Revision, present: !r.Deleted}
 	status.name, status.address, _ = strings.Cut(string(r.Value), leaderSeparator)
-	b.g.leader.duty.Tell(status)
-	b.g.subscription.setLeader(*status)
+	cs.g.leader.duty.Tell(status)
+	cs.g.subscription.setLeader(*status)
 }
 
 // handleRouters records which routers are live.
-func (b *clusterState) handleRouters(c *change) {
-	before, changed := len(b.routers), 0
+func (cs *clusterState) handleRouters(c *change) {
+	before, changed := len(cs.routers), 0
 	present := make(map[string]bool, len(c.records))
 	for _, r := range c.records {
 		name := strings.TrimPrefix(r.Key, routerPrefix)
 		present[name] = !r.Deleted
-		changed += b.setRouter(name, !r.Deleted)
+		changed += cs.setRouter(name, !r.Deleted)
 	}
-	for name := range b.routers {
+	for name := range cs.routers {
 		if c.listed && !present[name] {
-			changed += b.setRouter(name, false)
+			changed += cs.setRouter(name, false)
 		}
 	}
 	if changed == 0 && !c.listed {
 		return
 	}
-	b.g.log.Info("routers changed", "changes", changed, "before", before, "known", len(b.routers))
-	b.g.setRouters(max(len(b.routers), 1))
-	b.g.subscription.source.SetRouters(max(len(b.routers), 1))
-	b.g.leader.duty.Tell(routerCountRead{})
+	cs.g.log.Info("routers changed", "changes", changed, "before", before, "known", len(cs.routers))
+	cs.g.setRouters(max(len(cs.routers), 1))
+	cs.g.subscription.source.SetRouters(max(len(cs.routers), 1))
+	cs.g.leader.duty.Tell(routerCountRead{})
 }
 
 // setRouter records whether a router is live, and returns 1 if that has changed, else 0.
-func (b *clusterState) setRouter(name string, present bool) int {
-	if present == b.routers[name] {
+func (cs *clusterState) setRouter(name string, present bool) int {
+	if present == cs.routers[name] {
 		return 0
 	}
 	if present {
-		b.routers[name] = true
+		cs.routers[name] = true
 		return 1
 	}
-	delete(b.routers, name)
-	if name == b.g.opts.Name {
-		b.g.membership.renewNow()
+	delete(cs.routers, name)
+	if name == cs.g.opts.Name {
+		cs.g.membership.renewNow()
 	}
 	return 1
 }
 
 // handleTables records key tables from the store.
-func (b *clusterState) handleTables(c *change) {
+func (cs *clusterState) handleTables(c *change) {
 	for _, r := range c.records {
 		if r.Deleted {
 			continue
 		}
 		t, err := decodeTable(r.Value)
 		if err != nil {
-			b.g.log.Error("key table not decoded", "key", r.Key, "revision", r.Revision, "err", err)
+			cs.g.log.Error("key table not decoded", "key", r.Key, "revision", r.Revision, "err", err)
 			continue
 		}
-		b.useNewerTable(&feed.Table{Revision: uint64(tableVersion(t, r.Revision)), Table: t})
+		cs.useNewerTable(&feed.Table{Revision: uint64(tableVersion(t, r.Revision)), Table: t})
 	}
 }
 
 // useNewerTable applies a key table unless a newer one is in force.
-func (b *clusterState) useNewerTable(t *feed.Table) {
+func (cs *clusterState) useNewerTable(t *feed.Table) {
 	name := t.Table.Service
-	if old, known := b.tables[name]; known && !t.Newer(&old) {
+	if old, known := cs.tables[name]; known && !t.Newer(&old) {
 		return
 	}
-	b.tables[name] = *t
-	b.g.tables.Store(name, *t)
-	b.g.subscription.source.SetTable(*t)
-	b.logTable(t)
-	b.useTable(t.Table)
+	cs.tables[name] = *t
+	cs.g.tables.Store(name, *t)
+	cs.g.subscription.source.SetTable(*t)
+	cs.logTable(t)
+	cs.useTable(t.Table)
 }
 
 // tableLogInterval is the least time between two log lines about one service's key table: with
@@ -332,20 +332,20 @@
 	skipped int
 }
 
-func (b *clusterState) logTable(t *feed.Table) {
-	l := b.tableLogs[t.Table.Service]
+func (cs *clusterState) logTable(t *feed.Table) {
+	l := cs.tableLogs[t.Table.Service]
 	if now := time.Now(); now.Sub(l.at) >= tableLogInterval {
-		b.g.log.Info("key table updated", "service", t.Table.Service, "revision", t.Revision, "sequence", t.Sequence,
+		cs.g.log.Info("key table updated", "service", t.Table.Service, "revision", t.Revision, "sequence", t.Sequence,
 			"segments", len(t.Table.Segments), "changes_before", l.skipped)
 		l = tableLog{at: now}
 	} else {
 		l.skipped++
 	}
-	b.tableLogs[t.Table.Service] = l
+	cs.tableLogs[t.Table.Service] = l
 }
 
-func (b *clusterState) useTable(t *keyspace.Table) {
-	if s := b.g.service(t.Service); s != nil && s.byKey {
+func (cs *clusterState) useTable(t *keyspace.Table) {
+	if s := cs.g.service(t.Service); s != nil && s.byKey {
 		s.setTable(t)
 	}
 }
--- a/gateway/feedserver.go
+++ b/gateway/feedserver.go
@@ -10,8 +10,8 @@
 
 // reportScale returns the number of all routers divided by the number of routers whose requests this
 // router knows of: itself and the followers that report to it.
-func (f *subscription) reportScale() float64 {
-	return float64(f.g.routerCount()) / float64(min(int(f.followers.Load())+1, f.g.routerCount()))
+func (sub *subscription) reportScale() float64 {
+	return float64(sub.g.routerCount()) / float64(min(int(sub.followers.Load())+1, sub.g.routerCount()))
 }
 
 // serveFollowers serves the feed to the routers that follow this one.
@@ -31,24 +31,24 @@
 
 // feedSource returns the source of the feed for followers of the term, and a context that ends with the
 // term; nil if this router doesn't lead in the term.
-func (f *subscription) feedSource(term uint64) (context.Context, *feed.Source) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.term == nil || !f.term.hasRevision(term) {
+func (sub *subscription) feedSource(term uint64) (context.Context, *feed.Source) {
+	sub.mu.Lock()
+	defer sub.mu.Unlock()
+	if sub.term == nil || !sub.term.hasRevision(term) {
 		return nil, nil
 	}
-	f.followers.Add(1)
-	context.AfterFunc(f.term.ctx, func() { f.followers.Store(0) })
-	return f.term.ctx, f.source
+	sub.followers.Add(1)
+	context.AfterFunc(sub.term.ctx, func() { sub.followers.Store(0) })
+	return sub.term.ctx, sub.source
 }
 
 // recordFollowerPromise records that a router has promised to follow no other leader than this one, the
 // leader of the term, until a time.
-func (f *subscription) recordFollowerPromise(router string, term uint64, until time.Duration) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.term != nil && f.term.hasRevision(term) {
-		f.term.quorum.recordPromise(router, until)
+func (sub *subscription) recordFollowerPromise(router string, term uint64, until time.Duration) {
+	sub.mu.Lock()
+	defer sub.mu.Unlock()
+	if sub.term != nil && sub.term.hasRevision(term) {
+		sub.term.quorum.recordPromise(router, until)
 	}
 }
 
--- a/gateway/fleet_test.go
+++ b/gateway/fleet_test.go
@@ -15,7 +15,7 @@
 	"tarragongw/platform"
 )
 
-// Each key is served by the one target that holds it, whichever router is asked.
+// Each key is served by the one target that holds it, whichever router gets the request.
 func TestKeysAreServedByTheirHolder(t *testing.T) {
 	f := newFleet(t, 2, keyedConfig, keyedTarget("a"), keyedTarget("b"), keyedTarget("c"))
 	seen := map[string]bool{}
@@ -33,9 +33,8 @@
 	assert.Equal(t, got.status, http.StatusBadRequest, "a request without a key")
 }
 
-// Symptom: keys are not served for seconds after the loss of one router.
-// Sequence: the leader's process is lost without a word.
-func TestAnotherRouterLeadsBeforeGrantsLapse(t *testing.T) {
+// Guards against keys that are unserved for seconds after the leader's process has crashed.
+func TestAnotherRouterLeadsBeforeGrantsExpire(t *testing.T) {
 	retryOnStall(t, func() error {
 		f := newFleet(t, 3, keyedConfig, keyedTarget("a"), keyedTarget("b"))
 		f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 7})
@@ -62,9 +61,9 @@
 	})
 }
 
-// Guards against a leader that has just started, knows the table but no target yet, and has
-// all targets give up their keys.
-func TestLeaderThatKnowsNoTargetYetTakesNoKeys(t *testing.T) {
+// Guards against a leader that has just started, knows the key table but no targets yet, and orders all
+// targets to release their keys.
+func TestLeaderReleasesNoKeysBeforeItKnowsTheTargets(t *testing.T) {
 	f := newFleet(t, 1, keyedConfig, keyedTarget("a"), keyedTarget("b"))
 	keys := []int{7, 30000, 65000}
 	holders := map[int]string{}
@@ -83,8 +82,8 @@
 	assert.Assert(t, !strings.Contains(f.log.String(), "kind=release"), "keys were taken")
 }
 
-// A target that says that it leaves hands its keys over, and gets no new work.
-func TestLeavingTargetHandsItsKeysOver(t *testing.T) {
+// A draining target hands its keys over and gets no new work.
+func TestDrainingTargetHandsItsKeysOver(t *testing.T) {
 	f := newFleet(t, 2, keyedConfig, keyedTarget("a"), keyedTarget("b"))
 	f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
 	leaving := f.targets[f.holder(100)]
@@ -101,8 +100,8 @@
 	assert.Equal(t, len(leaving.Runs()), before)
 }
 
-// Symptom: the keys of a target that was lost without a word are never served again.
-func TestKeysOfASilentTargetMoveOnceTheirGrantHasLapsed(t *testing.T) {
+// Guards against keys of a crashed target that are never served again.
+func TestKeysOfACrashedTargetMoveOnceTheirGrantHasExpired(t *testing.T) {
 	f := newFleet(t, 1, keyedConfig, keyedTarget("a"), keyedTarget("b"))
 	f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
 	lost := f.targets[f.holder(100)]
@@ -112,16 +111,16 @@
 	assert.Assert(t, time.Since(began) < 6*time.Second, "after %v", time.Since(began))
 }
 
-// A target that starts again under its id holds nothing and is granted its keys anew.
-func TestTargetBornAgainIsGrantedItsKeysAnew(t *testing.T) {
+// A target that was restarted under the same ID holds nothing, and its keys are granted again.
+func TestRestartedTargetIsGrantedItsKeysAgain(t *testing.T) {
 	f := newFleet(t, 1, keyedConfig, keyedTarget("a"))
 	f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
 	f.targets["a"].Reborn(f.store)
 	f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
 }
 
-// While the store refuses all calls, requests and grants go on.
-func TestStoreAwayStopsNothing(t *testing.T) {
+// While the store refuses all calls, requests are served and grants renewed.
+func TestRequestsAndGrantsContinueDuringAStoreOutage(t *testing.T) {
 	retryOnStall(t, func() error {
 		f := newFleet(t, 2, keyedConfig, keyedTarget("a"), keyedTarget("b"))
 		keys := []int{100, 65000}
@@ -142,8 +141,7 @@
 	})
 }
 
-// Symptom: a router serves by a configuration that was replaced.
-// Sequence: an older or an unreadable one is written after it.
+// Guards against a router that applies an older or undecodable configuration.
 func TestConfigurationNeverReverts(t *testing.T) {
 	f := newFleet(t, 1, plainConfig, plainTarget("a"))
 	g := f.gateways[0]
@@ -156,9 +154,10 @@
 	assert.Equal(t, f.send(g, call{method: "GET", path: "/read/1", key: -1}).status, http.StatusOK)
 }
 
-// Symptom: some routers serve by an old configuration for many seconds.
-// Sequence: the store passes their watches over, drops its history, and cuts nothing.
-func TestChangeInAGapOfTheHistoryIsFound(t *testing.T) {
+// Guards against routers that serve with an old configuration for many seconds, because the store has
+// not reported the change to their watches and then compacts its history, without an error on any
+// connection.
+func TestChangeMissedByWatchesIsFoundAfterCompaction(t *testing.T) {
 	f := newFleet(t, 3, plainConfig, plainTarget("a"))
 	time.Sleep(300 * time.Millisecond)
 	f.store.Deafen()
@@ -181,8 +180,8 @@
 	assert.Assert(t, time.Since(began) < 3*time.Second, "after %v", time.Since(began))
 }
 
-// An entry of another writer names no target and disturbs none.
-func TestForeignEntriesDisturbNothing(t *testing.T) {
+// Target entries that can't be decoded are ignored, and don't affect other targets.
+func TestUndecodableTargetEntriesAreIgnored(t *testing.T) {
 	f := newFleet(t, 1, plainConfig, plainTarget("a"))
 	f.store.Put(platform.TargetPrefix+"x", []byte{0xff})
 	f.store.Put(platform.TargetPrefix+"y", []byte(`{"address":3}`))
@@ -194,9 +193,9 @@
 	})
 }
 
-// A planned stop cuts nothing: what is under way is answered, what still comes too, and
-// the connection's end is announced.
-func TestPlannedStopCutsNothing(t *testing.T) {
+// In a planned stop, requests in flight and new requests that still arrive are answered, and the answers
+// announce the end of the connection.
+func TestPlannedStopCutsOffNoRequests(t *testing.T) {
 	f := newFleet(t, 1, plainConfig, plainTarget("a"))
 	g := f.gateways[0]
 	f.targets["a"].SetWork(700 * time.Millisecond)
@@ -218,9 +217,8 @@
 	assert.Equal(t, <-stopped, 0)
 }
 
-// Symptom: in a planned stop callers find their connections reset without a word.
-// Sequence: a request comes shortly before the router stops listening, and takes longer than
-// what is left of the grace.
+// Guards against connections that are reset without an answer in a planned stop: a request arrives
+// shortly before the router stops listening, and takes longer than the rest of the grace.
 func TestRequestsThatOutlastTheGraceAreAnswered(t *testing.T) {
 	f := newFleet(t, 1, strings.ReplaceAll(plainConfig, `"timeout":"1000ms"`, `"timeout":"60000ms"`), plainTarget("a"))
 	g := f.gateways[0]
@@ -239,8 +237,8 @@
 	}
 }
 
-// The leader that stops gives the lead up at once.
-func TestStoppingLeaderHandsTheLeadOver(t *testing.T) {
+// A stopping leader gives up leadership at once.
+func TestStoppingLeaderGivesUpLeadershipAtOnce(t *testing.T) {
 	f := newFleet(t, 2, keyedConfig, keyedTarget("a"))
 	f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
 	old := f.leader()
@@ -250,10 +248,9 @@
 	assert.Assert(t, time.Since(began) < time.Second, "after %v", time.Since(began))
 }
 
-// Symptom: all keys are unserved from two seconds after the stop of one router until the
-// store is back.
-// Sequence: the store goes away, and the leader is stopped before it has noticed.
-func TestLeaderThatStopsWithoutTheStoreLeadsOn(t *testing.T) {
+// Guards against keys that are unserved from two seconds after the stop of the leader until the store
+// recovers: the store fails, and the leader is stopped before it has noticed.
+func TestStoppingLeaderKeepsLeadingDuringAStoreOutage(t *testing.T) {
 	retryOnStall(t, func() error {
 		f := newFleet(t, 3, keyedConfig, keyedTarget("a"))
 		f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
@@ -275,12 +272,12 @@
 	})
 }
 
-// Symptom: a router that is stopped is counted among all routers for ten seconds more.
-// Sequence: it removes its record, and its next renewal writes it anew.
+// Guards against a stopped router that is counted for another ten seconds, because it removes its record
+// and its next renewal writes the record again.
 func TestRouterThatStopsIsNotCounted(t *testing.T) {
 	f := newFleet(t, 2, plainConfig, plainTarget("a"))
 	g := f.gateways[1]
-	waittest.Until(t, "its record stands", func() bool { return f.store.Value(routerPrefix+g.opts.Name) != nil })
+	waittest.Until(t, "its record exists", func() bool { return f.store.Value(routerPrefix+g.opts.Name) != nil })
 	go g.Stop()
 	waittest.Until(t, "its record is gone", func() bool { return f.store.Value(routerPrefix+g.opts.Name) == nil })
 	for end := time.Now().Add(memberRenewInterval + 300*time.Millisecond); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -288,21 +285,21 @@
 	}
 }
 
-// The calls to the store don't grow with the targets' reports: followers make none for them.
+// The number of store calls doesn't grow with the targets' heartbeats, because followers don't watch them.
 func TestFollowersDoNotWatchTargets(t *testing.T) {
 	f := newFleet(t, 4, plainConfig, plainTarget("a"))
-	waittest.Until(t, "all others are fed", func() bool {
-		fed := 0
+	waittest.Until(t, "all others are subscribed", func() bool {
+		subscribed := 0
 		for _, g := range f.gateways {
 			g.subscription.mu.Lock()
 			if g.subscription.subscribed {
-				fed++
+				subscribed++
 			}
 			g.subscription.mu.Unlock()
 		}
-		return fed == 3
+		return subscribed == 3
 	})
-	time.Sleep(400 * time.Millisecond) // what the start itself asks for is over
+	time.Sleep(400 * time.Millisecond) // the calls of the start have ended
 	retryOnStall(t, func() error {
 		before := f.store.Calls()
 		for range 20 {
@@ -314,20 +311,19 @@
 			after[name] -= before[name]
 		}
 		if n := after["kv-watch "+platform.TargetPrefix]; n < 1 || n > 4 {
-			return errors.Errorf("the leader alone watches, with pauses: %v", after)
+			return errors.Errorf("only the leader should watch the targets, with pauses: %v", after)
 		}
 		if after["kv-watch "+leaderPrefix] > 1 || after["kv-watch "+platform.ConfigPrefix] > 1 {
-			return errors.Errorf("what changes seldom is asked for seldom: %v", after)
+			return errors.Errorf("too many watches for rare changes: %v", after)
 		}
 		return nil
 	})
 }
 
-// Symptom: a router uses a whole core, and calls the store all the time, while the store is
-// down.
-// Sequence: the store refuses all calls; nobody leads; each router asks for the lead.
-// Cause: a try that fails at once is followed by the next at once.
-func TestLeadIsNotAskedForWithoutPause(t *testing.T) {
+// Guards against a router that uses a whole core and calls the store all the time while the store is
+// down: the store refuses all calls, there is no leader, and each failed campaign was immediately
+// followed by the next.
+func TestFailedCampaignIsNotRepeatedWithoutPause(t *testing.T) {
 	f := newFleet(t, 0, "")
 	f.store.Put(leaderKey, []byte("other 127.0.0.1:1"))
 	f.start("router-0")
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -76,14 +76,14 @@
 	if v == nil {
 		return nil, fault.New(fault.NotReady, "no configuration yet")
 	}
-	to := v.routes[meta.Service]
-	if to == nil {
+	matched := v.routes[meta.Service]
+	if matched == nil {
 		return nil, fault.New(fault.NoRoute, "")
 	}
 	if limit := v.config.Limits.BodyBytes; limit > 0 && r.ContentLength > limit {
 		return nil, fault.New(fault.TooLarge, "the body is longer than the configuration allows")
 	}
-	name, ok := to.nextService()
+	name, ok := matched.nextService()
 	if !ok {
 		return nil, fault.New(fault.NoOwner, "the route has no service with a weight")
 	}
@@ -92,9 +92,9 @@
 		return nil, fault.New(fault.NoOwner, "service "+name+" is not configured")
 	}
 	x := &exchange{
-		g: g, w: w, r: r, meta: meta, route: to, service: s, body: replay.New(r, maxKeptBytes), began: time.Now(), targets: map[string]bool{},
+		g: g, w: w, r: r, meta: meta, route: matched, service: s, body: replay.New(r, maxKeptBytes), began: time.Now(), targets: map[string]bool{},
 	}
-	x.age = g.callerAges.age(to.Name, r.Header.Get(g.opts.Adapter.Headers.Deadline))
+	x.age = g.callerAges.age(matched.Name, r.Header.Get(g.opts.Adapter.Headers.Deadline))
 	if s.byKey {
 		key, f := keyOf(r.Header, g.opts.Adapter.Headers.Key)
 		if f != nil {
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -35,22 +35,22 @@
 	version  int
 	nextID   int
 	client   *http.Client
-	// ways are the gateways' ways to the store, by name.
+	// links are the gateways' connections to the store, by gateway name.
 	links map[string]*storeLink
-	// knownWithin is Options.KnownWithin of gateways that start.
+	// knownWithin is Options.KnownWithin of gateways that are started.
 	knownWithin time.Duration
-	// slow is a prefix whose listings take slowListing for gateways that start.
+	// slowPrefix is a prefix whose listings take slowListing for gateways that are started.
 	slowPrefix string
 }
 
-// slowListing is long enough for all other calls of a gateway that starts.
+// slowListing is longer than all other calls of a starting gateway take.
 const slowListing = 400 * time.Millisecond
 
-// way is a gateway's way to the store, which can be cut.
+// storeLink is a gateway's connection to the store, which can be cut.
 type storeLink struct {
 	kv.Ledger
 	cut atomic.Bool
-	// slow delays listings of the prefix by slowFor.
+	// slowDelay is the delay of listings of slowPrefix.
 	slowPrefix string
 	slowDelay  time.Duration
 }
@@ -81,7 +81,7 @@
 	return w.Ledger.List(ctx, prefix)
 }
 
-// Watch implements kv.Ledger; a cut loses also what a watch that waits would bring.
+// Watch implements kv.Ledger. If the connection is cut during the watch, its result is lost.
 func (w *storeLink) Watch(ctx context.Context, prefix string, since kv.Revision, wait time.Duration) ([]kv.Record, kv.Revision, error) {
 	records, at, err := w.Ledger.Watch(ctx, prefix, since, wait)
 	if cutErr := w.errIfCut(); cutErr != nil {
@@ -100,7 +100,7 @@
 
 const host = "h.example"
 
-// newFleet starts gateways on a store that has the configuration and the targets.
+// newFleet starts gateways with a store that has the configuration and the targets.
 func newFleet(t *testing.T, gateways int, config string, targets ...*platformtest.Target) *fleet {
 	f := &fleet{t: t, store: platformtest.NewStore(), targets: map[string]*platformtest.Target{}, links: map[string]*storeLink{}, client: &http.Client{}}
 	t.Cleanup(f.close)
@@ -135,7 +135,7 @@
 	}
 }
 
-// abandon ends a gateway as a lost process does.
+// abandon ends a gateway as a crash of its process would.
 func abandon(g *Gateway) {
 	g.cancel()
 	for _, l := range []interface{ Close() error }{g.callerListener, g.readyListener, g.peerListener} {
@@ -149,7 +149,7 @@
 	target.Register(f.store)
 }
 
-// setSlots gives each target so many slots, and waits until all gateways know of them.
+// setSlots sets the number of slots of each target, and waits until all gateways know it.
 func (f *fleet) setSlots(n int) {
 	f.t.Helper()
 	for _, target := range f.targets {
@@ -166,7 +166,7 @@
 	}
 }
 
-// configure writes a configuration with the next version; routes and services are JSON.
+// configure writes a configuration with the next version; rest is the JSON of its other fields.
 func (f *fleet) configure(rest string) {
 	f.version += 3
 	f.store.Put(platform.ConfigKey, []byte(fmt.Sprintf(`{"version":"%08x",%s}`, f.version, rest)))
@@ -201,7 +201,7 @@
 	return g
 }
 
-// call is one request of a caller.
+// call is a caller's request.
 type call struct {
 	method, path string
 	key          int
@@ -209,7 +209,7 @@
 	left         time.Duration
 }
 
-// answer is what the caller got.
+// answer is the answer that the caller got.
 type answer struct {
 	status int
 	header http.Header
@@ -247,7 +247,7 @@
 	return answer{resp.StatusCode, resp.Header, string(body), id, err}
 }
 
-// served sends until the call is answered 200, since keys may be on their way.
+// sendUntilServed sends the call until it is answered 200, since its key may be moving.
 func (f *fleet) sendUntilServed(g *Gateway, c call) answer {
 	f.t.Helper()
 	var last answer
@@ -258,7 +258,7 @@
 	return last
 }
 
-// holder is the target that holds the key.
+// holder returns the ID of the target that holds the key; several are joined by "+".
 func (f *fleet) holder(k keyspace.Key) string {
 	var held []string
 	for id, target := range f.targets {
@@ -269,12 +269,12 @@
 	return strings.Join(held, "+")
 }
 
-// leader is the gateway that leads, or nil.
+// leader returns the gateway that leads, or nil.
 func (f *fleet) leader() *Gateway {
 	return f.leaderOtherThan(nil)
 }
 
-// leaderBut is the gateway that leads and is not the one given, or nil.
+// leaderOtherThan returns a gateway that leads and is not the given one, or nil.
 func (f *fleet) leaderOtherThan(other *Gateway) *Gateway {
 	for _, g := range f.gateways {
 		g.subscription.mu.Lock()
@@ -287,7 +287,7 @@
 	return nil
 }
 
-// waiters is how many requests wait for a place.
+// waiters returns the number of requests that wait for placement.
 func (s *service) waiters() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -325,17 +325,17 @@
 }
 
 const (
-	// stallTick is how often a watcher of the process looks at the clock, and stallMost how
-	// late it may be: leases of a second are kept by renewals some hundred milliseconds apart.
+	// stallTick is how often watchStalls reads the clock, and maxStall how late it may be: leases of
+	// a second are renewed every few hundred milliseconds.
 	stallTick = 20 * time.Millisecond
 	maxStall  = 250 * time.Millisecond
-	// stallTries is how often a check is made again that a stall has spoilt.
+	// stallTries is the maximum number of runs of a check that fails because of stalls.
 	stallTries = 5
 )
 
-// unstalled makes a check that rests on leases kept in time. Where it fails and the whole
-// process was seen to stand still meanwhile, which no router could have borne, it is made
-// again; a failure without a stall fails the test.
+// retryOnStall runs a check that depends on leases being renewed in time. If the check fails and the whole
+// process has stalled meanwhile for longer than leases allow, it is run again. A failure without a stall
+// fails the test.
 func retryOnStall(t *testing.T, check func() error) {
 	t.Helper()
 	var err error
@@ -349,7 +349,7 @@
 		if err == nil {
 			return
 		}
-		t.Logf("%v; the process stood still for up to %v", err, stall)
+		t.Logf("%v; the process stalled for up to %v", err, stall)
 		if stall < maxStall {
 			break
 		}
@@ -357,7 +357,7 @@
 	t.Fatal(err)
 }
 
-// watchStalls returns the longest time for which the process stood still.
+// watchStalls returns the longest stall of the process until done is closed.
 func watchStalls(done <-chan struct{}) (worst time.Duration) {
 	last := time.Now()
 	for {
--- a/gateway/keysamples.go
+++ b/gateway/keysamples.go
@@ -16,20 +16,20 @@
 	keys []keyspace.Key
 }
 
-func (b *keySamples) add(k keyspace.Key) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if len(b.keys) < maxKeySamples {
-		b.keys = append(b.keys, k)
+func (s *keySamples) add(k keyspace.Key) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.keys) < maxKeySamples {
+		s.keys = append(s.keys, k)
 	}
 }
 
 // take returns the keys collected since the last call.
-func (b *keySamples) take() []keyspace.Key {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	keys := b.keys
-	b.keys = nil
+func (s *keySamples) take() []keyspace.Key {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	keys := s.keys
+	s.keys = nil
 	return keys
 }
 
--- a/gateway/leader_test.go
+++ b/gateway/leader_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a leader that goes over all ranges for each answer to an order: both grow
-// with the targets, its work with the square.
-func TestStepsDoNotGrowWithTheAnswers(t *testing.T) {
+// Guards against a leader that goes over all key ranges for each answer to an order: the numbers of
+// ranges and of answers both grow with the number of targets, so the work would grow with its square.
+func TestNumberOfStepsDoesNotGrowWithTheNumberOfAnswers(t *testing.T) {
 	var p pacer
 	begin := time.Now()
 	last, steps := begin.Add(-time.Second), 0
@@ -21,7 +21,7 @@
 			steps++
 			continue
 		}
-		assert.Equal(t, due, last.Add(minStepInterval), "what came after the last step is carried out in time")
+		assert.Equal(t, due, last.Add(minStepInterval), "a step that has to wait is due minStepInterval after the last one")
 	}
 	assert.Equal(t, steps, int(time.Second/minStepInterval))
 }
--- a/gateway/leaderstep.go
+++ b/gateway/leaderstep.go
@@ -301,7 +301,7 @@
 		return
 	}
 	assignment.writeNotBefore = time.Now().Add(writeRetryDelay)
-	l.g.log.Warn("division of keys not written", "service", m.service, "err", m.err)
+	l.g.log.Warn("key table not written", "service", m.service, "err", m.err)
 	if l.g.era() != l.term.revision().Era() {
 		l.resumeTerm()
 		return
--- a/gateway/randomrestores_test.go
+++ b/gateway/randomrestores_test.go
@@ -15,28 +15,28 @@
 )
 
 var (
-	randomSeeds     = flag.Int("restore-seeds", 2, "number of drawn sequences of restores")
-	firstRandomSeed = flag.Uint64("restore-first-seed", 1, "seed of the first drawn sequence of restores")
+	randomSeeds     = flag.Int("restore-seeds", 2, "number of random sequences of restores")
+	firstRandomSeed = flag.Uint64("restore-first-seed", 1, "seed of the first random sequence of restores")
 )
 
-// drawnEvents is how many events a drawn sequence has.
+// randomEvents is the number of events in a random sequence.
 const randomEvents = 8
 
-// Some sequence of restores, moves and lost routers leaves a key with two holders or with none.
-func TestDrawnRestores(t *testing.T) {
+// Guards against sequences of restores, moves and lost routers that leave a key with two holders or none.
+func TestRandomRestores(t *testing.T) {
 	for i := range *randomSeeds {
 		seed := *firstRandomSeed + uint64(i)
-		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { testRandomRestores(t, seed) })
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { runRandomRestores(t, seed) })
 	}
 }
 
-func testRandomRestores(t *testing.T, seed uint64) {
+func runRandomRestores(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, seed))
 	f := newRestoredFleet(t, 3)
 	f.store.Snapshot()
 	holders := f.watchForTwoHolders()
 	for i := range randomEvents {
-		f.randomEvent(random, i)
+		f.triggerRandomEvent(random, i)
 		time.Sleep(time.Duration(random.IntN(800)) * time.Millisecond)
 	}
 	f.waitUntilAllServed()
@@ -44,10 +44,10 @@
 	f.moveKey(100)
 	f.waitUntilAllServed()
 	assert.Assert(t, f.highestToken(100) > before)
-	holders.end(t)
+	holders.assertNone(t)
 }
 
-func (f *fleet) randomEvent(random *rand.Rand, nth int) {
+func (f *fleet) triggerRandomEvent(random *rand.Rand, nth int) {
 	switch random.IntN(6) {
 	case 0:
 		f.store.Snapshot()
@@ -56,8 +56,8 @@
 		f.t.Logf("restore, %+v", restore)
 		f.store.Restore(restore)
 	case 3:
-		f.t.Log("a target leaves and returns")
-		f.leaveAndReturn(random)
+		f.t.Log("a target drains and returns")
+		f.drainAndReturn(random)
 	case 4:
 		f.t.Log("the leader is lost, and a router starts")
 		if lost := f.leader(); lost != nil {
@@ -70,8 +70,8 @@
 	}
 }
 
-// leaveAndReturn has a holder's keys begin to move, and the target return.
-func (f *fleet) leaveAndReturn(random *rand.Rand) {
+// drainAndReturn drains the target that holds key 100, and ends the drain while its keys may be moving.
+func (f *fleet) drainAndReturn(random *rand.Rand) {
 	holder := f.holder(100)
 	if holder == "" || strings.Contains(holder, "+") {
 		return
@@ -79,5 +79,5 @@
 	f.targets[holder].Drain(f.store)
 	time.Sleep(time.Duration(random.IntN(600)) * time.Millisecond)
 	f.targets[holder].Return(f.store)
-	waittest.Until(f.t, "somebody leads", func() bool { return f.leader() != nil })
+	waittest.Until(f.t, "a router leads", func() bool { return f.leader() != nil })
 }
--- a/gateway/request_test.go
+++ b/gateway/request_test.go
@@ -16,8 +16,7 @@
 	"tarragongw/platform"
 )
 
-// What the target gets is what the caller sent, and what the caller gets what the target
-// answered.
+// The target gets the request as the caller sent it, and the caller gets the target's answer unchanged.
 func TestRequestPassesUnchanged(t *testing.T) {
 	f := newFleet(t, 1, plainConfig, plainTarget("a"))
 	path := "/pay/x%2Fy/%7E?q=1&r=%20+"
@@ -34,10 +33,9 @@
 	assert.Assert(t, runs[0].DeadlineMillis > 0 && runs[0].DeadlineMillis <= 1000, "the route's timeout bounds what is left")
 }
 
-// Symptom: more connections to targets than callers open to the router.
-// Sequence: callers that keep no connection send one request after the other.
-// Cause: each took the target's connection with it, see the same test of caller.
-func TestCallersWithoutKeptConnectionsShareTheTargets(t *testing.T) {
+// Guards against a new connection to a target for each request of callers without keep-alive: the end of
+// the caller's connection closed the target's connection too, see the same test of package caller.
+func TestCallersWithoutKeepAliveShareTargetConnections(t *testing.T) {
 	f := newFleet(t, 1, plainConfig, plainTarget("a"))
 	from := map[string]bool{}
 	f.targets["a"].Answer(func(_ http.ResponseWriter, r *http.Request) bool {
@@ -62,9 +60,8 @@
 	assert.Equal(t, f.send(f.gateways[0], call{method: "GET", path: "/nothing/1", key: -1}).status, http.StatusNotFound)
 }
 
-// Symptom: a payment is made twice.
-// Sequence: the target runs it and its connection breaks before the answer.
-// Cause: the loss of an answer is taken for the loss of the request.
+// Guards against a payment that is made twice: the target runs the request, its connection breaks before
+// the answer, and the lost answer is mistaken for a lost request.
 func TestWhatMayHaveRunIsNotRepeatedUnlessItMayBe(t *testing.T) {
 	f := newFleet(t, 1, plainConfig, plainTarget("a"), plainTarget("b"))
 	for _, target := range f.targets {
@@ -92,8 +89,8 @@
 	conn.Close()
 }
 
-// A target that says that it did not run a request is no reason to give it up, and if all
-// say so the caller is told when to come back.
+// A request that one target refuses without running it is sent to another. If all targets refuse it, the
+// caller is told when to retry.
 func TestRefusalsOfTargetsGoElsewhereOrBack(t *testing.T) {
 	f := newFleet(t, 1, plainConfig, plainTarget("a"), plainTarget("b"))
 	refuse := func(w http.ResponseWriter, _ *http.Request) bool {
@@ -115,10 +112,9 @@
 	assert.Assert(t, seconds > 0 && seconds < 2, got.header.Get("Retry-After"))
 }
 
-// Symptom: a caller gets the answer to another caller's request.
-// Sequence: a target answers a request twice, the second time while the next request is
-// under way on the same connection.
-// Cause: the next bytes on a connection are taken for the next answer.
+// Guards against a caller that gets the answer to another caller's request: a target answers a request
+// twice, the second time while the next request is in flight on the same connection, and the next bytes on
+// the connection are mistaken for the answer to that request.
 func TestSecondAnswerIsPassedOver(t *testing.T) {
 	f := newFleet(t, 1, plainConfig, plainTarget("a"))
 	first := true
@@ -151,7 +147,7 @@
 	assert.Equal(t, f.send(f.gateways[0], call{method: "GET", path: "/read/2", key: -1}).body, "second")
 }
 
-// A success that lacks the target's signature is not passed off as one.
+// A successful answer that lacks the target's signature is not passed on as a success.
 func TestUnsignedSuccessIsNoAnswer(t *testing.T) {
 	f := newFleet(t, 1, plainConfig, plainTarget("a"))
 	f.targets["a"].Answer(func(w http.ResponseWriter, _ *http.Request) bool {
@@ -162,8 +158,8 @@
 	assert.Equal(t, got.status, http.StatusBadGateway)
 }
 
-// Symptom: a part of an answer is taken for the whole.
-// Sequence: an answer without a length ends with a reset.
+// Guards against a truncated answer that looks complete to the caller: an answer without a length ends with
+// a connection reset.
 func TestBrokenAnswerDoesNotLookWhole(t *testing.T) {
 	f := newFleet(t, 1, plainConfig, plainTarget("a"))
 	f.targets["a"].Answer(func(w http.ResponseWriter, r *http.Request) bool {
@@ -181,7 +177,7 @@
 	assert.Assert(t, got.err != nil || got.status != http.StatusOK, "%+v", got)
 }
 
-// A request whose target is still at work at the route's timeout is answered then.
+// A request that the target has not finished at the route's timeout is answered then.
 func TestTimeoutOfTheRouteIsKept(t *testing.T) {
 	f := newFleet(t, 1, plainConfig, plainTarget("a"))
 	f.targets["a"].SetWork(3 * time.Second)
@@ -191,7 +187,7 @@
 	assert.Assert(t, time.Since(began) < 2*time.Second)
 }
 
-// Requests that come behind another on one connection are answered in order.
+// Pipelined requests on one connection are answered in order.
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	f := newFleet(t, 1, plainConfig, plainTarget("a"))
 	f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/0", key: -1})
--- a/gateway/restore_test.go
+++ b/gateway/restore_test.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// firstEra is that of a store at the begin of a test.
+	// firstEra is the store's era at the start of a test.
 	firstEra = 4
-	// servedWithin is how soon after a restore keys are served.
+	// servedWithin is the time after a restore within which keys must be served.
 	servedWithin = time.Second
 )
 
-// restored is how the store of most tests comes back.
+// defaultRestore is how most tests restore the store.
 var defaultRestore = platformtest.Restored{RewriteAfter: 300 * time.Millisecond}
 
 var restoreKeys = []int{100, 20000, 33000, 50000, 65000}
 
-// newRestoredFleet starts routers and three targets on a store that counts its eras.
+// newRestoredFleet starts routers and three targets with a store that counts its eras.
 func newRestoredFleet(t *testing.T, routers int) *fleet {
 	f := newFleet(t, 0, "")
 	f.store.CountEras(firstEra)
@@ -41,7 +41,7 @@
 	return f
 }
 
-// allServed waits until all live routers serve all keys.
+// waitUntilAllServed waits until all live routers serve all keys of restoreKeys.
 func (f *fleet) waitUntilAllServed() {
 	f.t.Helper()
 	for _, g := range f.gateways {
@@ -53,7 +53,8 @@
 	}
 }
 
-// moveKey has another target hold the key, and its former holder ready again.
+// moveKey moves the key by draining its holder, and ends the drain afterwards. It returns the old and the
+// new holder.
 func (f *fleet) moveKey(k uint16) (old, now string) {
 	f.t.Helper()
 	waittest.Until(f.t, "one target holds the key", func() bool { old = f.holder(k); return old != "" && !strings.Contains(old, "+") })
@@ -66,7 +67,7 @@
 	return old, now
 }
 
-// doubleWatch looks for keys that two targets hold.
+// holderWatch checks continuously that no key is held by two targets.
 type holderWatch struct {
 	stop      chan struct{}
 	done      sync.WaitGroup
@@ -101,21 +102,21 @@
 			holders = append(holders, t)
 		}
 	}
-	// The first is asked again: the key may have moved in between.
+	// The holders are asked again, because the key may have moved in between.
 	if len(holders) > 1 && holders[0].Holds(k) && holders[1].Holds(k) && w.violation == "" {
 		w.violation = fmt.Sprintf("%s and %s hold key %d", holders[0].ID, holders[1].ID, k)
 	}
 }
 
-// end stops the watch and fails the test if it found anything.
-func (w *holderWatch) end(t *testing.T) {
+// assertNone stops the watch, and fails the test if a key had two holders.
+func (w *holderWatch) assertNone(t *testing.T) {
 	t.Helper()
 	close(w.stop)
 	w.done.Wait()
 	assert.Equal(t, w.violation, "")
 }
 
-// highestToken is the highest token that any target has seen for the key.
+// highestToken returns the highest fencing token that any target has seen for the key.
 func (f *fleet) highestToken(k uint16) uint64 {
 	highest := uint64(0)
 	for _, t := range f.targets {
@@ -124,16 +125,16 @@
 	return highest
 }
 
-// Two targets hold a key, or nobody serves it, because a restored store names a holder that has
-// given it away since.
-func TestRestoreForgetsAMove(t *testing.T) {
-	t.Run("leases have lapsed", func(t *testing.T) { testRestoreUndoesAMove(t, defaultRestore) })
-	t.Run("leases begin anew", func(t *testing.T) {
-		testRestoreUndoesAMove(t, platformtest.Restored{RewriteAfter: defaultRestore.RewriteAfter, KeepLeases: true})
+// Guards against a key with two holders or none, because the restored store names a holder that has
+// released the key since.
+func TestRestoreThatUndoesAMoveLeavesOneHolder(t *testing.T) {
+	t.Run("leases have expired", func(t *testing.T) { undoMoveByRestore(t, defaultRestore) })
+	t.Run("leases are kept", func(t *testing.T) {
+		undoMoveByRestore(t, platformtest.Restored{RewriteAfter: defaultRestore.RewriteAfter, KeepLeases: true})
 	})
 }
 
-func testRestoreUndoesAMove(t *testing.T, restore platformtest.Restored) {
+func undoMoveByRestore(t *testing.T, restore platformtest.Restored) {
 	f := newRestoredFleet(t, 3)
 	f.store.Snapshot()
 	_, holder := f.moveKey(100)
@@ -153,11 +154,11 @@
 	f.moveKey(100)
 	f.waitUntilAllServed()
 	assert.Assert(t, f.highestToken(100) > before)
-	holders.end(t)
+	holders.assertNone(t)
 }
 
-// Targets refuse all grants, or two hold a key under one token, because a restored store has
-// tokens given out again.
+// Guards against targets that refuse all grants, or two that hold a key with the same token, because tokens
+// are assigned a second time after a restore.
 func TestTokensRiseWhereAllRoutersStartAfterARestore(t *testing.T) {
 	f := newRestoredFleet(t, 2)
 	f.store.Snapshot()
@@ -171,13 +172,14 @@
 	f.store.Restore(defaultRestore)
 	f.start("late-0")
 	f.start("late-1")
-	waittest.Until(t, "the key is held under a higher token", func() bool { return f.highestToken(100) > before && f.holder(100) != "" })
+	waittest.Until(t, "the key is held with a higher token", func() bool { return f.highestToken(100) > before && f.holder(100) != "" })
 	f.waitUntilAllServed()
-	holders.end(t)
+	holders.assertNone(t)
 }
 
-// A new leader grants keys by a restored table while a target that it doesn't name holds them.
-func TestLeaderIsLostWithARestore(t *testing.T) {
+// Guards against a new leader that grants keys by a restored key table while a target that isn't named in
+// it holds them.
+func TestNewLeaderAfterARestoreRespectsCurrentHolders(t *testing.T) {
 	f := newRestoredFleet(t, 3)
 	f.store.Snapshot()
 	f.moveKey(100)
@@ -187,12 +189,12 @@
 	f.store.Restore(defaultRestore)
 	waittest.Until(t, "another router leads", func() bool { return f.leaderOtherThan(lost) != nil })
 	f.waitUntilAllServed()
-	holders.end(t)
+	holders.assertNone(t)
 }
 
-// A leader that was cut off goes on in a restored store with what it knew, although another led
-// meanwhile and moved keys.
-func TestLeaderOfBeforeReturnsAfterARestore(t *testing.T) {
+// Guards against a leader that was cut off and continues its term after a restore, although another router
+// has led meanwhile and moved keys.
+func TestFormerLeaderDoesNotResumeAfterARestore(t *testing.T) {
 	f := newRestoredFleet(t, 3)
 	f.store.Snapshot()
 	first := f.leader()
@@ -209,11 +211,12 @@
 		return g != nil && g.era() == firstEra+1
 	})
 	f.waitUntilAllServed()
-	holders.end(t)
-	assert.Assert(t, !strings.Contains(f.log.String(), "leadership kept"), "the leader of before went on")
+	holders.assertNone(t)
+	assert.Assert(t, !strings.Contains(f.log.String(), "leadership kept"), "the former leader continued its term")
 }
 
-// A second restore while the lead is taken again leaves the keys without a leader.
+// Guards against keys that remain without a leader, because the store is restored a second time while the
+// leader takes leadership again.
 func TestTwoRestoresInARow(t *testing.T) {
 	f := newRestoredFleet(t, 3)
 	f.store.Snapshot()
@@ -229,11 +232,11 @@
 	time.Sleep(2 * time.Second)
 	f.moveKey(100)
 	f.waitUntilAllServed()
-	holders.end(t)
+	holders.assertNone(t)
 }
 
-// A configuration that was in force is taken back, because a restored store has an older one.
-func TestConfigurationDoesNotGoBackWithARestore(t *testing.T) {
+// Guards against routers that go back to an older configuration, because the restored store has one.
+func TestConfigurationDoesNotRevertWithARestore(t *testing.T) {
 	f := newRestoredFleet(t, 3)
 	f.store.Snapshot()
 	f.configure(strings.ReplaceAll(keyedConfig, "/read/", "/look/"))
@@ -254,8 +257,8 @@
 	}
 }
 
-// A configuration that is written after a restore is not seen for as long as a watch waits, because
-// its revision lies before the one that the watch goes on from.
+// Guards against a configuration that is noticed only when a watch times out: it is written after a restore,
+// with a revision below the one that the watch waits for.
 func TestConfigurationAfterARestoreIsSeenSoon(t *testing.T) {
 	f := newRestoredFleet(t, 3)
 	f.store.Snapshot()
@@ -266,7 +269,7 @@
 	}
 	f.store.Restore(platformtest.Restored{RewriteAfter: time.Minute})
 	f.configure(strings.ReplaceAll(keyedConfig, "/read/", "/look/"))
-	f.registerAll(40) // the store's revision is beyond that of before
+	f.registerAll(40) // the store's revision is now above that before the restore
 	began := time.Now()
 	for _, g := range f.gateways {
 		f.sendUntilServed(g, call{method: http.MethodGet, path: "/look/1", key: 100})
@@ -274,7 +277,7 @@
 	assert.Assert(t, time.Since(began) < 2*time.Second, "after %v", time.Since(began))
 }
 
-// registerAll has each target write its entry so many times.
+// registerAll makes each target write its entry the given number of times.
 func (f *fleet) registerAll(times int) {
 	for range times {
 		for _, target := range f.targets {
--- a/gateway/sizes.go
+++ b/gateway/sizes.go
@@ -42,13 +42,13 @@
 }
 
 func (s *sizes) meanOf(route string) *size {
-	of := s.all[route]
-	if of == nil {
-		of = &size{}
+	mean := s.all[route]
+	if mean == nil {
+		mean = &size{}
 		if s.all == nil {
 			s.all = map[string]*size{}
 		}
-		s.all[route] = of
+		s.all[route] = mean
 	}
-	return of
+	return mean
 }
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -18,7 +18,7 @@
 	"tarragongw/platform"
 )
 
-// persistent is a caller that keeps its connection as long as it may, and then opens another.
+// persistentCaller is a caller that keeps its connection as long as possible.
 type persistentCaller struct {
 	fleet *fleet
 	g     *Gateway
@@ -30,7 +30,7 @@
 	sentCount int
 }
 
-// sentRequest is a request that a caller sent and what became of it.
+// sentRequest is a request that a caller sent, and the status of its answer.
 type sentRequest struct {
 	id     string
 	at     time.Time
@@ -47,8 +47,8 @@
 	return true
 }
 
-// round sends depth requests at once and reads their answers; status zero is none. It
-// reports whether the connection may be used further.
+// sendBatch sends depth requests at once and reads their answers; a status of zero means no answer. It
+// reports whether the connection can be used further.
 func (p *persistentCaller) sendBatch(path string) ([]sentRequest, bool) {
 	var sent []sentRequest
 	var text strings.Builder
@@ -78,16 +78,13 @@
 	return sent, true
 }
 
-// Symptom: in a planned stop requests that targets are at work on end with the router's own
-// 504, though they were sent seconds after the stop had begun.
-// Sequence: one caller has a read under way that outlasts the grace, and others behind it.
-// Callers whose connections rested when the stop began, and callers that send one request
-// behind the other all the while, go on; what they send after the router accepts no more
-// is passed on, and cut off at the end of the grace.
-// Cause: the stop waits for the answers that wait for their turn before it closes listeners
-// and connections; see caller.Server.Shutdown. "request" lines of that time had nth above 1
-// and code=deadline_exceeded, between "no more requests accepted" and "closing connections".
-func TestStopTakesNothingOnThatItCannotAnswer(t *testing.T) {
+// Guards against requests that are accepted late in a planned stop and then cut off with the router's own
+// 504 at the end of the grace. One caller has a read in flight that outlasts the grace, and further requests
+// behind it. Other callers, with idle or with busy connections, continue to send. The fault was that
+// the stop waited for answers that had to wait for their turn before it closed listeners and connections,
+// see caller.Server.Shutdown; "request" log lines between "no more requests accepted" and "closing
+// connections" had nth above 1 and code=deadline_exceeded.
+func TestStopAcceptsNoRequestsThatItCannotAnswer(t *testing.T) {
 	f := newFleet(t, 1, strings.ReplaceAll(plainConfig, `"timeout":"1000ms"`, `"timeout":"60000ms"`), plainTarget("a"), plainTarget("b"))
 	g := f.gateways[0]
 	f.setSlots(64)
@@ -144,7 +141,7 @@
 	}
 	began := time.Now()
 	for i, p := range idle {
-		// From shortly before accepting ends to shortly before the end.
+		// From shortly before the router stops accepting requests to shortly before the grace ends.
 		callers.Go(func() {
 			time.Sleep(time.Until(began.Add(fraction(g.opts.Grace, acceptShare) + time.Duration(i-1)*300*time.Millisecond)))
 			sent, _ := p.sendBatch("/read/late")
@@ -160,22 +157,22 @@
 		if r.status == http.StatusOK {
 			served++
 		}
-		assert.Check(t, r.status != http.StatusGatewayTimeout, "%s was sent %v after accepting ended and cut off", r.id, r.at.Sub(notAccepted))
+		assert.Check(t, r.status != http.StatusGatewayTimeout, "%s was sent %v after the router stopped accepting requests, and was cut off", r.id, r.at.Sub(notAccepted))
 		if r.status == http.StatusServiceUnavailable {
-			assert.Check(t, f.runsOf(r.id) == 0, "%s was said not to have run", r.id)
+			assert.Check(t, f.runsOf(r.id) == 0, "%s ran, but its answer says that it did not", r.id)
 		}
 		if r.status == 0 {
-			assert.Check(t, f.runsOf(r.id) == 0, "%s ran and its caller got no answer", r.id)
+			assert.Check(t, f.runsOf(r.id) == 0, "%s ran, but its caller got no answer", r.id)
 		}
 	}
 	assert.Assert(t, served > 0)
 }
 
-// Guards against requests that are taken on late in a long grace, and cut off at its end.
-func TestNothingIsTakenOnLateInALongGrace(t *testing.T) {
+// Guards against requests that are accepted late in a long grace and cut off at its end.
+func TestNoRequestsAreAcceptedLateInALongGrace(t *testing.T) {
 	for _, grace := range []time.Duration{6 * time.Second, 10 * time.Second, time.Minute} {
 		assert.Assert(t, acceptTime(grace) < 3*time.Second, "%v", grace)
-		assert.Assert(t, acceptTime(grace) > 2*time.Second, "two questions of the platform come before: %v", grace)
+		assert.Assert(t, acceptTime(grace) > 2*time.Second, "the platform checks readiness twice before: %v", grace)
 	}
 	assert.Equal(t, acceptTime(2*time.Second), time.Second)
 }
--- a/gateway/storecalls_test.go
+++ b/gateway/storecalls_test.go
@@ -12,7 +12,7 @@
 	"tarragongw/telemetry"
 )
 
-// Guards against calls to the store that no metric tells the cause of.
+// Guards against store calls whose purpose is not shown by any metric.
 func TestStoreCallsAreCountedByPurpose(t *testing.T) {
 	g, _ := idleGateway(t)
 	g.opts.Telemetry = telemetry.New(telemetry.Config{})
--- a/gateway/storewatches.go
+++ b/gateway/storewatches.go
@@ -16,18 +16,18 @@
 }
 
 // startWatch starts to watch a prefix; the caller holds the lock.
-func (f *subscription) startWatch(prefix string, pause func([]kv.Record) time.Duration, wait time.Duration) *watch {
-	ctx, cancel := context.WithCancel(f.g.lifetime)
+func (sub *subscription) startWatch(prefix string, pause func([]kv.Record) time.Duration, wait time.Duration) *watch {
+	ctx, cancel := context.WithCancel(sub.g.lifetime)
 	w := &watch{stop: cancel, watcher: &watcher{
-		store: f.g.storeFor(f.g.purposeOf(prefix)), log: f.g.log, prefix: prefix, pause: pause, wait: wait, historyLost: f.restartWatches,
-		gate: &f.g.gate, probe: f.g.membership.renewNow,
+		store: sub.g.storeFor(sub.g.purposeOf(prefix)), log: sub.g.log, prefix: prefix, pause: pause, wait: wait, historyLost: sub.restartWatches,
+		gate: &sub.g.gate, probe: sub.g.membership.renewNow,
 		notify: func(message any) {
 			if ctx.Err() == nil {
-				f.g.state.duty.Tell(&prefixMessage{prefix, message})
+				sub.g.state.duty.Tell(&prefixMessage{prefix, message})
 			}
 		},
 	}}
-	f.g.goRun(func() { w.run(ctx) })
+	sub.g.goRun(func() { w.run(ctx) })
 	return w
 }
 
@@ -45,9 +45,9 @@
 }
 
 // rareChangeWait returns how long a watch for records that change rarely waits.
-func (f *subscription) rareChangeWait() time.Duration {
+func (sub *subscription) rareChangeWait() time.Duration {
 	wait := maxRareChangeWait
-	if history := f.g.opts.StoreHistory; history > 0 {
+	if history := sub.g.opts.StoreHistory; history > 0 {
 		wait = min(wait, time.Duration(rareChangeHistoryShare*float64(history)))
 	}
 	return time.Duration(float64(wait) * (1 - rareChangeJitter*rand.Float64()))
@@ -55,30 +55,30 @@
 
 // fallbackDelay returns how long this router waits for a feed before it reads the state from the
 // store.
-func (f *subscription) fallbackDelay() time.Duration {
-	delay := min(max(f.g.opts.KnownWithin-fallbackReserve, minFallbackDelay), maxFallbackDelay)
+func (sub *subscription) fallbackDelay() time.Duration {
+	delay := min(max(sub.g.opts.KnownWithin-fallbackReserve, minFallbackDelay), maxFallbackDelay)
 	return delay + rand.N(fallbackJitter)
 }
 
 // staleDelay returns how long this router waits for another leader after its own has reported that it
 // can't reach the store. It is shorter, because the leader has needed freshnessLimit to notice that.
-func (f *subscription) staleDelay() time.Duration {
-	return max(f.fallbackDelay()-minFallbackDelay, 0)
+func (sub *subscription) staleDelay() time.Duration {
+	return max(sub.fallbackDelay()-minFallbackDelay, 0)
 }
 
 // restartWatches restarts all running watches.
-func (f *subscription) restartWatches() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, w := range f.runningWatches() {
+func (sub *subscription) restartWatches() {
+	sub.mu.Lock()
+	defer sub.mu.Unlock()
+	for _, w := range sub.runningWatches() {
 		w.restart()
 	}
 }
 
 // runningWatches returns the watches that run; the caller holds the lock.
-func (f *subscription) runningWatches() []*watch {
-	all := slices.Clone(f.otherWatches)
-	for _, w := range []*watch{f.leaderWatch, f.configWatch, f.targetsWatch} {
+func (sub *subscription) runningWatches() []*watch {
+	all := slices.Clone(sub.otherWatches)
+	for _, w := range []*watch{sub.leaderWatch, sub.configWatch, sub.targetsWatch} {
 		if w != nil {
 			all = append(all, w)
 		}
@@ -87,99 +87,101 @@
 }
 
 // watchLeader starts to watch the leader record, unless it is watched already.
-func (f *subscription) watchLeader() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.leaderWatch == nil {
-		f.leaderWatch = f.startWatch(leaderPrefix, leaderWatchPause, f.rareChangeWait())
+func (sub *subscription) watchLeader() {
+	sub.mu.Lock()
+	defer sub.mu.Unlock()
+	if sub.leaderWatch == nil {
+		sub.leaderWatch = sub.startWatch(leaderPrefix, leaderWatchPause, sub.rareChangeWait())
 	}
 }
 
 // watchStore starts to watch the configuration, the targets and the routers in the store. It also
 // watches the key tables if tables is set; a leader doesn't, because it is the one that writes them.
-func (f *subscription) watchStore(tables bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.configWatch == nil {
-		f.configWatch = f.startWatch(f.g.opts.Adapter.ConfigPrefix, constantPause(configWatchPause), f.rareChangeWait())
+func (sub *subscription) watchStore(tables bool) {
+	sub.mu.Lock()
+	defer sub.mu.Unlock()
+	if sub.configWatch == nil {
+		sub.configWatch = sub.startWatch(sub.g.opts.Adapter.ConfigPrefix, constantPause(configWatchPause), sub.rareChangeWait())
 	}
-	if f.targetsWatch == nil {
-		f.targetsWatch = f.startWatch(f.g.opts.Adapter.TargetPrefix, constantPause(targetsWatchPause), targetsWatchWait)
+	if sub.targetsWatch == nil {
+		sub.targetsWatch = sub.startWatch(sub.g.opts.Adapter.TargetPrefix, constantPause(targetsWatchPause), targetsWatchWait)
 	}
-	if len(f.otherWatches) > 0 && (len(f.otherWatches) > 1 || !tables) {
+	if len(sub.otherWatches) > 0 && (len(sub.otherWatches) > 1 || !tables) {
 		return
 	}
-	for _, w := range f.otherWatches {
+	for _, w := range sub.otherWatches {
 		w.stop()
 	}
-	f.otherWatches = []*watch{f.startWatch(routerPrefix, constantPause(routersWatchPause), f.rareChangeWait())}
+	sub.otherWatches = []*watch{sub.startWatch(routerPrefix, constantPause(routersWatchPause), sub.rareChangeWait())}
 	if tables {
-		f.otherWatches = append(f.otherWatches, f.startWatch(tablePrefix, constantPause(tablesWatchPause), f.rareChangeWait()))
+		sub.otherWatches = append(sub.otherWatches, sub.startWatch(tablePrefix, constantPause(tablesWatchPause), sub.rareChangeWait()))
 	}
 }
 
 // scheduleFallback records that no feed of a leader that reaches the store is up. Unless one comes up
 // within the delay, this router reads the state from the store.
-func (f *subscription) scheduleFallback(delay time.Duration) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.subscribed = false
-	if !f.fallbackPending && !f.watchesTables() {
-		f.fallbackPending, f.fallbackDue = true, time.Now().Add(delay)
-		f.fallBackAfter(delay, f.fallbackGeneration)
+func (sub *subscription) scheduleFallback(delay time.Duration) {
+	sub.mu.Lock()
+	defer sub.mu.Unlock()
+	sub.subscribed = false
+	if !sub.fallbackPending && !sub.watchesTables() {
+		sub.fallbackPending, sub.fallbackDue = true, time.Now().Add(delay)
+		sub.fallBackAfter(delay, sub.fallbackGeneration)
 	}
 }
 
-func (f *subscription) fallBackAfter(delay time.Duration, generation int) {
-	time.AfterFunc(delay, func() { f.fallBack(generation) })
+func (sub *subscription) fallBackAfter(delay time.Duration, generation int) {
+	time.AfterFunc(delay, func() { sub.fallBack(generation) })
 }
 
 // postponeFallback postpones a pending fallback, because a leader was found; the caller holds the lock.
-func (f *subscription) postponeFallback() {
-	if f.fallbackPending && f.g.opts.KnownWithin >= fallbackReserve+maxFallbackDelay {
+func (sub *subscription) postponeFallback() {
+	if sub.fallbackPending && sub.g.opts.KnownWithin >= fallbackReserve+maxFallbackDelay {
 		earliest := time.Now().Add(newLeaderGrace)
-		if f.fallbackDue.Before(earliest) {
-			f.fallbackDue = earliest
+		if sub.fallbackDue.Before(earliest) {
+			sub.fallbackDue = earliest
 		}
 	}
 }
 
 // watchesTables reports whether this router watches everything in the store, the key tables
 // included; the caller holds the lock.
-func (f *subscription) watchesTables() bool { return f.targetsWatch != nil && len(f.otherWatches) > 1 }
+func (sub *subscription) watchesTables() bool {
+	return sub.targetsWatch != nil && len(sub.otherWatches) > 1
+}
 
 // fallBack starts to watch everything in the store. If the store is unreachable, it first waits until
 // the store answers again, and then for another fallback delay: the leader's feed may come up
 // within it, and a store that has just recovered is not read completely by a whole fleet at once.
-func (f *subscription) fallBack(generation int) {
-	if f.g.gate.isShut() {
-		f.g.goRun(func() {
-			if f.g.gate.wait(f.g.lifetime) {
-				f.fallBackAfter(f.fallbackDelay(), generation)
+func (sub *subscription) fallBack(generation int) {
+	if sub.g.gate.isShut() {
+		sub.g.goRun(func() {
+			if sub.g.gate.wait(sub.g.lifetime) {
+				sub.fallBackAfter(sub.fallbackDelay(), generation)
 			}
 		})
 		return
 	}
-	if f.endFallbackDelay(generation) && f.g.lifetime.Err() == nil {
-		f.watchLeader()
-		f.watchStore(true)
+	if sub.endFallbackDelay(generation) && sub.g.lifetime.Err() == nil {
+		sub.watchLeader()
+		sub.watchStore(true)
 	}
 }
 
 // endFallbackDelay ends the delay of the generation, and reports whether to watch everything in the
 // store now. It does not if a feed has come up meanwhile, or if the delay was extended.
-func (f *subscription) endFallbackDelay(generation int) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if generation != f.fallbackGeneration {
+func (sub *subscription) endFallbackDelay(generation int) bool {
+	sub.mu.Lock()
+	defer sub.mu.Unlock()
+	if generation != sub.fallbackGeneration {
 		return false
 	}
-	if early := time.Until(f.fallbackDue); early > 0 {
-		f.fallBackAfter(early, generation)
+	if early := time.Until(sub.fallbackDue); early > 0 {
+		sub.fallBackAfter(early, generation)
 		return false
 	}
-	f.fallbackPending = false
-	return f.term == nil && !f.watchesTables()
+	sub.fallbackPending = false
+	return sub.term == nil && !sub.watchesTables()
 }
 
 // searchDelay returns the delay before a router that has lost its leader asks the store who leads,
@@ -201,48 +203,48 @@
 
 // searchLeader makes this router ask the store who leads, either immediately or after a delay. The
 // additional delay applies to the second case only.
-func (f *subscription) searchLeader(additional time.Duration) {
-	delay := searchDelay(f.g.countedRouters(), f.g.lowCPU())
+func (sub *subscription) searchLeader(additional time.Duration) {
+	delay := searchDelay(sub.g.countedRouters(), sub.g.lowCPU())
 	if delay == 0 {
-		f.watchLeader()
+		sub.watchLeader()
 		return
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.searching || f.leaderWatch != nil {
+	sub.mu.Lock()
+	defer sub.mu.Unlock()
+	if sub.searching || sub.leaderWatch != nil {
 		return
 	}
-	f.searching = true
+	sub.searching = true
 	time.AfterFunc(delay+additional, func() {
-		f.mu.Lock()
-		f.searching = false
-		needless := f.subscribed || f.g.lifetime.Err() != nil
-		f.mu.Unlock()
+		sub.mu.Lock()
+		sub.searching = false
+		needless := sub.subscribed || sub.g.lifetime.Err() != nil
+		sub.mu.Unlock()
 		if !needless {
-			f.watchLeader()
+			sub.watchLeader()
 		}
 	})
 }
 
 // stopWatching stops all watches, because the leader's feed replaces them.
-func (f *subscription) stopWatching() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.subscribed, f.fallbackPending = true, false
-	f.fallbackGeneration++
-	for _, w := range f.runningWatches() {
+func (sub *subscription) stopWatching() {
+	sub.mu.Lock()
+	defer sub.mu.Unlock()
+	sub.subscribed, sub.fallbackPending = true, false
+	sub.fallbackGeneration++
+	for _, w := range sub.runningWatches() {
 		w.stop()
 	}
-	f.leaderWatch, f.configWatch, f.targetsWatch, f.otherWatches = nil, nil, nil, nil
+	sub.leaderWatch, sub.configWatch, sub.targetsWatch, sub.otherWatches = nil, nil, nil, nil
 }
 
 // targetsFresh reports whether the store has answered a targets watch within freshnessLimit.
-func (f *subscription) targetsFresh() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.targetsWatch == nil {
+func (sub *subscription) targetsFresh() bool {
+	sub.mu.Lock()
+	defer sub.mu.Unlock()
+	if sub.targetsWatch == nil {
 		return false
 	}
-	last := f.targetsWatch.lastContact.Load()
+	last := sub.targetsWatch.lastContact.Load()
 	return last != nil && time.Since(*last) < freshnessLimit
 }
--- a/gateway/subscription.go
+++ b/gateway/subscription.go
@@ -120,70 +120,70 @@
 }
 
 // leaderKnown reports whether a router is known to lead.
-func (f *subscription) leaderKnown() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.leader.present
+func (sub *subscription) leaderKnown() bool {
+	sub.mu.Lock()
+	defer sub.mu.Unlock()
+	return sub.leader.present
 }
 
 // setLeader records who leads.
-func (f *subscription) setLeader(leader leaderStatus) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if !leader.present && leader.revision != 0 && leader.revision < f.leader.revision {
+func (sub *subscription) setLeader(leader leaderStatus) {
+	sub.mu.Lock()
+	defer sub.mu.Unlock()
+	if !leader.present && leader.revision != 0 && leader.revision < sub.leader.revision {
 		return
 	}
-	if f.leader == leader {
+	if sub.leader == leader {
 		return // an unchanged leader must not end the feed
 	}
-	f.leader = leader
+	sub.leader = leader
 	if leader.present {
-		f.postponeFallback()
+		sub.postponeFallback()
 	}
-	f.signalChange()
+	sub.signalChange()
 }
 
 // setTerm records that this router leads, or with nil that it no longer does.
-func (f *subscription) setTerm(t *term) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.term = t
-	f.signalChange()
+func (sub *subscription) setTerm(t *term) {
+	sub.mu.Lock()
+	defer sub.mu.Unlock()
+	sub.term = t
+	sub.signalChange()
 }
 
 // signalChange wakes the loop in run; the caller holds the lock.
-func (f *subscription) signalChange() {
-	close(f.changed)
-	f.changed = make(chan struct{})
+func (sub *subscription) signalChange() {
+	close(sub.changed)
+	sub.changed = make(chan struct{})
 }
 
 // run follows one leader after the other until the router ends.
 //
 // The watches are started here and not in newSubscription: if the store answered before the Gateway
 // is complete, its first answer would be lost.
-func (f *subscription) run() {
-	f.watchLeader()
-	f.scheduleFallback(initialFeedTimeout)
-	for f.g.lifetime.Err() == nil {
-		f.mu.Lock()
-		leader, leads, changed := f.leader, f.term != nil, f.changed
-		f.mu.Unlock()
+func (sub *subscription) run() {
+	sub.watchLeader()
+	sub.scheduleFallback(initialFeedTimeout)
+	for sub.g.lifetime.Err() == nil {
+		sub.mu.Lock()
+		leader, leads, changed := sub.leader, sub.term != nil, sub.changed
+		sub.mu.Unlock()
 		if leads {
-			f.watchStore(false)
+			sub.watchStore(false)
 		} else {
-			if leader.present && leader.name != f.g.opts.Name && leader.address != "" {
-				err := f.subscribe(leader, changed)
-				f.g.log.Info("feed lost", "leader", leader.name, "term", leader.revision, "err", err)
+			if leader.present && leader.name != sub.g.opts.Name && leader.address != "" {
+				err := sub.subscribe(leader, changed)
+				sub.g.log.Info("feed lost", "leader", leader.name, "term", leader.revision, "err", err)
 			}
-			f.searchLeader(0)
-			f.scheduleFallback(f.fallbackDelay())
+			sub.searchLeader(0)
+			sub.scheduleFallback(sub.fallbackDelay())
 		}
-		f.waitForChange(changed, leads)
+		sub.waitForChange(changed, leads)
 	}
 }
 
 // waitForChange waits for a change of the leader, or until it is time to connect again.
-func (f *subscription) waitForChange(changed <-chan struct{}, leads bool) {
+func (sub *subscription) waitForChange(changed <-chan struct{}, leads bool) {
 	again := reconnectInterval
 	if leads {
 		again = time.Hour
@@ -193,13 +193,13 @@
 	select {
 	case <-changed:
 	case <-timer.C:
-	case <-f.g.lifetime.Done():
+	case <-sub.g.lifetime.Done():
 	}
 }
 
 // subscribe follows the leader until it is lost or another one leads.
-func (f *subscription) subscribe(leader leaderStatus, changed <-chan struct{}) error {
-	ctx, cancel := context.WithCancel(f.g.lifetime)
+func (sub *subscription) subscribe(leader leaderStatus, changed <-chan struct{}) error {
+	ctx, cancel := context.WithCancel(sub.g.lifetime)
 	defer cancel()
 	go func() {
 		select {
@@ -209,15 +209,15 @@
 		}
 	}()
 	defer func() {
-		if f.setConnected(false) {
-			f.g.membership.renewNow() // no feed tells this router any more when the store answers again
+		if sub.setConnected(false) {
+			sub.g.membership.renewNow() // no feed tells this router any more when the store answers again
 		}
 	}()
-	handler := &updateHandler{f: f, leader: leader}
+	handler := &updateHandler{subscription: sub, leader: leader}
 	follower := &feed.Follower{
-		Router: f.g.opts.Name, Address: leader.address, Term: uint64(leader.revision), Reports: f.reports,
-		Promised: f.promisedToOther(leader), Backs: f.g.gate.isShut,
-		Backed: func(until time.Time) { f.recordPromise(leader, until) },
+		Router: sub.g.opts.Name, Address: leader.address, Term: uint64(leader.revision), Reports: sub.reports,
+		Promised: sub.promisedToOther(leader), Backs: sub.g.gate.isShut,
+		Backed: func(until time.Time) { sub.recordPromise(leader, until) },
 		Update: handler.handle,
 	}
 	return follower.Run(ctx)
@@ -225,79 +225,79 @@
 
 // checkConfigVersion reads the configuration from the store if the leader has had a newer one than
 // this router for longer than configLagTimeout, because it is too long for the feed.
-func (f *subscription) checkConfigVersion(version uint64) {
+func (sub *subscription) checkConfigVersion(version uint64) {
 	inForce := uint64(0) // zero if there is no configuration
-	if v := f.g.view.Load(); v != nil {
+	if v := sub.g.view.Load(); v != nil {
 		inForce = v.config.Version
 	}
 	if inForce >= version {
 		return
 	}
-	f.mu.Lock()
+	sub.mu.Lock()
 	now := time.Now()
-	if f.missingVersion != version {
-		f.missingVersion, f.missingSince = version, now
+	if sub.missingVersion != version {
+		sub.missingVersion, sub.missingSince = version, now
 	}
-	late := now.Sub(f.missingSince) >= configLagTimeout
+	late := now.Sub(sub.missingSince) >= configLagTimeout
 	if late {
-		f.missingSince = now
+		sub.missingSince = now
 	}
-	f.mu.Unlock()
+	sub.mu.Unlock()
 	if late {
-		f.g.log.Info("leader has a newer configuration", "version", version, "in_force", inForce)
-		f.g.goRun(f.fetchConfig)
+		sub.g.log.Info("leader has a newer configuration", "version", version, "in_force", inForce)
+		sub.g.goRun(sub.fetchConfig)
 	}
 }
 
 // fetchConfig reads the configuration from the store.
-func (f *subscription) fetchConfig() {
-	a := &f.g.opts.Adapter
-	r, err := f.g.storeFor(purposeConfig).Get(f.g.lifetime, a.ConfigKey)
+func (sub *subscription) fetchConfig() {
+	a := &sub.g.opts.Adapter
+	r, err := sub.g.storeFor(purposeConfig).Get(sub.g.lifetime, a.ConfigKey)
 	if err != nil {
-		f.g.log.Warn("configuration not read", "err", err)
+		sub.g.log.Warn("configuration not read", "err", err)
 		return
 	}
-	f.g.state.duty.Tell(&prefixMessage{a.ConfigPrefix, &change{records: []kv.Record{r}, at: time.Now()}})
+	sub.g.state.duty.Tell(&prefixMessage{a.ConfigPrefix, &change{records: []kv.Record{r}, at: time.Now()}})
 }
 
 // recordPromise records that this router has promised a leader to follow no other until a time.
-func (f *subscription) recordPromise(leader leaderStatus, until time.Time) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.promisedTerm, f.promisedUntil = leader.revision, until
+func (sub *subscription) recordPromise(leader leaderStatus, until time.Time) {
+	sub.mu.Lock()
+	defer sub.mu.Unlock()
+	sub.promisedTerm, sub.promisedUntil = leader.revision, until
 }
 
 // promisedToOther returns for how long this router's promise to another leader still holds; if
 // negative, how long ago it ended. This router doesn't know what it promised before its start, so any
 // such promise counts as having ended at the start.
-func (f *subscription) promisedToOther(leader leaderStatus) time.Duration {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.promisedTerm == leader.revision || f.promisedUntil.Before(f.started) {
-		return time.Until(f.started)
+func (sub *subscription) promisedToOther(leader leaderStatus) time.Duration {
+	sub.mu.Lock()
+	defer sub.mu.Unlock()
+	if sub.promisedTerm == leader.revision || sub.promisedUntil.Before(sub.started) {
+		return time.Until(sub.started)
 	}
-	return time.Until(f.promisedUntil)
+	return time.Until(sub.promisedUntil)
 }
 
 // setConnected sets connected, and returns its previous value.
-func (f *subscription) setConnected(connected bool) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	before := f.connected
-	f.connected = connected
+func (sub *subscription) setConnected(connected bool) bool {
+	sub.mu.Lock()
+	defer sub.mu.Unlock()
+	before := sub.connected
+	sub.connected = connected
 	return before
 }
 
 // hasConnectedLeader reports whether a leader will tell this router when the store answers again.
-func (f *subscription) hasConnectedLeader() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.connected && f.term == nil
+func (sub *subscription) hasConnectedLeader() bool {
+	sub.mu.Lock()
+	defer sub.mu.Unlock()
+	return sub.connected && sub.term == nil
 }
 
 // isSubscribed reports whether the feed of a leader that reaches the store is up.
-func (f *subscription) isSubscribed() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.subscribed
+func (sub *subscription) isSubscribed() bool {
+	sub.mu.Lock()
+	defer sub.mu.Unlock()
+	return sub.subscribed
 }
--- a/gateway/subscription_test.go
+++ b/gateway/subscription_test.go
@@ -18,7 +18,7 @@
 	"tarragongw/platform/platformtest"
 )
 
-// idleGateway is a gateway on a store of its own of which no part has begun.
+// idleGateway returns a gateway that has not been started, and its store.
 func idleGateway(t *testing.T) (*Gateway, *platformtest.Store) {
 	t.Helper()
 	store := platformtest.NewStore()
@@ -33,31 +33,29 @@
 	return g, store
 }
 
-// Guards against a store that each router asks for a configuration again and again while the
-// feed is bringing it.
+// Guards against routers that read a configuration from the store repeatedly while the feed is bringing it.
 func TestConfigurationIsReadFromTheStoreOnceTheFeedLags(t *testing.T) {
 	g, store := idleGateway(t)
-	f := &subscription{g: g}
+	sub := &subscription{g: g}
 	g.view.Store(&view{config: &routes.Config{Version: 1}})
 	begin, reads := time.Now(), func() int { return store.Calls()["kv-key"] }
 	for time.Since(begin) < configLagTimeout-100*time.Millisecond {
-		f.checkConfigVersion(2)
+		sub.checkConfigVersion(2)
 		time.Sleep(10 * time.Millisecond)
 	}
 	assert.Equal(t, reads(), 0)
 	for time.Since(begin) < 2*configLagTimeout-100*time.Millisecond {
-		f.checkConfigVersion(2)
+		sub.checkConfigVersion(2)
 		time.Sleep(10 * time.Millisecond)
 	}
 	assert.Equal(t, reads(), 1)
-	f.checkConfigVersion(1)
+	sub.checkConfigVersion(1)
 	assert.Equal(t, reads(), 1)
 }
 
-// Symptom: a router that has just started never becomes ready.
-// Sequence: the store answers the first watch before the router has put together what its
-// answer is told to; the configuration that it brings is lost.
-func TestNothingIsAskedBeforeTheRouterIsWhole(t *testing.T) {
+// Guards against a router that never becomes ready after its start: the store answers the first watch before
+// the part that handles the answer exists, and the configuration in it is lost.
+func TestStoreIsNotCalledBeforeTheRouterIsComplete(t *testing.T) {
 	g, store := idleGateway(t)
 	g.membership = newMembership(g)
 	newSubscription(g)
@@ -65,10 +63,10 @@
 	assert.Equal(t, len(store.Calls()), 0)
 }
 
-// Guards against a call of each router to the store for each change of the configuration.
+// Guards against a store call of each router for each change of the configuration.
 func TestConfigurationReachesFollowersThroughTheLeader(t *testing.T) {
 	f := newFleet(t, 4, plainConfig, plainTarget("a"))
-	fed := func() (n int) {
+	subscribed := func() (n int) {
 		for _, g := range f.gateways {
 			if g.subscription.isSubscribed() {
 				n++
@@ -76,8 +74,8 @@
 		}
 		return n
 	}
-	waittest.Until(t, "all others are fed", func() bool { return fed() == 3 })
-	time.Sleep(400 * time.Millisecond) // what the start itself asks for is over
+	waittest.Until(t, "all others are subscribed", func() bool { return subscribed() == 3 })
+	time.Sleep(400 * time.Millisecond) // the calls of the start have ended
 	before := f.store.Calls()
 	for range 3 {
 		f.configure(plainConfig)
@@ -85,54 +83,52 @@
 			waittest.Until(t, "the configuration is in force", func() bool { return int(g.view.Load().config.Version) == f.version })
 		}
 	}
-	asked := 0
+	calls := 0
 	for name, n := range f.store.Calls() {
 		if strings.HasSuffix(name, platform.ConfigPrefix) || name == "kv-key" {
-			asked += n - before[name]
+			calls += n - before[name]
 		}
 	}
-	assert.Assert(t, asked <= 4, "%d calls for three changes", asked)
+	assert.Assert(t, calls <= 4, "%d calls for three changes", calls)
 }
 
-// Guards against watches that wait for longer than the store keeps history, and against
-// routers that all ask again at one moment.
-func TestWatchesAtRestEndWithinTheHistory(t *testing.T) {
-	f := &subscription{g: &Gateway{opts: Options{StoreHistory: 20 * time.Second}}}
+// Guards against watches that wait for longer than the store keeps history, and against routers that all
+// repeat their watches at the same moment.
+func TestWatchesForRareChangesEndWithinTheHistory(t *testing.T) {
+	sub := &subscription{g: &Gateway{opts: Options{StoreHistory: 20 * time.Second}}}
 	waits := map[time.Duration]bool{}
 	for range 100 {
-		wait := f.rareChangeWait()
+		wait := sub.rareChangeWait()
 		assert.Assert(t, wait <= 12*time.Second && wait >= 9*time.Second, "%v", wait)
 		waits[wait] = true
 	}
 	assert.Assert(t, len(waits) > 50)
-	f.g.opts.StoreHistory = 0
-	assert.Assert(t, f.rareChangeWait() <= maxRareChangeWait)
+	sub.g.opts.StoreHistory = 0
+	assert.Assert(t, sub.rareChangeWait() <= maxRareChangeWait)
 }
 
-// Guards against feeds that end, on all routers at once, because the store is asked once more
-// who leads.
-func TestSameLeaderEndsNoFeed(t *testing.T) {
-	f := newSubscription(&Gateway{})
+// Guards against feeds that end on all routers at once because the leader record was read once more.
+func TestUnchangedLeaderDoesNotEndTheFeed(t *testing.T) {
+	sub := newSubscription(&Gateway{})
 	leader := leaderStatus{name: "a", address: "a:1", revision: 7, present: true}
-	f.setLeader(leader)
-	changed := f.changed
-	f.setLeader(leader)
+	sub.setLeader(leader)
+	changed := sub.changed
+	sub.setLeader(leader)
 	select {
 	case <-changed:
-		t.Fatal("the feed is ended")
+		t.Fatal("the feed would end")
 	default:
 	}
-	f.setLeader(leaderStatus{revision: 9})
+	sub.setLeader(leaderStatus{revision: 9})
 	<-changed
 }
 
-// Guards against routers that serve by an old configuration while their leader doesn't hear
-// from the store.
+// Guards against routers that serve with an old configuration while their leader can't reach the store.
 func TestConfigurationIsKnownWhileTheLeaderIsCutOff(t *testing.T) {
 	f := newFleet(t, 3, plainConfig, plainTarget("a"))
 	old := f.leader()
 	for _, g := range f.gateways {
-		waittest.Until(t, "it is fed or leads", func() bool { return g == old || g.subscription.isSubscribed() })
+		waittest.Until(t, "it is subscribed or leads", func() bool { return g == old || g.subscription.isSubscribed() })
 	}
 	f.links[old.opts.Name].cut.Store(true)
 	began := time.Now()
@@ -146,8 +142,8 @@
 	assert.Assert(t, time.Since(began) < 2*time.Second, "after %v", time.Since(began))
 }
 
-// Guards against a fleet that lists everything in the store because its leader alone is cut
-// off, although another leads soon.
+// Guards against a fleet that lists everything in the store because its leader is cut off from it,
+// although another router leads soon.
 func TestFollowersOfACutOffLeaderLookForTheNextOneFirst(t *testing.T) {
 	retryOnStall(t, func() error {
 		f := newFleet(t, 0, plainConfig, plainTarget("a"))
@@ -158,13 +154,13 @@
 		waittest.Until(t, "a router leads", func() bool { return f.leader() != nil })
 		old := f.leader()
 		for _, g := range f.gateways {
-			waittest.Until(t, "it is fed or leads", func() bool { return g == old || g.subscription.isSubscribed() })
+			waittest.Until(t, "it is subscribed or leads", func() bool { return g == old || g.subscription.isSubscribed() })
 		}
 		before := f.store.Calls()
 		f.links[old.opts.Name].cut.Store(true)
 		waittest.Until(t, "another leads", func() bool { return f.leaderOtherThan(old) != nil })
 		for _, g := range f.gateways {
-			waittest.Until(t, "it is fed or leads", func() bool {
+			waittest.Until(t, "it is subscribed or leads", func() bool {
 				return g == old || g == f.leaderOtherThan(old) || g.subscription.isSubscribed()
 			})
 		}
@@ -176,34 +172,34 @@
 	})
 }
 
-// Guards against routers that list everything right after they found the next leader, which
+// Guards against routers that list everything in the store right after they have found a new leader, which
 // has not read the store yet.
-func TestLeaderJustFoundIsAwaited(t *testing.T) {
+func TestFallbackWaitsForTheFeedOfANewLeader(t *testing.T) {
 	g, store := idleGateway(t)
 	g.membership = newMembership(g)
 	g.opts.KnownWithin = 3 * time.Second
-	f := newSubscription(g)
-	f.scheduleFallback(newLeaderGrace / 10)
-	f.setLeader(leaderStatus{name: "a", address: "a:1", revision: 2, present: true})
+	sub := newSubscription(g)
+	sub.scheduleFallback(newLeaderGrace / 10)
+	sub.setLeader(leaderStatus{name: "a", address: "a:1", revision: 2, present: true})
 	time.Sleep(newLeaderGrace / 2)
-	f.stopWatching() // the leader feeds it
+	sub.stopWatching() // the new leader's feed is up
 	time.Sleep(newLeaderGrace)
 	assert.Equal(t, len(store.Calls()), 0)
 }
 
-// Guards against a change that is known too late where little time is allowed.
-func TestLeaderJustFoundIsNotAwaitedWhereChangesMustBeKnownSooner(t *testing.T) {
+// Guards against a change that comes into force too late if Options.KnownWithin is short.
+func TestFallbackDoesNotWaitForANewLeaderIfTimeIsShort(t *testing.T) {
 	g, _ := idleGateway(t)
 	g.opts.KnownWithin = 2 * time.Second
-	f := newSubscription(g)
-	f.scheduleFallback(time.Minute)
-	due := f.fallbackDue
-	f.setLeader(leaderStatus{name: "a", address: "a:1", revision: 2, present: true})
-	assert.Equal(t, f.fallbackDue, due)
+	sub := newSubscription(g)
+	sub.scheduleFallback(time.Minute)
+	due := sub.fallbackDue
+	sub.setLeader(leaderStatus{name: "a", address: "a:1", revision: 2, present: true})
+	assert.Equal(t, sub.fallbackDue, due)
 }
 
-// Guards against watches of all followers at the moment at which their leader is lost, and
-// against a small fleet, or the small VMs of a large one, that wait or don't.
+// Guards against watches of all followers at the moment when their leader is lost. The routers of a small
+// fleet search immediately; small VMs never do.
 func TestFewOfManyRoutersLookForTheNextLeaderAtOnce(t *testing.T) {
 	const draws = 2000
 	first := func(routers int, lowCPU bool) (n int) {
@@ -223,13 +219,13 @@
 	assert.Assert(t, share > 0.5*immediateSearchers/200.0 && share < 2*immediateSearchers/200.0, "%v", share)
 }
 
-// Guards against a fleet that asks a store which returns for everything at once, and against
-// refused calls of each router all through an outage.
-func TestStoreThatReturnsIsAskedByTheLeaderFirst(t *testing.T) {
+// Guards against a fleet that reads everything at once from a store that has just recovered, and against
+// refused calls of each router throughout an outage.
+func TestRecoveredStoreIsCalledByTheLeaderFirst(t *testing.T) {
 	f := newFleet(t, 5, plainConfig, plainTarget("a"))
 	old := f.leader()
 	for _, g := range f.gateways {
-		waittest.Until(t, "it is fed or leads", func() bool { return g == old || g.subscription.isSubscribed() })
+		waittest.Until(t, "it is subscribed or leads", func() bool { return g == old || g.subscription.isSubscribed() })
 	}
 	f.store.Refuse(http.StatusServiceUnavailable)
 	before := f.store.Calls()
@@ -238,10 +234,10 @@
 	during := f.store.Calls()
 	f.store.Refuse(0)
 	for _, g := range f.gateways {
-		waittest.Until(t, "it is fed again or leads", func() bool { return g == f.leader() || g.subscription.isSubscribed() })
+		waittest.Until(t, "it is subscribed again or leads", func() bool { return g == f.leader() || g.subscription.isSubscribed() })
 	}
 	after := f.store.Calls()
-	// A leader tries its lease and its record; each of the others some few times.
+	// A leader tries to renew its lease and its record; each of the others makes a few calls.
 	leaderCalls := int(outage/leaderRenewInterval + 2*outage/probeInterval)
 	probes := during["kv-keep"] - before["kv-keep"] - leaderCalls
 	assert.Assert(t, probes <= 4*4, "%d probes of four routers", probes)
@@ -249,15 +245,15 @@
 	assert.Assert(t, listings <= 1, "%d listings of all targets", listings)
 }
 
-// Guards against a router that serves by an old configuration for seconds after the store
-// answers it again, because it waited for word of a leader that was cut off with it.
+// Guards against a router that serves with an old configuration for seconds after it can reach the store
+// again, because it waits for its leader to report that, and the leader was cut off too.
 func TestRouterCutOffWithItsLeaderFindsTheStoreSoon(t *testing.T) {
 	retryOnStall(t, func() error {
 		f := newFleet(t, 5, plainConfig, plainTarget("a"))
 		old := f.leader()
 		var follower *Gateway
 		for _, g := range f.gateways {
-			waittest.Until(t, "it is fed or leads", func() bool { return g == old || g.subscription.isSubscribed() })
+			waittest.Until(t, "it is subscribed or leads", func() bool { return g == old || g.subscription.isSubscribed() })
 			if g != old {
 				follower = g
 			}
@@ -282,14 +278,13 @@
 	})
 }
 
-// Guards against a router that never gets its first configuration because it is too long for
-// the feed.
+// Guards against a router that never gets its first configuration because that is too long for the feed.
 func TestFirstConfigurationIsReadWhereTheFeedDoesNotBringIt(t *testing.T) {
 	g, store := idleGateway(t)
-	f := &subscription{g: g}
-	f.checkConfigVersion(0)
+	sub := &subscription{g: g}
+	sub.checkConfigVersion(0)
 	for begin := time.Now(); time.Since(begin) < configLagTimeout+200*time.Millisecond; time.Sleep(10 * time.Millisecond) {
-		f.checkConfigVersion(2)
+		sub.checkConfigVersion(2)
 	}
 	assert.Equal(t, store.Calls()["kv-key"], 1)
 }
--- a/gateway/tablerecord_test.go
+++ b/gateway/tablerecord_test.go
@@ -8,7 +8,7 @@
 	"tarragongw/core/keyspace"
 )
 
-func TestTableRecordSaysTheSame(t *testing.T) {
+func TestTableRecordRoundTrip(t *testing.T) {
 	table := keyspace.New("s")
 	s := table.Carve(100, 200)
 	s.Holder, s.Moving, s.Lost = keyspace.Holder{Target: "a", Born: 7}, true, true
