--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -242,7 +242,7 @@
 // if that costs one.
 func (x *exchange) mayRepeat(f *fault.Fault) bool {
 	if x.sends == 0 || f.Kind == fault.DeadlineUnmeetable {
-		return false // it was never placed, or waiting longer is no use
+		return false // it was not placed, after all the waiting that is worthwhile
 	}
 	if f.Kind == fault.TargetLost && f.Ran == fault.RanUnknown && f.Cause == nil {
 		return true // mayReplaceAnswer has taken the retry
--- a/gateway/leader.go
+++ b/gateway/leader.go
@@ -150,9 +150,9 @@
 }
 
 // apply passes the status on to an assigner.
-func (status *targetStatus) apply(assigner *assign.Assigner) {
-	assigner.SetTargets(time.Now(), status.targets)
-	assigner.SetEnded(status.endedInstances)
+func (s *targetStatus) apply(assigner *assign.Assigner) {
+	assigner.SetTargets(time.Now(), s.targets)
+	assigner.SetEnded(s.endedInstances)
 }
 
 // term is a period during which this router leads.
--- a/gateway/leaderstep.go
+++ b/gateway/leaderstep.go
@@ -42,7 +42,7 @@
 	suspected := t.leaseAge(bootTime) > storeSuspectAfter && t.quorum.reached(bootTime, l.g.countedRouters())
 	if suspected != l.storeSuspected {
 		l.storeSuspected = suspected
-		l.g.log.Info("grants for a store outage", "away", suspected, "lease_age", t.leaseAge(l.g.opts.Clock.Now()))
+		l.g.log.Info("grant mode for store outages changed", "away", suspected, "lease_age", t.leaseAge(l.g.opts.Clock.Now()))
 	}
 	due := now.Add(leaderCheckInterval)
 	for name, assignment := range t.services {
--- a/gateway/quorum_test.go
+++ b/gateway/quorum_test.go
@@ -117,8 +117,8 @@
 func TestNormalGrantsAreNotWaitedOutAsOutageGrants(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a := takeOverTable(now)
-	stops := oldLeaderDeadlinesAt(now, -time.Minute)
-	a.OldLeaderStops(stops.normal, stops.outage)
+	deadlines := oldLeaderDeadlinesAt(now, -time.Minute)
+	a.OldLeaderStops(deadlines.normal, deadlines.outage)
 	assertHolderUntil(t, a, now, now.Add(orderLimitWithoutQuorum+assign.DefaultHold))
 	a.Step(now.Add(orderLimitWithoutQuorum + assign.DefaultHold + 200*time.Millisecond))
 	assert.Equal(t, a.Table().Find(0).Target, "")
--- a/gateway/randomrestores_test.go
+++ b/gateway/randomrestores_test.go
@@ -34,7 +34,7 @@
 	random := rand.New(rand.NewPCG(seed, seed))
 	f := newRestoredFleet(t, 3)
 	f.store.Snapshot()
-	holders := f.watchForTwoHolders()
+	doubleHolders := f.watchDoubleHolders()
 	for i := range randomEvents {
 		f.triggerRandomEvent(random, i)
 		time.Sleep(time.Duration(random.IntN(800)) * time.Millisecond)
@@ -44,7 +44,7 @@
 	f.moveKey(100)
 	f.waitUntilAllServed()
 	assert.Assert(t, f.highestToken(100) > before)
-	holders.assertNone(t)
+	doubleHolders.assertNone(t)
 }
 
 func (f *fleet) triggerRandomEvent(random *rand.Rand, nth int) {
--- a/gateway/restore_test.go
+++ b/gateway/restore_test.go
@@ -67,15 +67,15 @@
 	return old, now
 }
 
-// holderWatch checks continuously that no key is held by two targets.
-type holderWatch struct {
+// doubleHolderWatch checks continuously that no key is held by two targets.
+type doubleHolderWatch struct {
 	stop      chan struct{}
 	done      sync.WaitGroup
 	violation string
 }
 
-func (f *fleet) watchForTwoHolders() *holderWatch {
-	w := &holderWatch{stop: make(chan struct{})}
+func (f *fleet) watchDoubleHolders() *doubleHolderWatch {
+	w := &doubleHolderWatch{stop: make(chan struct{})}
 	targets := make([]*platformtest.Target, 0, len(f.targets))
 	for _, t := range f.targets {
 		targets = append(targets, t)
@@ -95,7 +95,7 @@
 	return w
 }
 
-func (w *holderWatch) check(targets []*platformtest.Target, k uint16) {
+func (w *doubleHolderWatch) check(targets []*platformtest.Target, k uint16) {
 	var holders []*platformtest.Target
 	for _, t := range targets {
 		if t.Holds(k) {
@@ -109,7 +109,7 @@
 }
 
 // assertNone stops the watch, and fails the test if a key had two holders.
-func (w *holderWatch) assertNone(t *testing.T) {
+func (w *doubleHolderWatch) assertNone(t *testing.T) {
 	t.Helper()
 	close(w.stop)
 	w.done.Wait()
@@ -139,7 +139,7 @@
 	f.store.Snapshot()
 	_, holder := f.moveKey(100)
 	f.waitUntilAllServed()
-	holders := f.watchForTwoHolders()
+	doubleHolders := f.watchDoubleHolders()
 	before := f.highestToken(100)
 	f.store.Restore(restore)
 	began := time.Now()
@@ -154,7 +154,7 @@
 	f.moveKey(100)
 	f.waitUntilAllServed()
 	assert.Assert(t, f.highestToken(100) > before)
-	holders.assertNone(t)
+	doubleHolders.assertNone(t)
 }
 
 // Guards against targets that refuse all grants, or two that hold a key with the same token, because tokens
@@ -165,7 +165,7 @@
 	f.moveKey(100)
 	f.waitUntilAllServed()
 	before := f.highestToken(100)
-	holders := f.watchForTwoHolders()
+	doubleHolders := f.watchDoubleHolders()
 	for _, g := range f.gateways {
 		abandon(g)
 	}
@@ -174,7 +174,7 @@
 	f.start("late-1")
 	waittest.Until(t, "the key is held with a higher token", func() bool { return f.highestToken(100) > before && f.holder(100) != "" })
 	f.waitUntilAllServed()
-	holders.assertNone(t)
+	doubleHolders.assertNone(t)
 }
 
 // Guards against a new leader that grants keys by a restored key table while a target that isn't named in
@@ -183,13 +183,13 @@
 	f := newRestoredFleet(t, 3)
 	f.store.Snapshot()
 	f.moveKey(100)
-	holders := f.watchForTwoHolders()
+	doubleHolders := f.watchDoubleHolders()
 	lost := f.leader()
 	abandon(lost)
 	f.store.Restore(defaultRestore)
 	waittest.Until(t, "another router leads", func() bool { return f.leaderOtherThan(lost) != nil })
 	f.waitUntilAllServed()
-	holders.assertNone(t)
+	doubleHolders.assertNone(t)
 }
 
 // Guards against a leader that was cut off and continues its term after a restore, although another router
@@ -202,7 +202,7 @@
 	waittest.Until(t, "another router leads", func() bool { return f.leaderOtherThan(first) != nil })
 	second := f.leaderOtherThan(first)
 	f.moveKey(100)
-	holders := f.watchForTwoHolders()
+	doubleHolders := f.watchDoubleHolders()
 	abandon(second)
 	f.store.Restore(defaultRestore)
 	f.links[first.opts.Name].cut.Store(false)
@@ -211,7 +211,7 @@
 		return g != nil && g.era() == firstEra+1
 	})
 	f.waitUntilAllServed()
-	holders.assertNone(t)
+	doubleHolders.assertNone(t)
 	assert.Assert(t, !strings.Contains(f.log.String(), "leadership kept"), "the former leader continued its term")
 }
 
@@ -221,7 +221,7 @@
 	f := newRestoredFleet(t, 3)
 	f.store.Snapshot()
 	_, holder := f.moveKey(100)
-	holders := f.watchForTwoHolders()
+	doubleHolders := f.watchDoubleHolders()
 	f.store.Restore(defaultRestore)
 	time.Sleep(time.Second)
 	f.store.Restore(defaultRestore)
@@ -232,7 +232,7 @@
 	time.Sleep(2 * time.Second)
 	f.moveKey(100)
 	f.waitUntilAllServed()
-	holders.assertNone(t)
+	doubleHolders.assertNone(t)
 }
 
 // Guards against routers that go back to an older configuration, because the restored store has one.
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -25,24 +25,24 @@
 	name  string
 	byKey bool
 
-	mu      sync.Mutex
-	core    *dispatch.Service
-	budget  *retry.Budget
-	waiting map[uint64]chan dispatch.Decision
-	lastID  uint64
-	timer   *time.Timer
+	mu         sync.Mutex
+	dispatcher *dispatch.Service
+	budget     *retry.Budget
+	waiting    map[uint64]chan dispatch.Decision
+	lastID     uint64
+	timer      *time.Timer
 	// table is the key table in force.
 	table *keyspace.Table
-	// changed is closed when the table changes.
-	changed chan struct{}
-	keyLoad *keySamples
+	// tableChanged is closed when the table changes.
+	tableChanged chan struct{}
+	keyLoad      *keySamples
 }
 
 func newService(spec routes.Service, dataCentre string, budget *retry.Budget) *service {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	return &service{
-		name: spec.Name, byKey: spec.ByKey, core: dispatch.New(dataCentre, spec.ByKey, random), budget: budget,
-		waiting: map[uint64]chan dispatch.Decision{}, changed: make(chan struct{}), keyLoad: &keySamples{},
+		name: spec.Name, byKey: spec.ByKey, dispatcher: dispatch.New(dataCentre, spec.ByKey, random), budget: budget,
+		waiting: map[uint64]chan dispatch.Decision{}, tableChanged: make(chan struct{}), keyLoad: &keySamples{},
 	}
 }
 
@@ -50,7 +50,7 @@
 func (s *service) setTargets(targets []directory.Target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.SetTargets(targets)
+	s.dispatcher.SetTargets(targets)
 	s.poll(time.Now())
 }
 
@@ -60,9 +60,9 @@
 	defer s.mu.Unlock()
 	now := time.Now()
 	s.table = t
-	close(s.changed)
-	s.changed = make(chan struct{})
-	s.core.SetTable(t)
+	close(s.tableChanged)
+	s.tableChanged = make(chan struct{})
+	s.dispatcher.SetTable(t)
 	s.poll(now)
 }
 
@@ -70,7 +70,7 @@
 func (s *service) currentTable() (*keyspace.Table, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table, s.changed
+	return s.table, s.tableChanged
 }
 
 // acquire places a request. If it has to wait for that, onWait is called first. The request counts
@@ -79,7 +79,7 @@
 	s.mu.Lock()
 	s.lastID++
 	r.ID = s.lastID
-	d := s.core.Offer(time.Now(), r)
+	d := s.dispatcher.Offer(time.Now(), r)
 	var answer chan dispatch.Decision
 	if d.Verdict == dispatch.Wait {
 		answer = make(chan dispatch.Decision, 1)
@@ -103,10 +103,10 @@
 func (s *service) withdraw(ctx context.Context, id uint64, answer chan dispatch.Decision) (dispatch.Decision, *fault.Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.core.Cancel(id) {
+	if s.dispatcher.Cancel(id) {
 		delete(s.waiting, id)
 	} else if d := <-answer; d.Verdict == dispatch.Send {
-		s.core.Done(time.Now(), d.Target.ID, dispatch.Left, 0, 1)
+		s.dispatcher.Done(time.Now(), d.Target.ID, dispatch.Left, 0, 1)
 	}
 	return dispatch.Decision{}, endedWhileWaiting(ctx)
 }
@@ -136,7 +136,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.core.Done(now, id, result, took, turns)
+	s.dispatcher.Done(now, id, result, took, turns)
 	s.poll(now)
 }
 
@@ -144,12 +144,12 @@
 func (s *service) recordReport(id string, r dispatch.Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.Report(time.Now(), id, r)
+	s.dispatcher.Report(time.Now(), id, r)
 }
 
 // poll answers requests that no longer have to wait; the caller holds the lock.
 func (s *service) poll(now time.Time) {
-	for id, d := range s.core.Poll(now) {
+	for id, d := range s.dispatcher.Poll(now) {
 		s.waiting[id] <- d
 		delete(s.waiting, id)
 	}
@@ -193,42 +193,42 @@
 func (s *service) drainServiceTimes() []dispatch.TargetStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.core.DrainServiceTimes(time.Now())
+	return s.dispatcher.DrainServiceTimes(time.Now())
 }
 
 // learnServiceTimes adds service times that another router has measured.
 func (s *service) learnServiceTimes(serviceTimes []dispatch.TargetStats) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.LearnServiceTimes(time.Now(), serviceTimes)
+	s.dispatcher.LearnServiceTimes(time.Now(), serviceTimes)
 }
 
 // changedServiceTimes returns the targets' service times that have changed since the last call.
 func (s *service) changedServiceTimes() []dispatch.TargetStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.core.ChangedServiceTimes()
+	return s.dispatcher.ChangedServiceTimes()
 }
 
 // setServiceTimes sets the targets' service times, as measured by all routers together.
 func (s *service) setServiceTimes(serviceTimes []dispatch.TargetStats) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.SetServiceTimes(serviceTimes)
+	s.dispatcher.SetServiceTimes(serviceTimes)
 }
 
 // overloaded reports whether a target has recently been overloaded.
 func (s *service) overloaded(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.core.Pressed(time.Now(), id)
+	return s.dispatcher.Pressed(time.Now(), id)
 }
 
 // setLimits sets the keys of which only a part of the requests is served.
 func (s *service) setLimits(all []keyspace.Limit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.SetLimits(time.Now(), all)
+	s.dispatcher.SetLimits(time.Now(), all)
 }
 
 // keyOf returns the key of a request for a service with keys.
@@ -248,5 +248,5 @@
 func (s *service) serviceTime(id string) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.core.ServiceTime(id)
+	return s.dispatcher.ServiceTime(id)
 }
--- a/gateway/subscription.go
+++ b/gateway/subscription.go
@@ -184,11 +184,11 @@
 
 // waitForChange waits for a change of the leader, or until it is time to connect again.
 func (sub *subscription) waitForChange(changed <-chan struct{}, leads bool) {
-	again := reconnectInterval
+	timeout := reconnectInterval
 	if leads {
-		again = time.Hour
+		timeout = time.Hour
 	}
-	timer := time.NewTimer(again)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-changed:
