--- a/gateway/feedupdates.go
+++ b/gateway/feedupdates.go
@@ -35,7 +35,7 @@
 func (h *updateHandler) handleStale(u *feed.Update) {
 	sub := h.subscription
 	if h.current || !sub.setConnected(true) {
-		sub.g.log.Info("leader cannot reach the store", "leader", h.leader.name, "term", h.leader.revision)
+		sub.g.log.Info("leader doesn't hear from the store", "leader", h.leader.name, "term", h.leader.revision)
 		sub.g.membership.renewNow()
 	}
 	if h.current {
