--- a/gateway/clusterstate.go
+++ b/gateway/clusterstate.go
@@ -14,7 +14,7 @@
 	"tarragongw/peer/feed"
 )
 
-// Keys that the routers write themselves.
+// Keys and key prefixes of the records that the routers write.
 const (
 	tablePrefix  = "tarragongw/keys/"
 	leaderPrefix = "tarragongw/leader/"
@@ -22,88 +22,89 @@
 	routerPrefix = "tarragongw/routers/"
 )
 
-// clusterState is the duty that turns what the store says into what the request path reads.
+// clusterState is the duty that turns records of the store and updates of the leader into the state
+// that the request path reads.
 type clusterState struct {
 	g    *Gateway
 	duty *duty.Duty
 
 	directory *directory.Directory
 	config    *routes.Config
-	// tables are the divisions of keys by service, with the revisions of their records.
+	// tables are the key tables by service, with the revisions of their records.
 	tables map[string]feed.Table
-	// routers are the live routers' records, and leader the revision of the leader's.
+	// routers has the names of the live routers.
 	routers map[string]bool
-	// known says which prefixes have been listed.
-	known     map[string]bool
-	timer     *time.Timer
-	tableLogs map[string]tableLog
+	// knownPrefixes has the prefixes whose records are known.
+	knownPrefixes map[string]bool
+	timer         *time.Timer
+	tableLogs     map[string]tableLog
 }
 
-// tick asks the duty to look at what has become due.
+// tick asks a duty to do what has become due.
 type tick struct{}
 
-// fromPrefix is what the watcher of one prefix tells.
-type fromPrefix struct {
+// prefixMessage is a message of the watcher of one prefix.
+type prefixMessage struct {
 	prefix  string
 	message any
 }
 
 func newClusterState(g *Gateway) *clusterState {
-	b := &clusterState{
-		g: g, directory: directory.New(), tables: map[string]feed.Table{}, routers: map[string]bool{}, known: map[string]bool{},
+	cs := &clusterState{
+		g: g, directory: directory.New(), tables: map[string]feed.Table{}, routers: map[string]bool{}, knownPrefixes: map[string]bool{},
 		tableLogs: map[string]tableLog{},
 	}
-	b.duty = g.startDuty(b.handle)
-	return b
+	cs.duty = g.startDuty(cs.handle)
+	return cs
 }
 
-func (b *clusterState) handle(message any) {
+func (cs *clusterState) handle(message any) {
 	switch m := message.(type) {
-	case *fromPrefix:
-		b.handleChange(m)
+	case *prefixMessage:
+		cs.handleChange(m)
 	case *feed.Update:
-		b.adopt(m)
+		cs.applyUpdate(m)
 	case *feed.Table:
-		b.useNewerTable(m)
+		cs.useNewerTable(m)
 	case tick:
-		b.publishTargets(b.directory.Tick(time.Now()))
+		cs.publishTargets(cs.directory.Tick(time.Now()))
 	}
 }
 
-// adopt takes over what the leader tells.
-func (b *clusterState) adopt(u *feed.Update) {
+// applyUpdate applies an update of the leader.
+func (cs *clusterState) applyUpdate(u *feed.Update) {
 	if len(u.ConfigValue) > 0 {
-		b.handleConfig(&change{records: []kv.Record{{Key: b.g.opts.Adapter.ConfigKey, Value: u.ConfigValue}}})
+		cs.handleConfig(&change{records: []kv.Record{{Key: cs.g.opts.Adapter.ConfigKey, Value: u.ConfigValue}}})
 	}
-	changed := b.directory.Adopt(time.Now(), u.Whole, u.Targets, u.Gone)
-	b.publishTargets(changed)
+	changed := cs.directory.Adopt(time.Now(), u.Whole, u.Targets, u.Gone)
+	cs.publishTargets(changed)
 	for _, t := range u.Tables {
-		b.useNewerTable(&t)
+		cs.useNewerTable(&t)
 	}
-	if u.Routers > 0 && u.Routers != b.g.countedRouters() {
-		b.g.setRouters(u.Routers)
+	if u.Routers > 0 && u.Routers != cs.g.countedRouters() {
+		cs.g.setRouters(u.Routers)
 	}
 	if !u.Stale {
-		b.markKnown(b.g.opts.Adapter.TargetPrefix)
+		cs.markKnown(cs.g.opts.Adapter.TargetPrefix)
 	}
 }
 
-// markKnown notes that what stands under the prefix is known.
-func (b *clusterState) markKnown(prefix string) {
-	b.known[prefix] = true
-	a := &b.g.opts.Adapter
+// markKnown records that the records under the prefix are known.
+func (cs *clusterState) markKnown(prefix string) {
+	cs.knownPrefixes[prefix] = true
+	a := &cs.g.opts.Adapter
 	if prefix == a.TargetPrefix {
-		b.g.subscription.source.SetKnown()
+		cs.g.subscription.source.SetKnown()
 	}
-	b.g.setKnown(b.config != nil && b.known[a.TargetPrefix])
+	cs.g.setSynced(cs.config != nil && cs.knownPrefixes[a.TargetPrefix])
 }
 
-func (b *clusterState) handleChange(m *fromPrefix) {
-	if lost, ok := m.message.(*absence); ok {
-		if m.prefix == b.g.opts.Adapter.TargetPrefix {
-			b.directory.StoreAway()
+func (cs *clusterState) handleChange(m *prefixMessage) {
+	if outage, ok := m.message.(*storeUnreachable); ok {
+		if m.prefix == cs.g.opts.Adapter.TargetPrefix {
+			cs.directory.StoreAway()
 		}
-		b.g.leader.duty.Tell(lost)
+		cs.g.leader.duty.Tell(outage)
 		return
 	}
 	c, ok := m.message.(*change)
@@ -111,218 +112,218 @@
 		return
 	}
 	switch m.prefix {
-	case b.g.opts.Adapter.ConfigPrefix:
-		b.handleConfig(c)
-	case b.g.opts.Adapter.TargetPrefix:
-		b.handleTargets(c)
+	case cs.g.opts.Adapter.ConfigPrefix:
+		cs.handleConfig(c)
+	case cs.g.opts.Adapter.TargetPrefix:
+		cs.handleTargets(c)
 	case leaderPrefix:
-		b.handleLeader(c)
+		cs.handleLeader(c)
 	case routerPrefix:
-		b.handleRouters(c)
+		cs.handleRouters(c)
 	case tablePrefix:
-		b.handleTables(c)
+		cs.handleTables(c)
 	}
-	b.markKnown(m.prefix)
+	cs.markKnown(m.prefix)
 }
 
-// handleConfig puts a configuration in force unless a newer one is. One that can't be read
-// leaves the one in force.
-func (b *clusterState) handleConfig(c *change) {
+// handleConfig applies a configuration unless a newer one is in force. A configuration that can't be
+// decoded is ignored.
+func (cs *clusterState) handleConfig(c *change) {
 	for _, r := range c.records {
-		if r.Key != b.g.opts.Adapter.ConfigKey || r.Deleted {
+		if r.Key != cs.g.opts.Adapter.ConfigKey || r.Deleted {
 			continue
 		}
-		config, err := b.g.opts.Adapter.DecodeConfig(r.Value)
+		config, err := cs.g.opts.Adapter.DecodeConfig(r.Value)
 		if err != nil {
-			b.g.log.Error("configuration not readable", "revision", r.Revision, "err", err)
+			cs.g.log.Error("configuration not decoded", "revision", r.Revision, "err", err)
 			continue
 		}
-		if b.config != nil && config.Version == b.config.Version {
-			continue // the feed of another leader begins with it
+		if cs.config != nil && config.Version == cs.config.Version {
+			continue // sent again at the beginning of another leader's feed
 		}
-		if b.config != nil && config.Version < b.config.Version {
-			b.g.log.Info("older configuration passed over", "version", config.Version, "in_force", b.config.Version)
+		if cs.config != nil && config.Version < cs.config.Version {
+			cs.g.log.Info("older configuration ignored", "version", config.Version, "in_force", cs.config.Version)
 			continue
 		}
-		b.config = config
-		b.g.log.Info("configuration in force", "version", config.Version, "revision", r.Revision,
+		cs.config = config
+		cs.g.log.Info("configuration in force", "version", config.Version, "revision", r.Revision,
 			"routes", len(config.Routes), "services", len(config.Services))
-		b.g.subscription.source.SetConfig(config.Version, r.Value)
-		b.putInForce(config)
+		cs.g.subscription.source.SetConfig(config.Version, r.Value)
+		cs.applyConfig(config)
 	}
 }
 
-func (b *clusterState) putInForce(config *routes.Config) {
-	g := b.g
+func (cs *clusterState) applyConfig(config *routes.Config) {
+	g := cs.g
 	g.setServices(config)
 	g.view.Store(newView(config, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))))
 	g.handler.SetModel(callerModel(config, g.opts.Adapter.Headers))
-	for _, t := range b.tables {
-		b.useTable(t.Table)
+	for _, t := range cs.tables {
+		cs.useTable(t.Table)
 	}
-	// Before the targets are known there are none to hand out: the leader would take the
-	// holders of all keys for gone.
-	if b.known[g.opts.Adapter.TargetPrefix] {
-		b.publishTargets(true)
+	// An empty list of targets must not be published before they are known: the leader would
+	// take the holders of all keys for gone.
+	if cs.knownPrefixes[g.opts.Adapter.TargetPrefix] {
+		cs.publishTargets(true)
 	}
 }
 
-// handleTargets notes what targets say of themselves.
-func (b *clusterState) handleTargets(c *change) {
-	a := &b.g.opts.Adapter
-	restored := c.listed && b.g.restoredSince(c.at.Add(-directory.ReturnGrace))
-	if c.absent >= outage || restored {
-		b.directory.StoreAway()
-	}
-	b.directory.StoreBack(c.at)
+// handleTargets records the targets' entries in the store.
+func (cs *clusterState) handleTargets(c *change) {
+	a := &cs.g.opts.Adapter
+	restored := c.listed && cs.g.restoredSince(c.at.Add(-directory.ReturnGrace))
+	if c.unreachableFor >= minOutage || restored {
+		cs.directory.StoreAway()
+	}
+	cs.directory.StoreBack(c.at)
 	if restored {
-		b.publishTargets(b.directory.Restore(c.at, b.readTargets(c.records)))
+		cs.publishTargets(cs.directory.Restore(c.at, cs.readTargets(c.records)))
 		return
 	}
 	if c.listed {
-		b.publishTargets(b.directory.Replace(c.at, b.readTargets(c.records)))
+		cs.publishTargets(cs.directory.Replace(c.at, cs.readTargets(c.records)))
 		return
 	}
 	changed := false
 	for _, r := range c.records {
 		if r.Deleted {
-			changed = b.directory.Remove(c.at, a.TargetID(r.Key)) || changed
-		} else if t, ok := b.readTarget(r); ok {
-			changed = b.directory.Put(c.at, t) || changed
+			changed = cs.directory.Remove(c.at, a.TargetID(r.Key)) || changed
+		} else if t, ok := cs.readTarget(r); ok {
+			changed = cs.directory.Put(c.at, t) || changed
 		}
 	}
-	b.publishTargets(changed)
+	cs.publishTargets(changed)
 }
 
-func (b *clusterState) readTargets(records []kv.Record) []directory.Target {
+func (cs *clusterState) readTargets(records []kv.Record) []directory.Target {
 	var all []directory.Target
 	for _, r := range records {
-		if t, ok := b.readTarget(r); ok {
+		if t, ok := cs.readTarget(r); ok {
 			all = append(all, t)
 		}
 	}
 	return all
 }
 
-// readTarget reads an entry; one that can't be read names no target.
-func (b *clusterState) readTarget(r kv.Record) (directory.Target, bool) {
-	t, err := b.g.opts.Adapter.DecodeTarget(r.Key, r.Value)
+// readTarget decodes an entry; it returns false if that fails.
+func (cs *clusterState) readTarget(r kv.Record) (directory.Target, bool) {
+	t, err := cs.g.opts.Adapter.DecodeTarget(r.Key, r.Value)
 	if err != nil {
-		b.g.log.Warn("entry of a target passed over", "key", r.Key, "err", err)
+		cs.g.log.Warn("entry of a target ignored", "key", r.Key, "err", err)
 	}
 	return t, err == nil
 }
 
-// publishTargets hands the targets out where they have changed, and sees to it that what becomes
-// due later is looked at.
-func (b *clusterState) publishTargets(changed bool) {
+// publishTargets publishes the targets if they have changed, and schedules a tick for the next change
+// that comes with time.
+func (cs *clusterState) publishTargets(changed bool) {
 	if changed {
-		targets := b.directory.Targets()
-		b.g.setTargets(targets)
-		b.g.subscription.source.SetTargets(targets)
-		b.g.leader.duty.Tell(&targetsSeen{targets, b.directory.Ended()})
-		b.g.log.Info("targets changed", "known", len(targets))
+		targets := cs.directory.Targets()
+		cs.g.setTargets(targets)
+		cs.g.subscription.source.SetTargets(targets)
+		cs.g.leader.duty.Tell(&targetStatus{targets, cs.directory.Ended()})
+		cs.g.log.Info("targets changed", "known", len(targets))
 	}
-	next := b.directory.Next()
+	next := cs.directory.Next()
 	if next.IsZero() {
 		return
 	}
-	if b.timer != nil {
-		b.timer.Stop()
+	if cs.timer != nil {
+		cs.timer.Stop()
 	}
-	b.timer = time.AfterFunc(max(time.Until(next), time.Millisecond), func() { b.duty.Tell(tick{}) })
+	cs.timer = time.AfterFunc(max(time.Until(next), time.Millisecond), func() { cs.duty.Tell(tick{}) })
 }
 
-// handleLeader notes who leads.
-func (b *clusterState) handleLeader(c *change) {
-	there := false
+// handleLeader records who leads.
+func (cs *clusterState) handleLeader(c *change) {
+	found := false
 	for _, r := range c.records {
 		if r.Key == leaderKey {
-			there = true
-			b.observeLeader(r)
+			found = true
+			cs.observeLeader(r)
 		}
 	}
-	if c.listed && !there {
-		b.observeLeader(kv.Record{Key: leaderKey, Deleted: true})
+	if c.listed && !found {
+		cs.observeLeader(kv.Record{Key: leaderKey, Deleted: true})
 	}
 }
 
-func (b *clusterState) observeLeader(r kv.Record) {
-	seen := &leaderSeen{revision: r.Revision, present: !r.Deleted}
-	seen.name, seen.address, _ = strings.Cut(string(r.Value), leaderSeparator)
-	b.g.leader.duty.Tell(seen)
-	b.g.subscription.setLeader(*seen)
+func (cs *clusterState) observeLeader(r kv.Record) {
+	status := &leaderStatus{revision: r.Revision, present: !r.Deleted}
+	status.name, status.address, _ = strings.Cut(string(r.Value), leaderSeparator)
+	cs.g.leader.duty.Tell(status)
+	cs.g.subscription.setLeader(*status)
 }
 
-// handleRouters notes who is there.
-func (b *clusterState) handleRouters(c *change) {
-	before, changed := len(b.routers), 0
-	seen := make(map[string]bool, len(c.records))
+// handleRouters records which routers are live.
+func (cs *clusterState) handleRouters(c *change) {
+	before, changed := len(cs.routers), 0
+	present := make(map[string]bool, len(c.records))
 	for _, r := range c.records {
 		name := strings.TrimPrefix(r.Key, routerPrefix)
-		seen[name] = !r.Deleted
-		changed += b.setRouter(name, !r.Deleted)
+		present[name] = !r.Deleted
+		changed += cs.setRouter(name, !r.Deleted)
 	}
-	for name := range b.routers {
-		if c.listed && !seen[name] {
-			changed += b.setRouter(name, false)
+	for name := range cs.routers {
+		if c.listed && !present[name] {
+			changed += cs.setRouter(name, false)
 		}
 	}
 	if changed == 0 && !c.listed {
 		return
 	}
-	b.g.log.Info("routers changed", "changes", changed, "before", before, "known", len(b.routers))
-	b.g.setRouters(max(len(b.routers), 1))
-	b.g.subscription.source.SetRouters(max(len(b.routers), 1))
-	b.g.leader.duty.Tell(routersCounted{})
+	cs.g.log.Info("routers changed", "changes", changed, "before", before, "known", len(cs.routers))
+	cs.g.setRouters(max(len(cs.routers), 1))
+	cs.g.subscription.source.SetRouters(max(len(cs.routers), 1))
+	cs.g.leader.duty.Tell(routerCountRead{})
 }
 
-// setRouter notes whether a router is there, and returns 1 where that has changed.
-func (b *clusterState) setRouter(name string, there bool) int {
-	if there == b.routers[name] {
+// setRouter records whether a router is live, and returns 1 if that has changed, else 0.
+func (cs *clusterState) setRouter(name string, present bool) int {
+	if present == cs.routers[name] {
 		return 0
 	}
-	if there {
-		b.routers[name] = true
+	if present {
+		cs.routers[name] = true
 		return 1
 	}
-	delete(b.routers, name)
-	if name == b.g.opts.Name {
-		b.g.members.renewNow()
+	delete(cs.routers, name)
+	if name == cs.g.opts.Name {
+		cs.g.membership.renewNow()
 	}
 	return 1
 }
 
-// handleTables notes divisions of keys as they stand in the store.
-func (b *clusterState) handleTables(c *change) {
+// handleTables records key tables from the store.
+func (cs *clusterState) handleTables(c *change) {
 	for _, r := range c.records {
 		if r.Deleted {
 			continue
 		}
 		t, err := decodeTable(r.Value)
 		if err != nil {
-			b.g.log.Error("division of keys not readable", "key", r.Key, "revision", r.Revision, "err", err)
+			cs.g.log.Error("key table not decoded", "key", r.Key, "revision", r.Revision, "err", err)
 			continue
 		}
-		b.useNewerTable(&feed.Table{Revision: uint64(tableVersion(t, r.Revision)), Table: t})
+		cs.useNewerTable(&feed.Table{Revision: uint64(tableVersion(t, r.Revision)), Table: t})
 	}
 }
 
-// useNewerTable puts a division in force unless a newer one is.
-func (b *clusterState) useNewerTable(t *feed.Table) {
+// useNewerTable applies a key table unless a newer one is in force.
+func (cs *clusterState) useNewerTable(t *feed.Table) {
 	name := t.Table.Service
-	if old, known := b.tables[name]; known && !t.Newer(&old) {
+	if old, known := cs.tables[name]; known && !t.Newer(&old) {
 		return
 	}
-	b.tables[name] = *t
-	b.g.tables.Store(name, *t)
-	b.g.subscription.source.SetTable(*t)
-	b.logTable(t)
-	b.useTable(t.Table)
+	cs.tables[name] = *t
+	cs.g.tables.Store(name, *t)
+	cs.g.subscription.source.SetTable(*t)
+	cs.logTable(t)
+	cs.useTable(t.Table)
 }
 
-// tableLogInterval is the least time between two lines that tell of one service's table:
-// with hundreds of targets it changes some ten times a second.
+// tableLogInterval is the least time between two log lines about one service's key table: with
+// hundreds of targets it changes about ten times a second.
 const tableLogInterval = time.Second
 
 // tableLog is when a service's table was logged last, and how many changes were not.
@@ -331,35 +332,36 @@
 	skipped int
 }
 
-func (b *clusterState) logTable(t *feed.Table) {
-	l := b.tableLogs[t.Table.Service]
+func (cs *clusterState) logTable(t *feed.Table) {
+	l := cs.tableLogs[t.Table.Service]
 	if now := time.Now(); now.Sub(l.at) >= tableLogInterval {
-		b.g.log.Info("key table updated", "service", t.Table.Service, "revision", t.Revision, "sequence", t.Sequence,
+		cs.g.log.Info("key table updated", "service", t.Table.Service, "revision", t.Revision, "sequence", t.Sequence,
 			"segments", len(t.Table.Segments), "changes_before", l.skipped)
 		l = tableLog{at: now}
 	} else {
 		l.skipped++
 	}
-	b.tableLogs[t.Table.Service] = l
+	cs.tableLogs[t.Table.Service] = l
 }
 
-func (b *clusterState) useTable(t *keyspace.Table) {
-	if s := b.g.service(t.Service); s != nil && s.byKey {
+func (cs *clusterState) useTable(t *keyspace.Table) {
+	if s := cs.g.service(t.Service); s != nil && s.byKey {
 		s.setTable(t)
 	}
 }
 
-// newBudget returns the budget of retries of one service.
+// newBudget returns the retry budget of one service.
 //
-// The platform counts attempts beyond the first over all routers in any window, as a share
-// of the requests and a number that is free. Half of what is free may be saved up and half
-// comes back within a window, so that no window sees more; a tenth is left for routers
-// whose count of routers is behind.
+// The platform limits the attempts beyond the first of all routers together in any window of time:
+// to a share of the requests plus a fixed number. Half of the fixed number may accumulate as a burst
+// and half is refilled within a window, so that no window gets more. A tenth of the limit is left
+// unused, for routers whose count of routers is out of date.
 func (g *Gateway) newBudget() *retry.Budget {
-	free := g.opts.RetryMin * budgetCaution / 2
+	minRetries := g.opts.RetryMin * budgetUsableShare / 2
 	return retry.NewBudget(retry.BudgetConfig{
-		Share: g.opts.RetryShare * budgetCaution, Burst: max(free, 1), Shared: true, MinPerSecond: free / g.opts.RetryWindow.Seconds(),
+		Share: g.opts.RetryShare * budgetUsableShare, Burst: max(minRetries, 1), Shared: true, MinPerSecond: minRetries / g.opts.RetryWindow.Seconds(),
 	}, g.routerCount())
 }
 
-const budgetCaution = 0.9
+// budgetUsableShare is the part of the platform's limit that is used, see newBudget.
+const budgetUsableShare = 0.9
--- a/gateway/feedserver.go
+++ b/gateway/feedserver.go
@@ -8,55 +8,58 @@
 	"tarragongw/peer/feed"
 )
 
-// unseen is by how much the routers' requests exceed those that this router hears of.
-func (f *subscription) unseen() float64 {
-	return float64(f.g.routerCount()) / float64(min(int(f.followers.Load())+1, f.g.routerCount()))
+// reportScale returns the number of all routers divided by the number of routers whose requests this
+// router knows of: itself and the followers that report to it.
+func (sub *subscription) reportScale() float64 {
+	return float64(sub.g.routerCount()) / float64(min(int(sub.followers.Load())+1, sub.g.routerCount()))
 }
 
-// serveFollowers feeds the routers that follow this one.
+// serveFollowers serves the feed to the routers that follow this one.
 func (g *Gateway) serveFollowers() {
 	server := &feed.Server{
-		Log: g.log, Fresh: g.subscription.fresh, Lead: g.subscription.leads,
+		Log: g.log, Fresh: g.subscription.targetsFresh, Lead: g.subscription.feedSource,
 		Reported: g.handleReport, Clock: g.opts.Clock,
 		Joined: func(router string, term uint64, promised time.Duration) {
 			g.leader.duty.Tell(&followerJoined{router, kv.Revision(term), promised})
 		},
-		Backed: g.subscription.backed,
+		Backed: g.subscription.recordFollowerPromise,
 	}
 	if err := server.Serve(g.lifetime, g.peerListener); err != nil {
-		g.log.Error("followers are fed no more", "err", err)
+		g.log.Error("feed server failed", "err", err)
 	}
 }
 
-// leads returns what followers of the term are told.
-func (f *subscription) leads(term uint64) (context.Context, *feed.Source) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.term == nil || !f.term.named(term) {
+// feedSource returns the source of the feed for followers of the term, and a context that ends with the
+// term; nil if this router doesn't lead in the term.
+func (sub *subscription) feedSource(term uint64) (context.Context, *feed.Source) {
+	sub.mu.Lock()
+	defer sub.mu.Unlock()
+	if sub.term == nil || !sub.term.hasRevision(term) {
 		return nil, nil
 	}
-	f.followers.Add(1)
-	context.AfterFunc(f.term.ctx, func() { f.followers.Store(0) })
-	return f.term.ctx, f.source
+	sub.followers.Add(1)
+	context.AfterFunc(sub.term.ctx, func() { sub.followers.Store(0) })
+	return sub.term.ctx, sub.source
 }
 
-// backed notes that a router backs this one as the leader of a term.
-func (f *subscription) backed(router string, term uint64, until time.Duration) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.term != nil && f.term.named(term) {
-		f.term.backing.back(router, until)
+// recordFollowerPromise records that a router has promised to follow no other leader than this one, the
+// leader of the term, until a time.
+func (sub *subscription) recordFollowerPromise(router string, term uint64, until time.Duration) {
+	sub.mu.Lock()
+	defer sub.mu.Unlock()
+	if sub.term != nil && sub.term.hasRevision(term) {
+		sub.term.quorum.recordPromise(router, until)
 	}
 }
 
-// handleReport takes in what another router saw of a service.
+// handleReport adds the keys and service times that another router has reported for a service.
 func (g *Gateway) handleReport(r feed.Report) {
 	s := g.service(r.Service)
 	if s == nil {
 		return
 	}
-	for _, k := range r.Keys {
-		s.keyLoad.add(k)
+	for _, key := range r.Keys {
+		s.keyLoad.add(key)
 	}
 	s.learnServiceTimes(r.ServiceTimes)
 }
--- a/gateway/feedupdates.go
+++ b/gateway/feedupdates.go
@@ -2,12 +2,12 @@
 
 import "tarragongw/peer/feed"
 
-// updateHandler handles what one leader sends to this router.
+// updateHandler handles the updates that one leader sends to this router.
 type updateHandler struct {
-	f      *subscription
-	leader leaderSeen
-	// fed says that the last update was of a leader that hears from the store.
-	fed bool
+	subscription *subscription
+	leader       leaderStatus
+	// current is set if the leader reached the store when it sent its last update.
+	current bool
 }
 
 func (h *updateHandler) handle(u *feed.Update) {
@@ -15,35 +15,35 @@
 		h.handleStale(u)
 		return
 	}
-	f := h.f
-	if !h.fed {
-		h.fed = true
-		f.g.log.Info("fed", "leader", h.leader.name, "term", h.leader.revision)
-		f.setConnected(true)
-		f.stopWatching()
-		f.g.members.renewNow()
+	sub := h.subscription
+	if !h.current {
+		h.current = true
+		sub.g.log.Info("fed", "leader", h.leader.name, "term", h.leader.revision)
+		sub.setConnected(true)
+		sub.stopWatching()
+		sub.g.membership.renewNow()
 	}
-	f.compare(u.Config)
-	f.g.setServiceTimes(u.ServiceTimes)
-	f.g.setLimits(u.Limits)
-	if u.Whole || len(u.Targets)+len(u.Gone)+len(u.Tables)+len(u.ConfigValue) > 0 || u.Routers > 0 && u.Routers != f.g.routerCount() {
-		f.g.state.duty.Tell(u)
+	sub.checkConfigVersion(u.Config)
+	sub.g.setServiceTimes(u.ServiceTimes)
+	sub.g.setLimits(u.Limits)
+	if u.Whole || len(u.Targets)+len(u.Gone)+len(u.Tables)+len(u.ConfigValue) > 0 || u.Routers > 0 && u.Routers != sub.g.routerCount() {
+		sub.g.state.duty.Tell(u)
 	}
 }
 
-// handleStale handles what a leader sends that doesn't hear from the store: tables at most.
+// handleStale handles an update of a leader that can't reach the store. It contains at most key tables.
 func (h *updateHandler) handleStale(u *feed.Update) {
-	f := h.f
-	if h.fed || !f.setConnected(true) {
-		f.g.log.Info("leader doesn't hear from the store", "leader", h.leader.name, "term", h.leader.revision)
-		f.g.members.renewNow()
+	sub := h.subscription
+	if h.current || !sub.setConnected(true) {
+		sub.g.log.Info("leader doesn't hear from the store", "leader", h.leader.name, "term", h.leader.revision)
+		sub.g.membership.renewNow()
 	}
-	if h.fed {
-		f.searchLeader(staleSearchDelay)
+	if h.current {
+		sub.searchLeader(staleSearchDelay)
 	}
-	h.fed = false
-	f.unsubscribed(f.staleDelay())
+	h.current = false
+	sub.scheduleFallback(sub.staleDelay())
 	if len(u.Tables) > 0 {
-		f.g.state.duty.Tell(u)
+		sub.g.state.duty.Tell(u)
 	}
 }
--- a/gateway/fleet_test.go
+++ b/gateway/fleet_test.go
@@ -15,14 +15,14 @@
 	"tarragongw/platform"
 )
 
-// Each key is served by the one target that holds it, whichever router is asked.
+// Each key is served by the one target that holds it, whichever router gets the request.
 func TestKeysAreServedByTheirHolder(t *testing.T) {
 	f := newFleet(t, 2, keyedConfig, keyedTarget("a"), keyedTarget("b"), keyedTarget("c"))
 	seen := map[string]bool{}
 	waittest.Until(t, "all keys have a holder", func() bool { return f.holder(0) != "" && f.holder(keyspace.LastKey) != "" })
 	for k := 0; k <= int(keyspace.LastKey); k += 5000 {
 		for _, g := range f.gateways {
-			got := f.served(g, call{method: "GET", path: "/read/1", key: k})
+			got := f.sendUntilServed(g, call{method: "GET", path: "/read/1", key: k})
 			holder := f.holder(keyspace.Key(k))
 			assert.Equal(t, got.body, holder+" ran "+got.id)
 			seen[holder] = true
@@ -33,13 +33,12 @@
 	assert.Equal(t, got.status, http.StatusBadRequest, "a request without a key")
 }
 
-// Symptom: keys are not served for seconds after the loss of one router.
-// Sequence: the leader's process is lost without a word.
-func TestAnotherRouterLeadsBeforeGrantsLapse(t *testing.T) {
-	unstalled(t, func() error {
+// Guards against keys that are unserved for seconds after the leader's process has crashed.
+func TestAnotherRouterLeadsBeforeGrantsExpire(t *testing.T) {
+	retryOnStall(t, func() error {
 		f := newFleet(t, 3, keyedConfig, keyedTarget("a"), keyedTarget("b"))
-		f.served(f.gateways[0], call{method: "GET", path: "/read/1", key: 7})
-		f.served(f.gateways[0], call{method: "GET", path: "/read/1", key: 65000})
+		f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 7})
+		f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 65000})
 		old := f.leader()
 		abandon(old)
 		var other *Gateway
@@ -62,71 +61,71 @@
 	})
 }
 
-// Guards against a leader that has just started, knows the table but no target yet, and has
-// all targets give up their keys.
-func TestLeaderThatKnowsNoTargetYetTakesNoKeys(t *testing.T) {
+// Guards against a leader that has just started, knows the key table but no targets yet, and orders all
+// targets to release their keys.
+func TestLeaderReleasesNoKeysBeforeItKnowsTheTargets(t *testing.T) {
 	f := newFleet(t, 1, keyedConfig, keyedTarget("a"), keyedTarget("b"))
 	keys := []int{7, 30000, 65000}
 	holders := map[int]string{}
 	for _, key := range keys {
-		f.served(f.gateways[0], call{method: "GET", path: "/read/1", key: key})
+		f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: key})
 		holders[key] = f.holder(keyspace.Key(key))
 	}
 	abandon(f.gateways[0])
-	f.slow = platform.TargetPrefix
+	f.slowPrefix = platform.TargetPrefix
 	g := f.start("router-1")
 	waittest.Until(t, "it leads", func() bool { return f.leader() == g })
 	for _, key := range keys {
-		f.served(g, call{method: "GET", path: "/read/1", key: key})
+		f.sendUntilServed(g, call{method: "GET", path: "/read/1", key: key})
 		assert.Equal(t, f.holder(keyspace.Key(key)), holders[key])
 	}
 	assert.Assert(t, !strings.Contains(f.log.String(), "kind=release"), "keys were taken")
 }
 
-// A target that says that it leaves hands its keys over, and gets no new work.
-func TestLeavingTargetHandsItsKeysOver(t *testing.T) {
+// A draining target hands its keys over and gets no new work.
+func TestDrainingTargetHandsItsKeysOver(t *testing.T) {
 	f := newFleet(t, 2, keyedConfig, keyedTarget("a"), keyedTarget("b"))
-	f.served(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
+	f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
 	leaving := f.targets[f.holder(100)]
 	leaving.Drain(f.store)
 	waittest.Until(t, "another target holds the key", func() bool {
 		holder := f.holder(100)
 		return holder != "" && holder != leaving.ID
 	})
-	f.served(f.gateways[1], call{method: "GET", path: "/read/1", key: 100})
+	f.sendUntilServed(f.gateways[1], call{method: "GET", path: "/read/1", key: 100})
 	before := len(leaving.Runs())
 	for range 50 {
-		f.served(f.gateways[1], call{method: "GET", path: "/read/1", key: 100})
+		f.sendUntilServed(f.gateways[1], call{method: "GET", path: "/read/1", key: 100})
 	}
 	assert.Equal(t, len(leaving.Runs()), before)
 }
 
-// Symptom: the keys of a target that was lost without a word are never served again.
-func TestKeysOfASilentTargetMoveOnceTheirGrantHasLapsed(t *testing.T) {
+// Guards against keys of a crashed target that are never served again.
+func TestKeysOfACrashedTargetMoveOnceTheirGrantHasExpired(t *testing.T) {
 	f := newFleet(t, 1, keyedConfig, keyedTarget("a"), keyedTarget("b"))
-	f.served(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
+	f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
 	lost := f.targets[f.holder(100)]
 	lost.Close()
 	began := time.Now()
-	f.served(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
+	f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
 	assert.Assert(t, time.Since(began) < 6*time.Second, "after %v", time.Since(began))
 }
 
-// A target that starts again under its id holds nothing and is granted its keys anew.
-func TestTargetBornAgainIsGrantedItsKeysAnew(t *testing.T) {
+// A target that was restarted under the same ID holds nothing, and its keys are granted again.
+func TestRestartedTargetIsGrantedItsKeysAgain(t *testing.T) {
 	f := newFleet(t, 1, keyedConfig, keyedTarget("a"))
-	f.served(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
+	f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
 	f.targets["a"].Reborn(f.store)
-	f.served(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
+	f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
 }
 
-// While the store refuses all calls, requests and grants go on.
-func TestStoreAwayStopsNothing(t *testing.T) {
-	unstalled(t, func() error {
+// While the store refuses all calls, requests are served and grants renewed.
+func TestRequestsAndGrantsContinueDuringAStoreOutage(t *testing.T) {
+	retryOnStall(t, func() error {
 		f := newFleet(t, 2, keyedConfig, keyedTarget("a"), keyedTarget("b"))
 		keys := []int{100, 65000}
 		for _, key := range keys {
-			f.served(f.gateways[0], call{method: "GET", path: "/read/1", key: key})
+			f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: key})
 		}
 		f.store.Refuse(http.StatusServiceUnavailable)
 		for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -137,13 +136,12 @@
 			}
 		}
 		f.store.Refuse(0)
-		f.served(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
+		f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
 		return nil
 	})
 }
 
-// Symptom: a router serves by a configuration that was replaced.
-// Sequence: an older or an unreadable one is written after it.
+// Guards against a router that applies an older or undecodable configuration.
 func TestConfigurationNeverReverts(t *testing.T) {
 	f := newFleet(t, 1, plainConfig, plainTarget("a"))
 	g := f.gateways[0]
@@ -156,9 +154,10 @@
 	assert.Equal(t, f.send(g, call{method: "GET", path: "/read/1", key: -1}).status, http.StatusOK)
 }
 
-// Symptom: some routers serve by an old configuration for many seconds.
-// Sequence: the store passes their watches over, drops its history, and cuts nothing.
-func TestChangeInAGapOfTheHistoryIsFound(t *testing.T) {
+// Guards against routers that serve with an old configuration for many seconds, because the store has
+// not reported the change to their watches and then compacts its history, without an error on any
+// connection.
+func TestChangeMissedByWatchesIsFoundAfterCompaction(t *testing.T) {
 	f := newFleet(t, 3, plainConfig, plainTarget("a"))
 	time.Sleep(300 * time.Millisecond)
 	f.store.Deafen()
@@ -181,8 +180,8 @@
 	assert.Assert(t, time.Since(began) < 3*time.Second, "after %v", time.Since(began))
 }
 
-// An entry of another writer names no target and disturbs none.
-func TestForeignEntriesDisturbNothing(t *testing.T) {
+// Target entries that can't be decoded are ignored, and don't affect other targets.
+func TestUndecodableTargetEntriesAreIgnored(t *testing.T) {
 	f := newFleet(t, 1, plainConfig, plainTarget("a"))
 	f.store.Put(platform.TargetPrefix+"x", []byte{0xff})
 	f.store.Put(platform.TargetPrefix+"y", []byte(`{"address":3}`))
@@ -194,14 +193,14 @@
 	})
 }
 
-// A planned stop cuts nothing: what is under way is answered, what still comes too, and
-// the connection's end is announced.
-func TestPlannedStopCutsNothing(t *testing.T) {
+// In a planned stop, requests in flight and new requests that still arrive are answered, and the answers
+// announce the end of the connection.
+func TestPlannedStopCutsOffNoRequests(t *testing.T) {
 	f := newFleet(t, 1, plainConfig, plainTarget("a"))
 	g := f.gateways[0]
 	f.targets["a"].SetWork(700 * time.Millisecond)
-	under := make(chan answer, 1)
-	go func() { under <- f.sendAs(g, call{method: "POST", path: "/pay/1", key: -1, body: "x"}, "under-way") }()
+	inFlight := make(chan answer, 1)
+	go func() { inFlight <- f.sendAs(g, call{method: "POST", path: "/pay/1", key: -1, body: "x"}, "under-way") }()
 	waittest.Until(t, "the request runs", func() bool { return len(f.targets["a"].Runs()) == 1 })
 	stopped := make(chan int, 1)
 	go func() { stopped <- g.Stop() }()
@@ -213,14 +212,13 @@
 	})
 	late := f.sendAs(g, call{method: "POST", path: "/pay/2", key: -1, body: "x"}, "late")
 	assert.Equal(t, late.status, http.StatusOK)
-	got := <-under
+	got := <-inFlight
 	assert.Equal(t, got.status, http.StatusOK)
 	assert.Equal(t, <-stopped, 0)
 }
 
-// Symptom: in a planned stop callers find their connections reset without a word.
-// Sequence: a request comes shortly before the router stops listening, and takes longer than
-// what is left of the grace.
+// Guards against connections that are reset without an answer in a planned stop: a request arrives
+// shortly before the router stops listening, and takes longer than the rest of the grace.
 func TestRequestsThatOutlastTheGraceAreAnswered(t *testing.T) {
 	f := newFleet(t, 1, strings.ReplaceAll(plainConfig, `"timeout":"1000ms"`, `"timeout":"60000ms"`), plainTarget("a"))
 	g := f.gateways[0]
@@ -239,10 +237,10 @@
 	}
 }
 
-// The leader that stops gives the lead up at once.
-func TestStoppingLeaderHandsTheLeadOver(t *testing.T) {
+// A stopping leader gives up leadership at once.
+func TestStoppingLeaderGivesUpLeadershipAtOnce(t *testing.T) {
 	f := newFleet(t, 2, keyedConfig, keyedTarget("a"))
-	f.served(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
+	f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
 	old := f.leader()
 	go old.Stop()
 	began := time.Now()
@@ -250,13 +248,12 @@
 	assert.Assert(t, time.Since(began) < time.Second, "after %v", time.Since(began))
 }
 
-// Symptom: all keys are unserved from two seconds after the stop of one router until the
-// store is back.
-// Sequence: the store goes away, and the leader is stopped before it has noticed.
-func TestLeaderThatStopsWithoutTheStoreLeadsOn(t *testing.T) {
-	unstalled(t, func() error {
+// Guards against keys that are unserved from two seconds after the stop of the leader until the store
+// recovers: the store fails, and the leader is stopped before it has noticed.
+func TestStoppingLeaderKeepsLeadingDuringAStoreOutage(t *testing.T) {
+	retryOnStall(t, func() error {
 		f := newFleet(t, 3, keyedConfig, keyedTarget("a"))
-		f.served(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
+		f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
 		old := f.leader()
 		other := f.gateways[0]
 		if other == old {
@@ -275,12 +272,12 @@
 	})
 }
 
-// Symptom: a router that is stopped is counted among all routers for ten seconds more.
-// Sequence: it removes its record, and its next renewal writes it anew.
+// Guards against a stopped router that is counted for another ten seconds, because it removes its record
+// and its next renewal writes the record again.
 func TestRouterThatStopsIsNotCounted(t *testing.T) {
 	f := newFleet(t, 2, plainConfig, plainTarget("a"))
 	g := f.gateways[1]
-	waittest.Until(t, "its record stands", func() bool { return f.store.Value(routerPrefix+g.opts.Name) != nil })
+	waittest.Until(t, "its record exists", func() bool { return f.store.Value(routerPrefix+g.opts.Name) != nil })
 	go g.Stop()
 	waittest.Until(t, "its record is gone", func() bool { return f.store.Value(routerPrefix+g.opts.Name) == nil })
 	for end := time.Now().Add(memberRenewInterval + 300*time.Millisecond); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -288,22 +285,22 @@
 	}
 }
 
-// The calls to the store don't grow with the targets' reports: followers make none for them.
+// The number of store calls doesn't grow with the targets' heartbeats, because followers don't watch them.
 func TestFollowersDoNotWatchTargets(t *testing.T) {
 	f := newFleet(t, 4, plainConfig, plainTarget("a"))
-	waittest.Until(t, "all others are fed", func() bool {
-		fed := 0
+	waittest.Until(t, "all others are subscribed", func() bool {
+		subscribed := 0
 		for _, g := range f.gateways {
 			g.subscription.mu.Lock()
 			if g.subscription.subscribed {
-				fed++
+				subscribed++
 			}
 			g.subscription.mu.Unlock()
 		}
-		return fed == 3
+		return subscribed == 3
 	})
-	time.Sleep(400 * time.Millisecond) // what the start itself asks for is over
-	unstalled(t, func() error {
+	time.Sleep(400 * time.Millisecond) // the calls of the start have ended
+	retryOnStall(t, func() error {
 		before := f.store.Calls()
 		for range 20 {
 			f.targets["a"].Register(f.store)
@@ -314,26 +311,25 @@
 			after[name] -= before[name]
 		}
 		if n := after["kv-watch "+platform.TargetPrefix]; n < 1 || n > 4 {
-			return errors.Errorf("the leader alone watches, with pauses: %v", after)
+			return errors.Errorf("only the leader should watch the targets, with pauses: %v", after)
 		}
 		if after["kv-watch "+leaderPrefix] > 1 || after["kv-watch "+platform.ConfigPrefix] > 1 {
-			return errors.Errorf("what changes seldom is asked for seldom: %v", after)
+			return errors.Errorf("too many watches for rare changes: %v", after)
 		}
 		return nil
 	})
 }
 
-// Symptom: a router uses a whole core, and calls the store all the time, while the store is
-// down.
-// Sequence: the store refuses all calls; nobody leads; each router asks for the lead.
-// Cause: a try that fails at once is followed by the next at once.
-func TestLeadIsNotAskedForWithoutPause(t *testing.T) {
+// Guards against a router that uses a whole core and calls the store all the time while the store is
+// down: the store refuses all calls, there is no leader, and each failed campaign was immediately
+// followed by the next.
+func TestFailedCampaignIsNotRepeatedWithoutPause(t *testing.T) {
 	f := newFleet(t, 0, "")
 	f.store.Put(leaderKey, []byte("other 127.0.0.1:1"))
 	f.start("router-0")
 	waittest.Until(t, "the fleet's records are read", func() bool { return f.store.Calls()["kv-range "+leaderPrefix] > 0 })
 	f.store.Refuse(http.StatusServiceUnavailable)
-	f.gateways[0].leader.duty.Tell(&leaderSeen{})
+	f.gateways[0].leader.duty.Tell(&leaderStatus{})
 	before := f.store.Calls()
 	time.Sleep(1500 * time.Millisecond)
 	after := f.store.Calls()
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -17,72 +17,73 @@
 )
 
 const (
-	// maxSends bounds the sends of one request, those to a target that refused it included.
+	// maxSends bounds how often one request is sent, including to targets that refuse it.
 	maxSends = 4
-	// tablePatience is how long a request that its key's holder refused waits for a newer
-	// division of the keys, which travels to all routers in some milliseconds.
-	tablePatience = 150 * time.Millisecond
-	// maxKeptBytes bounds what is kept of a body for another send: the size of a large photo.
+	// newerTableTimeout is how long a request that was sent to the wrong target waits for a newer
+	// key table, which reaches all routers within a few milliseconds.
+	newerTableTimeout = 150 * time.Millisecond
+	// maxKeptBytes bounds how much of a body is kept for sending it again: the size of a large photo.
 	maxKeptBytes = 512 << 10
-	// headerOverhead is about the size of both headers, in bytes.
+	// headerOverhead is the approximate size of a request's and its answer's header together, in bytes.
 	headerOverhead = 600
 )
 
 // exchange is one caller's request while it is being served.
 type exchange struct {
-	g     *Gateway
-	w     http.ResponseWriter
-	r     *http.Request
-	meta  *request.Meta
-	route *route
-	s     *service
-	key   *keyspace.Key
-	body  *replay.Body
-	began time.Time
-	// age is how long the caller has waited already, in attempts before this one.
+	g       *Gateway
+	w       http.ResponseWriter
+	r       *http.Request
+	meta    *request.Meta
+	route   *route
+	service *service
+	key     *keyspace.Key
+	body    *replay.Body
+	began   time.Time
+	// age is how long the caller has already waited in its earlier attempts.
 	age time.Duration
-	// sends counts the times that the request was sent, and targets those to which it was.
+	// sends counts how often the request was sent, and targets has the targets it was sent to. avoid
+	// is the last of them.
 	sends   int
 	targets map[string]bool
 	avoid   string
-	// table is the division of keys under which the request was sent last.
+	// table is the key table by which the request was last placed.
 	table *keyspace.Table
 }
 
-// Forward implements caller.Forwarder. It is the only place where a request is ever sent
-// again.
+// Forward implements caller.Forwarder. This is the only place from which a request is sent more than
+// once.
 func (g *Gateway) Forward(w http.ResponseWriter, r *http.Request, meta *request.Meta) *fault.Fault {
 	x, f := g.open(w, r, meta)
 	if f != nil {
 		return f
 	}
-	x.s.counted()
+	x.service.countRequest()
 	x.body.RewindInto(x.r)
 	for {
 		f := x.attempt()
 		if f == nil {
 			return nil
 		}
-		if !x.body.RewindInto(x.r) || !x.again(f) {
-			return final(f)
+		if !x.body.RewindInto(x.r) || !x.mayRepeat(f) {
+			return callerFault(f)
 		}
 	}
 }
 
-// open finds out where the request goes.
+// open finds the route and the service of the request.
 func (g *Gateway) open(w http.ResponseWriter, r *http.Request, meta *request.Meta) (*exchange, *fault.Fault) {
 	v := g.view.Load()
 	if v == nil {
 		return nil, fault.New(fault.NotReady, "no configuration yet")
 	}
-	to := v.routes[meta.Service]
-	if to == nil {
+	matched := v.routes[meta.Service]
+	if matched == nil {
 		return nil, fault.New(fault.NoRoute, "")
 	}
 	if limit := v.config.Limits.BodyBytes; limit > 0 && r.ContentLength > limit {
 		return nil, fault.New(fault.TooLarge, "the body is longer than the configuration allows")
 	}
-	name, ok := to.next()
+	name, ok := matched.nextService()
 	if !ok {
 		return nil, fault.New(fault.NoOwner, "the route has no service with a weight")
 	}
@@ -91,9 +92,9 @@
 		return nil, fault.New(fault.NoOwner, "service "+name+" is not configured")
 	}
 	x := &exchange{
-		g: g, w: w, r: r, meta: meta, route: to, s: s, body: replay.New(r, maxKeptBytes), began: time.Now(), targets: map[string]bool{},
+		g: g, w: w, r: r, meta: meta, route: matched, service: s, body: replay.New(r, maxKeptBytes), began: time.Now(), targets: map[string]bool{},
 	}
-	x.age = g.patience.age(to.Name, r.Header.Get(g.opts.Adapter.Headers.Deadline))
+	x.age = g.callerAges.age(matched.Name, r.Header.Get(g.opts.Adapter.Headers.Deadline))
 	if s.byKey {
 		key, f := keyOf(r.Header, g.opts.Adapter.Headers.Key)
 		if f != nil {
@@ -102,39 +103,39 @@
 		x.key = key
 		s.keyLoad.add(*key)
 	}
-	keepTarget(r)
+	keepRequestURI(r)
 	return x, nil
 }
 
-// keepTarget has the request's path and query written as the caller wrote them: taken
-// apart and put together again, an unusual escape would come out as another path.
-func keepTarget(r *http.Request) {
+// keepRequestURI makes net/http send the request's path and query as the caller wrote them. Parsing
+// and encoding them again could turn an unusual escape into another path.
+func keepRequestURI(r *http.Request) {
 	if len(r.RequestURI) > 1 && r.RequestURI[0] == '/' && r.RequestURI[1] != '/' {
 		u := *r.URL
 		u.Opaque, u.RawQuery, u.ForceQuery = r.RequestURI, "", false
 		r.URL = &u
 	}
 	if _, named := r.Header["User-Agent"]; !named {
-		r.Header["User-Agent"] = nil // net/http would name itself
+		r.Header["User-Agent"] = nil // otherwise net/http would set its own
 	}
 }
 
 // attempt places the request and sends it once.
 func (x *exchange) attempt() *fault.Fault {
-	x.table, _ = x.s.currentTable()
-	asked := time.Now()
+	x.table, _ = x.service.currentTable()
+	began := time.Now()
 	d, f := x.place()
 	if f != nil {
-		x.g.log.Info("refused", "id", x.meta.ID, "service", x.s.name, "config", x.route.version, "waited", time.Since(asked),
+		x.g.log.Info("refused", "id", x.meta.ID, "service", x.service.name, "config", x.route.version, "waited", time.Since(began),
 			"kind", f.Kind, "detail", f.Detail, "retry_after", f.Wait())
 		return f
 	}
-	x.g.logPlaced(x, &d, time.Since(asked))
+	x.g.logPlaced(x, &d, time.Since(began))
 	return x.send(&d)
 }
 
-// ask describes the request to who places it.
-func (x *exchange) ask() dispatch.Request {
+// dispatchRequest describes the request for placement.
+func (x *exchange) dispatchRequest() dispatch.Request {
 	q := dispatch.Request{
 		Key: x.key, Rank: x.route.Rank, Deadline: x.meta.Deadline, Avoid: x.avoid, Admitted: x.sends > 0,
 		Bytes: x.g.sizes.expect(x.route.Name, x.r) + headerOverhead,
@@ -145,12 +146,12 @@
 	return q
 }
 
-// send sends the request to the target it was placed at and passes the answer on.
+// send sends the request to the target at which it was placed, and copies the answer to the caller.
 func (x *exchange) send(d *dispatch.Decision) *fault.Fault {
 	began := time.Now()
 	result := dispatch.Failed
-	defer func() { x.s.done(d.Target.ID, result, time.Since(began), d.Turns) }()
-	pool, err := x.g.pools.get(&d.Target, x.g.connsOf(x.s.name))
+	defer func() { x.service.done(d.Target.ID, result, time.Since(began), d.Turns) }()
+	pool, err := x.g.pools.get(&d.Target, x.g.connLimit(x.service.name))
 	if err != nil {
 		return fault.Wrap(fault.TargetUnreachable, err, "")
 	}
@@ -160,39 +161,40 @@
 	resp, f := pool.AttemptOn(x.r.Context(), x.r, target.Terms{Allowed: func() *fault.Fault { return x.setHeaders(d) }})
 	if f != nil {
 		result = resultOf(f)
-		x.failed(began, d, f)
+		x.recordFailure(began, d, f)
 		return f
 	}
-	if failed := resp.StatusCode >= http.StatusInternalServerError; failed && x.mayReplace() {
+	if failed := resp.StatusCode >= http.StatusInternalServerError; failed && x.mayReplaceAnswer() {
 		resp.Body.Close()
 		f := fault.New(fault.TargetLost, "the target answered "+strconv.Itoa(resp.StatusCode))
-		x.failed(began, d, f)
+		x.recordFailure(began, d, f)
 		return f
 	} else if !failed {
 		result = dispatch.Answered
 	}
-	x.g.sizes.note(x.route.Name, x.r, resp)
+	x.g.sizes.record(x.route.Name, x.r, resp)
 	f = caller.CopyAnswer(x.w, resp)
 	if f != nil {
 		result = resultOf(f)
-		x.failed(began, d, f)
+		x.recordFailure(began, d, f)
 	}
 	return f
 }
 
-// mayReplace reports whether an answer that says that the target failed may be replaced by
-// another target's, and takes what that costs. Where the key binds there is no other. The request's next send follows for certain.
-func (x *exchange) mayReplace() bool {
-	return x.route.Repeat == routes.Idempotent && !x.s.byKey && x.mayGoOn() && x.s.mayRetry()
+// mayReplaceAnswer reports whether an answer with a server error may be replaced by another target's
+// answer. If so, it takes a retry from the budget, and the request is certainly sent again. For a
+// service with keys there is no other target.
+func (x *exchange) mayReplaceAnswer() bool {
+	return x.route.Repeat == routes.Idempotent && !x.service.byKey && x.mayResend() && x.service.takeRetry()
 }
 
-// mayGoOn reports whether the request's own bounds allow another send.
-func (x *exchange) mayGoOn() bool {
-	return x.sends < maxSends && (len(x.targets) < x.route.MaxTargets || x.s.byKey) && x.r.Context().Err() == nil
+// mayResend reports whether the limits on the request's sends and targets allow another send.
+func (x *exchange) mayResend() bool {
+	return x.sends < maxSends && (len(x.targets) < x.route.MaxTargets || x.service.byKey) && x.r.Context().Err() == nil
 }
 
-// setHeaders names the target and the time that is left, right before the request is
-// written: waiting for a connection takes some of it.
+// setHeaders sets the headers that name the target and the time left. It is called right before the
+// request is written, because waiting for a connection takes some of that time.
 func (x *exchange) setHeaders(d *dispatch.Decision) *fault.Fault {
 	names := &x.g.opts.Adapter.Headers
 	h := x.r.Header
@@ -226,8 +228,8 @@
 	}
 }
 
-// failed keeps and logs an attempt that failed.
-func (x *exchange) failed(began time.Time, d *dispatch.Decision, f *fault.Fault) {
+// recordFailure records and logs a failed attempt.
+func (x *exchange) recordFailure(began time.Time, d *dispatch.Decision, f *fault.Fault) {
 	a := request.Attempt{
 		Number: x.sends, After: began.Sub(x.began), Took: time.Since(began), Target: d.Target.ID, Fault: f,
 	}
@@ -236,35 +238,36 @@
 		"kind", f.Kind, "ran", f.Ran, "err", f)
 }
 
-// again decides whether the request is sent once more after f.
-func (x *exchange) again(f *fault.Fault) bool {
+// mayRepeat decides whether the request is sent once more after f, and takes a retry from the budget
+// if that costs one.
+func (x *exchange) mayRepeat(f *fault.Fault) bool {
 	if x.sends == 0 || f.Kind == fault.DeadlineUnmeetable {
-		return false // it was refused a place, after all the waiting that is worth it
+		return false // it was not placed, after all the waiting that is worthwhile
 	}
 	if f.Kind == fault.TargetLost && f.Ran == fault.RanUnknown && f.Cause == nil {
-		return true // mayReplace has paid for it
+		return true // mayReplaceAnswer has taken the retry
 	}
 	repeatable := x.route.Repeat == routes.Idempotent
-	if retry.Permitted(f, repeatable) != retry.Allowed && !(repeatable && f.Kind == fault.AnswerInvalid) || !x.mayGoOn() {
+	if retry.Permitted(f, repeatable) != retry.Allowed && !(repeatable && f.Kind == fault.AnswerInvalid) || !x.mayResend() {
 		return false
 	}
-	if f.Kind == fault.StaleRoute && x.s.byKey && !x.newerTable() {
+	if f.Kind == fault.StaleRoute && x.service.byKey && !x.waitForNewerTable() {
 		return false
 	}
 	if f.Kind == fault.TargetUnreachable {
-		return true // nothing arrived anywhere
+		return true // no target has received the request
 	}
-	return x.s.mayRetry()
+	return x.service.takeRetry()
 }
 
-// newerTable waits for a division of the keys after the one that sent the request to a
-// target which doesn't hold its key.
-func (x *exchange) newerTable() bool {
-	table, changed := x.s.currentTable()
+// waitForNewerTable waits for a newer key table than the one by which the request was sent to a target
+// that doesn't hold its key.
+func (x *exchange) waitForNewerTable() bool {
+	table, changed := x.service.currentTable()
 	if table != x.table {
 		return true
 	}
-	timer := time.NewTimer(tablePatience)
+	timer := time.NewTimer(newerTableTimeout)
 	defer timer.Stop()
 	select {
 	case <-changed:
@@ -276,19 +279,19 @@
 	}
 }
 
-// final turns the last fault into what the caller is told. A request that certainly did
-// not run is refused with an advice to come back, whatever kept it from running: callers
-// may then repeat also what must not run twice.
-func final(f *fault.Fault) *fault.Fault {
+// callerFault turns the last fault into the one that the caller is told. A request that certainly did
+// not run is refused with the advice to retry, whatever the reason: callers may then also repeat
+// requests that must not run twice.
+func callerFault(f *fault.Fault) *fault.Fault {
 	if f.Ran != fault.NotRun {
 		return f
 	}
 	switch f.Kind {
 	case fault.TargetUnreachable, fault.DeadlineExceeded:
-		told := *f
-		told.Kind = fault.TargetRefused
-		if told.Kind.Row().Status == http.StatusServiceUnavailable {
-			return &told
+		refused := *f
+		refused.Kind = fault.TargetRefused
+		if refused.Kind.Row().Status == http.StatusServiceUnavailable {
+			return &refused
 		}
 	}
 	return f
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -35,27 +35,27 @@
 	version  int
 	nextID   int
 	client   *http.Client
-	// ways are the gateways' ways to the store, by name.
-	ways map[string]*way
-	// knownWithin is Options.KnownWithin of gateways that start.
+	// links are the gateways' connections to the store, by gateway name.
+	links map[string]*storeLink
+	// knownWithin is Options.KnownWithin of gateways that are started.
 	knownWithin time.Duration
-	// slow is a prefix whose listings take slowListing for gateways that start.
-	slow string
+	// slowPrefix is a prefix whose listings take slowListing for gateways that are started.
+	slowPrefix string
 }
 
-// slowListing is long enough for all other calls of a gateway that starts.
+// slowListing is longer than all other calls of a starting gateway take.
 const slowListing = 400 * time.Millisecond
 
-// way is a gateway's way to the store, which can be cut.
-type way struct {
+// storeLink is a gateway's connection to the store, which can be cut.
+type storeLink struct {
 	kv.Ledger
 	cut atomic.Bool
-	// slow delays listings of the prefix by slowFor.
-	slow    string
-	slowFor time.Duration
+	// slowDelay is the delay of listings of slowPrefix.
+	slowPrefix string
+	slowDelay  time.Duration
 }
 
-func (w *way) err() error {
+func (w *storeLink) errIfCut() error {
 	if w.cut.Load() {
 		return kv.ErrUnavailable
 	}
@@ -63,36 +63,36 @@
 }
 
 // Get implements kv.Ledger.
-func (w *way) Get(ctx context.Context, key string) (kv.Record, error) {
-	if err := w.err(); err != nil {
+func (w *storeLink) Get(ctx context.Context, key string) (kv.Record, error) {
+	if err := w.errIfCut(); err != nil {
 		return kv.Record{}, err
 	}
 	return w.Ledger.Get(ctx, key)
 }
 
 // List implements kv.Ledger.
-func (w *way) List(ctx context.Context, prefix string) ([]kv.Record, kv.Revision, error) {
-	if err := w.err(); err != nil {
+func (w *storeLink) List(ctx context.Context, prefix string) ([]kv.Record, kv.Revision, error) {
+	if err := w.errIfCut(); err != nil {
 		return nil, 0, err
 	}
-	if prefix == w.slow {
-		time.Sleep(w.slowFor)
+	if prefix == w.slowPrefix {
+		time.Sleep(w.slowDelay)
 	}
 	return w.Ledger.List(ctx, prefix)
 }
 
-// Watch implements kv.Ledger; a cut loses also what a watch that waits would bring.
-func (w *way) Watch(ctx context.Context, prefix string, since kv.Revision, wait time.Duration) ([]kv.Record, kv.Revision, error) {
+// Watch implements kv.Ledger. If the connection is cut during the watch, its result is lost.
+func (w *storeLink) Watch(ctx context.Context, prefix string, since kv.Revision, wait time.Duration) ([]kv.Record, kv.Revision, error) {
 	records, at, err := w.Ledger.Watch(ctx, prefix, since, wait)
-	if cut := w.err(); cut != nil {
-		return nil, 0, cut
+	if cutErr := w.errIfCut(); cutErr != nil {
+		return nil, 0, cutErr
 	}
 	return records, at, err
 }
 
 // KeepLease implements kv.Ledger.
-func (w *way) KeepLease(ctx context.Context, id kv.LeaseID) error {
-	if err := w.err(); err != nil {
+func (w *storeLink) KeepLease(ctx context.Context, id kv.LeaseID) error {
+	if err := w.errIfCut(); err != nil {
 		return err
 	}
 	return w.Ledger.KeepLease(ctx, id)
@@ -100,9 +100,9 @@
 
 const host = "h.example"
 
-// newFleet starts gateways on a store that has the configuration and the targets.
+// newFleet starts gateways with a store that has the configuration and the targets.
 func newFleet(t *testing.T, gateways int, config string, targets ...*platformtest.Target) *fleet {
-	f := &fleet{t: t, store: platformtest.NewStore(), targets: map[string]*platformtest.Target{}, ways: map[string]*way{}, client: &http.Client{}}
+	f := &fleet{t: t, store: platformtest.NewStore(), targets: map[string]*platformtest.Target{}, links: map[string]*storeLink{}, client: &http.Client{}}
 	t.Cleanup(f.close)
 	if config != "" {
 		f.configure(config)
@@ -115,7 +115,7 @@
 	}
 	if config != "" {
 		for _, g := range f.gateways {
-			waittest.Until(t, "the gateway is ready", g.known.Load)
+			waittest.Until(t, "the gateway is ready", g.synced.Load)
 		}
 	}
 	return f
@@ -135,7 +135,7 @@
 	}
 }
 
-// abandon ends a gateway as a lost process does.
+// abandon ends a gateway as a crash of its process would.
 func abandon(g *Gateway) {
 	g.cancel()
 	for _, l := range []interface{ Close() error }{g.callerListener, g.readyListener, g.peerListener} {
@@ -149,7 +149,7 @@
 	target.Register(f.store)
 }
 
-// setSlots gives each target so many slots, and waits until all gateways know of them.
+// setSlots sets the number of slots of each target, and waits until all gateways know it.
 func (f *fleet) setSlots(n int) {
 	f.t.Helper()
 	for _, target := range f.targets {
@@ -166,7 +166,7 @@
 	}
 }
 
-// configure writes a configuration with the next version; routes and services are JSON.
+// configure writes a configuration with the next version; rest is the JSON of its other fields.
 func (f *fleet) configure(rest string) {
 	f.version += 3
 	f.store.Put(platform.ConfigKey, []byte(fmt.Sprintf(`{"version":"%08x",%s}`, f.version, rest)))
@@ -175,10 +175,10 @@
 func (f *fleet) start(name string) *Gateway {
 	f.t.Helper()
 	orders := platform.NewOrders()
-	f.ways[name] = &way{Ledger: platform.NewStore(f.store.Address()), slow: f.slow, slowFor: slowListing}
+	f.links[name] = &storeLink{Ledger: platform.NewStore(f.store.Address()), slowPrefix: f.slowPrefix, slowDelay: slowListing}
 	g, err := New(Options{
 		Name: name, DataCentre: "hall", CallerAddress: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0", PeerAddress: "127.0.0.1:0",
-		Store: f.ways[name], LeaseMin: time.Second, KnownWithin: f.knownWithin, HoldMax: 10 * time.Second, Grace: 3 * time.Second,
+		Store: f.links[name], LeaseMin: time.Second, KnownWithin: f.knownWithin, HoldMax: 10 * time.Second, Grace: 3 * time.Second,
 		RetryShare: 0.2, RetryMin: 60, RetryWindow: 10 * time.Second,
 		Logger: slog.New(slog.NewTextHandler(&f.log, nil)).With("router", name),
 		Adapter: Adapter{
@@ -201,7 +201,7 @@
 	return g
 }
 
-// call is one request of a caller.
+// call is a caller's request.
 type call struct {
 	method, path string
 	key          int
@@ -209,7 +209,7 @@
 	left         time.Duration
 }
 
-// answer is what the caller got.
+// answer is the answer that the caller got.
 type answer struct {
 	status int
 	header http.Header
@@ -247,8 +247,8 @@
 	return answer{resp.StatusCode, resp.Header, string(body), id, err}
 }
 
-// served sends until the call is answered 200, since keys may be on their way.
-func (f *fleet) served(g *Gateway, c call) answer {
+// sendUntilServed sends the call until it is answered 200, since its key may be moving.
+func (f *fleet) sendUntilServed(g *Gateway, c call) answer {
 	f.t.Helper()
 	var last answer
 	waittest.Until(f.t, c.path+" is served", func() bool {
@@ -258,7 +258,7 @@
 	return last
 }
 
-// holder is the target that holds the key.
+// holder returns the ID of the target that holds the key; several are joined by "+".
 func (f *fleet) holder(k keyspace.Key) string {
 	var held []string
 	for id, target := range f.targets {
@@ -269,13 +269,13 @@
 	return strings.Join(held, "+")
 }
 
-// leader is the gateway that leads, or nil.
+// leader returns the gateway that leads, or nil.
 func (f *fleet) leader() *Gateway {
-	return f.leaderBut(nil)
+	return f.leaderOtherThan(nil)
 }
 
-// leaderBut is the gateway that leads and is not the one given, or nil.
-func (f *fleet) leaderBut(other *Gateway) *Gateway {
+// leaderOtherThan returns a gateway that leads and is not the given one, or nil.
+func (f *fleet) leaderOtherThan(other *Gateway) *Gateway {
 	for _, g := range f.gateways {
 		g.subscription.mu.Lock()
 		leads := g.subscription.term != nil && g.lifetime.Err() == nil
@@ -287,7 +287,7 @@
 	return nil
 }
 
-// waiters is how many requests wait for a place.
+// waiters returns the number of requests that wait for placement.
 func (s *service) waiters() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -325,18 +325,18 @@
 }
 
 const (
-	// stallTick is how often a watcher of the process looks at the clock, and stallMost how
-	// late it may be: leases of a second are kept by renewals some hundred milliseconds apart.
+	// stallTick is how often watchStalls reads the clock, and maxStall how late it may be: leases of
+	// a second are renewed every few hundred milliseconds.
 	stallTick = 20 * time.Millisecond
-	stallMost = 250 * time.Millisecond
-	// stallTries is how often a check is made again that a stall has spoilt.
+	maxStall  = 250 * time.Millisecond
+	// stallTries is the maximum number of runs of a check that fails because of stalls.
 	stallTries = 5
 )
 
-// unstalled makes a check that rests on leases kept in time. Where it fails and the whole
-// process was seen to stand still meanwhile, which no router could have borne, it is made
-// again; a failure without a stall fails the test.
-func unstalled(t *testing.T, check func() error) {
+// retryOnStall runs a check that depends on leases being renewed in time. If the check fails and the whole
+// process has stalled meanwhile for longer than leases allow, it is run again. A failure without a stall
+// fails the test.
+func retryOnStall(t *testing.T, check func() error) {
 	t.Helper()
 	var err error
 	for range stallTries {
@@ -349,15 +349,15 @@
 		if err == nil {
 			return
 		}
-		t.Logf("%v; the process stood still for up to %v", err, stall)
-		if stall < stallMost {
+		t.Logf("%v; the process stalled for up to %v", err, stall)
+		if stall < maxStall {
 			break
 		}
 	}
 	t.Fatal(err)
 }
 
-// watchStalls returns the longest time for which the process stood still.
+// watchStalls returns the longest stall of the process until done is closed.
 func watchStalls(done <-chan struct{}) (worst time.Duration) {
 	last := time.Now()
 	for {
--- a/gateway/keysamples.go
+++ b/gateway/keysamples.go
@@ -7,29 +7,29 @@
 	"tarragongw/core/keyspace"
 )
 
-// maxKeySamples bounds the keys that are kept for the leader between two looks.
+// maxKeySamples bounds the keys that are kept between two calls of take.
 const maxKeySamples = 4096
 
-// keySamples gathers the keys that were asked for.
+// keySamples collects the keys of requests.
 type keySamples struct {
 	mu   sync.Mutex
 	keys []keyspace.Key
 }
 
-func (b *keySamples) add(k keyspace.Key) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if len(b.keys) < maxKeySamples {
-		b.keys = append(b.keys, k)
+func (s *keySamples) add(k keyspace.Key) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.keys) < maxKeySamples {
+		s.keys = append(s.keys, k)
 	}
 }
 
-// take returns the keys since the last call.
-func (b *keySamples) take() []keyspace.Key {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	keys := b.keys
-	b.keys = nil
+// take returns the keys collected since the last call.
+func (s *keySamples) take() []keyspace.Key {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	keys := s.keys
+	s.keys = nil
 	return keys
 }
 
--- a/gateway/observe.go
+++ b/gateway/observe.go
@@ -9,7 +9,7 @@
 	"tarragongw/core/fault"
 )
 
-// observer logs and counts each request once it has ended.
+// observer logs and counts each request when it has ended.
 type observer struct{ g *Gateway }
 
 // Observe implements caller.Observer.
@@ -27,27 +27,27 @@
 		"nth", out.Nth)
 }
 
-// logPlaced logs where a request is sent and what that rests on.
+// logPlaced logs the target at which a request was placed, and the data behind that decision.
 func (g *Gateway) logPlaced(x *exchange, d *dispatch.Decision, waited time.Duration) {
 	key := -1
 	if x.key != nil {
 		key = int(*x.key)
 	}
-	g.log.Info("placed", "id", x.meta.ID, "service", x.s.name, "key", key, "config", x.route.version,
+	g.log.Info("placed", "id", x.meta.ID, "service", x.service.name, "key", key, "config", x.route.version,
 		"target", d.Target.ID, "in", d.Target.DataCentre, "born", d.Target.Born, "work", d.Work, "report_age", d.ReportAge, "waited", waited, "send", x.sends+1)
 }
 
-// serveReady answers the platform's question whether this router takes new connections.
+// serveReady serves the platform's readiness check: whether this router accepts new connections.
 func (g *Gateway) serveReady() {
 	mux := http.NewServeMux()
 	mux.HandleFunc(g.opts.Adapter.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
-		if g.leaving.Load() || !g.known.Load() {
+		if g.stopping.Load() || !g.synced.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	g.readyServer = &http.Server{Handler: mux, ReadHeaderTimeout: askTimeout}
-	g.goRun(func() { g.serveOwn(g.readyServer, g.readyListener) })
+	g.readyServer = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
+	g.goRun(func() { g.serveInternal(g.readyServer, g.readyListener) })
 }
 
-// askTimeout bounds a question of the platform's or of who collects metrics.
-const askTimeout = 5 * time.Second
+// readHeaderTimeout bounds reading the header of a readiness check or of a request for metrics.
+const readHeaderTimeout = 5 * time.Second
--- a/gateway/restore_test.go
+++ b/gateway/restore_test.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// firstEra is that of a store at the begin of a test.
+	// firstEra is the store's era at the start of a test.
 	firstEra = 4
-	// servedWithin is how soon after a restore keys are served.
+	// servedWithin is the time after a restore within which keys must be served.
 	servedWithin = time.Second
 )
 
-// restored is how the store of most tests comes back.
-var restored = platformtest.Restored{RewriteAfter: 300 * time.Millisecond}
+// defaultRestore is how most tests restore the store.
+var defaultRestore = platformtest.Restored{RewriteAfter: 300 * time.Millisecond}
 
 var restoreKeys = []int{100, 20000, 33000, 50000, 65000}
 
-// newRestoredFleet starts routers and three targets on a store that counts its eras.
+// newRestoredFleet starts routers and three targets with a store that counts its eras.
 func newRestoredFleet(t *testing.T, routers int) *fleet {
 	f := newFleet(t, 0, "")
 	f.store.CountEras(firstEra)
@@ -37,23 +37,24 @@
 	for i := range routers {
 		f.start(fmt.Sprintf("router-%d", i))
 	}
-	f.allServed()
+	f.waitUntilAllServed()
 	return f
 }
 
-// allServed waits until all live routers serve all keys.
-func (f *fleet) allServed() {
+// waitUntilAllServed waits until all live routers serve all keys of restoreKeys.
+func (f *fleet) waitUntilAllServed() {
 	f.t.Helper()
 	for _, g := range f.gateways {
 		for _, k := range restoreKeys {
 			if g.lifetime.Err() == nil {
-				f.served(g, call{method: http.MethodGet, path: "/read/1", key: k})
+				f.sendUntilServed(g, call{method: http.MethodGet, path: "/read/1", key: k})
 			}
 		}
 	}
 }
 
-// moveKey has another target hold the key, and its former holder ready again.
+// moveKey moves the key by draining its holder, and ends the drain afterwards. It returns the old and the
+// new holder.
 func (f *fleet) moveKey(k uint16) (old, now string) {
 	f.t.Helper()
 	waittest.Until(f.t, "one target holds the key", func() bool { old = f.holder(k); return old != "" && !strings.Contains(old, "+") })
@@ -66,15 +67,15 @@
 	return old, now
 }
 
-// doubleWatch looks for keys that two targets hold.
-type doubleWatch struct {
-	stop  chan struct{}
-	done  sync.WaitGroup
-	found string
+// doubleHolderWatch checks continuously that no key is held by two targets.
+type doubleHolderWatch struct {
+	stop      chan struct{}
+	done      sync.WaitGroup
+	violation string
 }
 
-func (f *fleet) watchDoubles() *doubleWatch {
-	w := &doubleWatch{stop: make(chan struct{})}
+func (f *fleet) watchDoubleHolders() *doubleHolderWatch {
+	w := &doubleHolderWatch{stop: make(chan struct{})}
 	targets := make([]*platformtest.Target, 0, len(f.targets))
 	for _, t := range f.targets {
 		targets = append(targets, t)
@@ -82,7 +83,7 @@
 	w.done.Go(func() {
 		for {
 			for _, k := range restoreKeys {
-				w.look(targets, uint16(k))
+				w.check(targets, uint16(k))
 			}
 			select {
 			case <-w.stop:
@@ -94,28 +95,28 @@
 	return w
 }
 
-func (w *doubleWatch) look(targets []*platformtest.Target, k uint16) {
-	var held []*platformtest.Target
+func (w *doubleHolderWatch) check(targets []*platformtest.Target, k uint16) {
+	var holders []*platformtest.Target
 	for _, t := range targets {
 		if t.Holds(k) {
-			held = append(held, t)
+			holders = append(holders, t)
 		}
 	}
-	// The first is asked again: the key may have moved in between.
-	if len(held) > 1 && held[0].Holds(k) && held[1].Holds(k) && w.found == "" {
-		w.found = fmt.Sprintf("%s and %s hold key %d", held[0].ID, held[1].ID, k)
+	// The holders are asked again, because the key may have moved in between.
+	if len(holders) > 1 && holders[0].Holds(k) && holders[1].Holds(k) && w.violation == "" {
+		w.violation = fmt.Sprintf("%s and %s hold key %d", holders[0].ID, holders[1].ID, k)
 	}
 }
 
-// end stops the watch and fails the test if it found anything.
-func (w *doubleWatch) end(t *testing.T) {
+// assertNone stops the watch, and fails the test if a key had two holders.
+func (w *doubleHolderWatch) assertNone(t *testing.T) {
 	t.Helper()
 	close(w.stop)
 	w.done.Wait()
-	assert.Equal(t, w.found, "")
+	assert.Equal(t, w.violation, "")
 }
 
-// highestToken is the highest token that any target has seen for the key.
+// highestToken returns the highest fencing token that any target has seen for the key.
 func (f *fleet) highestToken(k uint16) uint64 {
 	highest := uint64(0)
 	for _, t := range f.targets {
@@ -124,122 +125,124 @@
 	return highest
 }
 
-// Two targets hold a key, or nobody serves it, because a restored store names a holder that has
-// given it away since.
-func TestRestoreForgetsAMove(t *testing.T) {
-	t.Run("leases have lapsed", func(t *testing.T) { restoreForgetsAMove(t, restored) })
-	t.Run("leases begin anew", func(t *testing.T) {
-		restoreForgetsAMove(t, platformtest.Restored{RewriteAfter: restored.RewriteAfter, KeepLeases: true})
+// Guards against a key with two holders or none, because the restored store names a holder that has
+// released the key since.
+func TestRestoreThatUndoesAMoveLeavesOneHolder(t *testing.T) {
+	t.Run("leases have expired", func(t *testing.T) { undoMoveByRestore(t, defaultRestore) })
+	t.Run("leases are kept", func(t *testing.T) {
+		undoMoveByRestore(t, platformtest.Restored{RewriteAfter: defaultRestore.RewriteAfter, KeepLeases: true})
 	})
 }
 
-func restoreForgetsAMove(t *testing.T, how platformtest.Restored) {
+func undoMoveByRestore(t *testing.T, restore platformtest.Restored) {
 	f := newRestoredFleet(t, 3)
 	f.store.Snapshot()
 	_, holder := f.moveKey(100)
-	f.allServed()
-	doubles := f.watchDoubles()
+	f.waitUntilAllServed()
+	doubleHolders := f.watchDoubleHolders()
 	before := f.highestToken(100)
-	f.store.Restore(how)
+	f.store.Restore(restore)
 	began := time.Now()
-	f.allServed()
+	f.waitUntilAllServed()
 	assert.Assert(t, time.Since(began) < servedWithin, "after %v", time.Since(began))
 	assert.Equal(t, f.holder(100), holder)
 	waittest.Until(t, "a router leads in the next era", func() bool {
 		g := f.leader()
 		return g != nil && g.era() == firstEra+1
 	})
-	time.Sleep(restored.RewriteAfter)
+	time.Sleep(defaultRestore.RewriteAfter)
 	f.moveKey(100)
-	f.allServed()
+	f.waitUntilAllServed()
 	assert.Assert(t, f.highestToken(100) > before)
-	doubles.end(t)
+	doubleHolders.assertNone(t)
 }
 
-// Targets refuse all grants, or two hold a key under one token, because a restored store has
-// tokens given out again.
+// Guards against targets that refuse all grants, or two that hold a key with the same token, because tokens
+// are assigned a second time after a restore.
 func TestTokensRiseWhereAllRoutersStartAfterARestore(t *testing.T) {
 	f := newRestoredFleet(t, 2)
 	f.store.Snapshot()
 	f.moveKey(100)
-	f.allServed()
+	f.waitUntilAllServed()
 	before := f.highestToken(100)
-	doubles := f.watchDoubles()
+	doubleHolders := f.watchDoubleHolders()
 	for _, g := range f.gateways {
 		abandon(g)
 	}
-	f.store.Restore(restored)
+	f.store.Restore(defaultRestore)
 	f.start("late-0")
 	f.start("late-1")
-	waittest.Until(t, "the key is held under a higher token", func() bool { return f.highestToken(100) > before && f.holder(100) != "" })
-	f.allServed()
-	doubles.end(t)
+	waittest.Until(t, "the key is held with a higher token", func() bool { return f.highestToken(100) > before && f.holder(100) != "" })
+	f.waitUntilAllServed()
+	doubleHolders.assertNone(t)
 }
 
-// A new leader grants keys by a restored table while a target that it doesn't name holds them.
-func TestLeaderIsLostWithARestore(t *testing.T) {
+// Guards against a new leader that grants keys by a restored key table while a target that isn't named in
+// it holds them.
+func TestNewLeaderAfterARestoreRespectsCurrentHolders(t *testing.T) {
 	f := newRestoredFleet(t, 3)
 	f.store.Snapshot()
 	f.moveKey(100)
-	doubles := f.watchDoubles()
+	doubleHolders := f.watchDoubleHolders()
 	lost := f.leader()
 	abandon(lost)
-	f.store.Restore(restored)
-	waittest.Until(t, "another router leads", func() bool { return f.leaderBut(lost) != nil })
-	f.allServed()
-	doubles.end(t)
+	f.store.Restore(defaultRestore)
+	waittest.Until(t, "another router leads", func() bool { return f.leaderOtherThan(lost) != nil })
+	f.waitUntilAllServed()
+	doubleHolders.assertNone(t)
 }
 
-// A leader that was cut off goes on in a restored store with what it knew, although another led
-// meanwhile and moved keys.
-func TestLeaderOfBeforeReturnsAfterARestore(t *testing.T) {
+// Guards against a leader that was cut off and continues its term after a restore, although another router
+// has led meanwhile and moved keys.
+func TestFormerLeaderDoesNotResumeAfterARestore(t *testing.T) {
 	f := newRestoredFleet(t, 3)
 	f.store.Snapshot()
 	first := f.leader()
-	f.ways[first.opts.Name].cut.Store(true)
-	waittest.Until(t, "another router leads", func() bool { return f.leaderBut(first) != nil })
-	second := f.leaderBut(first)
+	f.links[first.opts.Name].cut.Store(true)
+	waittest.Until(t, "another router leads", func() bool { return f.leaderOtherThan(first) != nil })
+	second := f.leaderOtherThan(first)
 	f.moveKey(100)
-	doubles := f.watchDoubles()
+	doubleHolders := f.watchDoubleHolders()
 	abandon(second)
-	f.store.Restore(restored)
-	f.ways[first.opts.Name].cut.Store(false)
+	f.store.Restore(defaultRestore)
+	f.links[first.opts.Name].cut.Store(false)
 	waittest.Until(t, "a router leads in the next era", func() bool {
-		g := f.leaderBut(second)
+		g := f.leaderOtherThan(second)
 		return g != nil && g.era() == firstEra+1
 	})
-	f.allServed()
-	doubles.end(t)
-	assert.Assert(t, !strings.Contains(f.log.String(), "leadership kept"), "the leader of before went on")
+	f.waitUntilAllServed()
+	doubleHolders.assertNone(t)
+	assert.Assert(t, !strings.Contains(f.log.String(), "leadership kept"), "the former leader continued its term")
 }
 
-// A second restore while the lead is taken again leaves the keys without a leader.
+// Guards against keys that remain without a leader, because the store is restored a second time while the
+// leader takes leadership again.
 func TestTwoRestoresInARow(t *testing.T) {
 	f := newRestoredFleet(t, 3)
 	f.store.Snapshot()
 	_, holder := f.moveKey(100)
-	doubles := f.watchDoubles()
-	f.store.Restore(restored)
+	doubleHolders := f.watchDoubleHolders()
+	f.store.Restore(defaultRestore)
 	time.Sleep(time.Second)
-	f.store.Restore(restored)
+	f.store.Restore(defaultRestore)
 	began := time.Now()
-	f.allServed()
+	f.waitUntilAllServed()
 	assert.Assert(t, time.Since(began) < servedWithin, "after %v", time.Since(began))
 	assert.Equal(t, f.holder(100), holder)
 	time.Sleep(2 * time.Second)
 	f.moveKey(100)
-	f.allServed()
-	doubles.end(t)
+	f.waitUntilAllServed()
+	doubleHolders.assertNone(t)
 }
 
-// A configuration that was in force is taken back, because a restored store has an older one.
-func TestConfigurationDoesNotGoBackWithARestore(t *testing.T) {
+// Guards against routers that go back to an older configuration, because the restored store has one.
+func TestConfigurationDoesNotRevertWithARestore(t *testing.T) {
 	f := newRestoredFleet(t, 3)
 	f.store.Snapshot()
 	f.configure(strings.ReplaceAll(keyedConfig, "/read/", "/look/"))
 	newer := call{method: http.MethodGet, path: "/look/1", key: 100}
 	for _, g := range f.gateways {
-		f.served(g, newer)
+		f.sendUntilServed(g, newer)
 	}
 	f.store.Restore(platformtest.Restored{RewriteAfter: 2 * time.Second})
 	f.start("late")
@@ -250,31 +253,31 @@
 		}
 	}
 	for _, g := range f.gateways {
-		f.served(g, newer)
+		f.sendUntilServed(g, newer)
 	}
 }
 
-// A configuration that is written after a restore is not seen for as long as a watch waits, because
-// its revision lies before the one that the watch goes on from.
+// Guards against a configuration that is noticed only when a watch times out: it is written after a restore,
+// with a revision below the one that the watch waits for.
 func TestConfigurationAfterARestoreIsSeenSoon(t *testing.T) {
 	f := newRestoredFleet(t, 3)
 	f.store.Snapshot()
 	f.registerAll(20)
 	f.configure(strings.ReplaceAll(keyedConfig, "/read/", "/seek/"))
 	for _, g := range f.gateways {
-		f.served(g, call{method: http.MethodGet, path: "/seek/1", key: 100})
+		f.sendUntilServed(g, call{method: http.MethodGet, path: "/seek/1", key: 100})
 	}
 	f.store.Restore(platformtest.Restored{RewriteAfter: time.Minute})
 	f.configure(strings.ReplaceAll(keyedConfig, "/read/", "/look/"))
-	f.registerAll(40) // the store's revision is beyond that of before
+	f.registerAll(40) // the store's revision is now above that before the restore
 	began := time.Now()
 	for _, g := range f.gateways {
-		f.served(g, call{method: http.MethodGet, path: "/look/1", key: 100})
+		f.sendUntilServed(g, call{method: http.MethodGet, path: "/look/1", key: 100})
 	}
 	assert.Assert(t, time.Since(began) < 2*time.Second, "after %v", time.Since(began))
 }
 
-// registerAll has each target write its entry so many times.
+// registerAll makes each target write its entry the given number of times.
 func (f *fleet) registerAll(times int) {
 	for range times {
 		for _, target := range f.targets {
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -15,104 +15,104 @@
 	"tarragongw/core/routes"
 )
 
-// pollEvery is how often requests that wait for a place are looked at again: what is
-// believed of the other routers' work fades within a fifth of a second.
-const pollEvery = 10 * time.Millisecond
+// pollInterval is how often the placement of waiting requests is tried again: the estimate of the
+// other routers' work at a target decays within 200 ms.
+const pollInterval = 10 * time.Millisecond
 
-// service is what the router keeps for one service: the decisions of core/dispatch behind
-// a lock, and the requests that wait.
+// service is the state of one service: core/dispatch behind a lock, and the requests that wait for
+// placement.
 type service struct {
 	name  string
 	byKey bool
 
-	mu      sync.Mutex
-	core    *dispatch.Service
-	budget  *retry.Budget
-	waiting map[uint64]chan dispatch.Decision
-	lastID  uint64
-	timer   *time.Timer
-	// table is the division of keys that is in force.
+	mu         sync.Mutex
+	dispatcher *dispatch.Service
+	budget     *retry.Budget
+	waiting    map[uint64]chan dispatch.Decision
+	lastID     uint64
+	timer      *time.Timer
+	// table is the key table in force.
 	table *keyspace.Table
-	// changed is closed when the table changes.
-	changed chan struct{}
-	keyLoad *keySamples
+	// tableChanged is closed when the table changes.
+	tableChanged chan struct{}
+	keyLoad      *keySamples
 }
 
 func newService(spec routes.Service, dataCentre string, budget *retry.Budget) *service {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	return &service{
-		name: spec.Name, byKey: spec.ByKey, core: dispatch.New(dataCentre, spec.ByKey, random), budget: budget,
-		waiting: map[uint64]chan dispatch.Decision{}, changed: make(chan struct{}), keyLoad: &keySamples{},
+		name: spec.Name, byKey: spec.ByKey, dispatcher: dispatch.New(dataCentre, spec.ByKey, random), budget: budget,
+		waiting: map[uint64]chan dispatch.Decision{}, tableChanged: make(chan struct{}), keyLoad: &keySamples{},
 	}
 }
 
-// setTargets puts the service's targets in force.
+// setTargets sets the service's targets.
 func (s *service) setTargets(targets []directory.Target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.SetTargets(targets)
+	s.dispatcher.SetTargets(targets)
 	s.poll(time.Now())
 }
 
-// setTable puts a division of the keys in force.
+// setTable sets the key table.
 func (s *service) setTable(t *keyspace.Table) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	s.table = t
-	close(s.changed)
-	s.changed = make(chan struct{})
-	s.core.SetTable(t)
+	close(s.tableChanged)
+	s.tableChanged = make(chan struct{})
+	s.dispatcher.SetTable(t)
 	s.poll(now)
 }
 
-// currentTable returns the division in force and what is closed when it changes.
+// currentTable returns the key table in force, and a channel that is closed when it changes.
 func (s *service) currentTable() (*keyspace.Table, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table, s.changed
+	return s.table, s.tableChanged
 }
 
-// acquire waits for a place, and calls waits first where there is none yet. Its work counts
-// until done.
-func (s *service) acquire(ctx context.Context, r dispatch.Request, waits func()) (dispatch.Decision, *fault.Fault) {
+// acquire places a request. If it has to wait for that, onWait is called first. The request counts
+// towards the target's work until done is called.
+func (s *service) acquire(ctx context.Context, r dispatch.Request, onWait func()) (dispatch.Decision, *fault.Fault) {
 	s.mu.Lock()
 	s.lastID++
 	r.ID = s.lastID
-	d := s.core.Offer(time.Now(), r)
+	d := s.dispatcher.Offer(time.Now(), r)
 	var answer chan dispatch.Decision
 	if d.Verdict == dispatch.Wait {
 		answer = make(chan dispatch.Decision, 1)
 		s.waiting[r.ID] = answer
-		s.arm()
+		s.armPoll()
 	}
 	s.mu.Unlock()
 	if answer == nil {
 		return d, refusalOf(&d)
 	}
-	waits()
+	onWait()
 	select {
 	case d = <-answer:
 		return d, refusalOf(&d)
 	case <-ctx.Done():
 	}
-	return s.leave(ctx, r.ID, answer)
+	return s.withdraw(ctx, r.ID, answer)
 }
 
-// leave takes a request that waits back. A place that it was given meanwhile is given up.
-func (s *service) leave(ctx context.Context, id uint64, answer chan dispatch.Decision) (dispatch.Decision, *fault.Fault) {
+// withdraw ends the waiting of a request. If it was placed meanwhile, the placement is undone.
+func (s *service) withdraw(ctx context.Context, id uint64, answer chan dispatch.Decision) (dispatch.Decision, *fault.Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.core.Cancel(id) {
+	if s.dispatcher.Cancel(id) {
 		delete(s.waiting, id)
 	} else if d := <-answer; d.Verdict == dispatch.Send {
-		s.core.Done(time.Now(), d.Target.ID, dispatch.Left, 0, 1)
+		s.dispatcher.Done(time.Now(), d.Target.ID, dispatch.Left, 0, 1)
 	}
-	return dispatch.Decision{}, endOf(ctx)
+	return dispatch.Decision{}, endedWhileWaiting(ctx)
 }
 
-// endOf is the fault of a request that ended before it was sent.
-func endOf(ctx context.Context) *fault.Fault {
+// endedWhileWaiting returns the fault of a request that ended before it was sent.
+func endedWhileWaiting(ctx context.Context) *fault.Fault {
 	kind := fault.CallerGone
 	if context.Cause(ctx) == context.DeadlineExceeded {
 		kind = fault.DeadlineUnmeetable
@@ -131,37 +131,37 @@
 	return f
 }
 
-// done ends work at a target.
+// done reports that a request at a target has ended.
 func (s *service) done(id string, result dispatch.Result, took time.Duration, turns float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.core.Done(now, id, result, took, turns)
+	s.dispatcher.Done(now, id, result, took, turns)
 	s.poll(now)
 }
 
-// report notes what an answer tells of its target's work.
-func (s *service) report(id string, r dispatch.Report) {
+// recordReport records the load report in a target's answer.
+func (s *service) recordReport(id string, r dispatch.Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.Report(time.Now(), id, r)
+	s.dispatcher.Report(time.Now(), id, r)
 }
 
-// poll answers requests that need not wait any longer; the lock is held.
+// poll answers requests that no longer have to wait; the caller holds the lock.
 func (s *service) poll(now time.Time) {
-	for id, d := range s.core.Poll(now) {
+	for id, d := range s.dispatcher.Poll(now) {
 		s.waiting[id] <- d
 		delete(s.waiting, id)
 	}
-	s.arm()
+	s.armPoll()
 }
 
-// arm has what waits looked at again; the lock is held.
-func (s *service) arm() {
+// armPoll schedules the next poll if requests are waiting; the caller holds the lock.
+func (s *service) armPoll() {
 	if len(s.waiting) == 0 || s.timer != nil {
 		return
 	}
-	s.timer = time.AfterFunc(pollEvery, func() {
+	s.timer = time.AfterFunc(pollInterval, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.timer = nil
@@ -169,15 +169,15 @@
 	})
 }
 
-// counted pays for retries with a request of the service.
-func (s *service) counted() {
+// countRequest adds the share of a request to the retry budget.
+func (s *service) countRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.budget.Success()
 }
 
-// mayRetry takes one further attempt from the budget.
-func (s *service) mayRetry() bool {
+// takeRetry takes a retry from the budget, and reports whether there was one.
+func (s *service) takeRetry() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.budget.Take(time.Now())
@@ -189,49 +189,49 @@
 	s.budget.SetRouters(n)
 }
 
-// drainServiceTimes returns what answers told of the targets' speed since the last call.
+// drainServiceTimes returns the service times that this router has measured since the last call.
 func (s *service) drainServiceTimes() []dispatch.TargetStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.core.DrainServiceTimes(time.Now())
+	return s.dispatcher.DrainServiceTimes(time.Now())
 }
 
-// learnServiceTimes takes in what another router's answers told it.
+// learnServiceTimes adds service times that another router has measured.
 func (s *service) learnServiceTimes(serviceTimes []dispatch.TargetStats) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.LearnServiceTimes(time.Now(), serviceTimes)
+	s.dispatcher.LearnServiceTimes(time.Now(), serviceTimes)
 }
 
-// changedServiceTimes returns the targets' speeds that have changed since the last call.
+// changedServiceTimes returns the targets' service times that have changed since the last call.
 func (s *service) changedServiceTimes() []dispatch.TargetStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.core.ChangedServiceTimes()
+	return s.dispatcher.ChangedServiceTimes()
 }
 
-// setServiceTimes puts the targets' speeds in force that all routers together know.
+// setServiceTimes sets the targets' service times, as measured by all routers together.
 func (s *service) setServiceTimes(serviceTimes []dispatch.TargetStats) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.SetServiceTimes(serviceTimes)
+	s.dispatcher.SetServiceTimes(serviceTimes)
 }
 
-// pressed reports whether a target has had too much to do of late.
-func (s *service) pressed(id string) bool {
+// overloaded reports whether a target has recently been overloaded.
+func (s *service) overloaded(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.core.Pressed(time.Now(), id)
+	return s.dispatcher.Pressed(time.Now(), id)
 }
 
-// setLimits puts the keys in force of which just a part of the requests is served.
+// setLimits sets the keys of which only a part of the requests is served.
 func (s *service) setLimits(all []keyspace.Limit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.SetLimits(time.Now(), all)
+	s.dispatcher.SetLimits(time.Now(), all)
 }
 
-// keyOf reads the key of a request for a service that is divided by key.
+// keyOf returns the key of a request for a service with keys.
 func keyOf(h http.Header, name string) (*keyspace.Key, *fault.Fault) {
 	values := h[name]
 	if len(values) != 1 {
@@ -244,9 +244,9 @@
 	return &key, nil
 }
 
-// speed is how long a target takes for a request in seconds; zero where it isn't known.
-func (s *service) speed(id string) float64 {
+// serviceTime returns how long a target takes for a request, in seconds; zero if unknown.
+func (s *service) serviceTime(id string) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.core.ServiceTime(id)
+	return s.dispatcher.ServiceTime(id)
 }
--- a/gateway/storecalls.go
+++ b/gateway/storecalls.go
@@ -7,17 +7,17 @@
 	"tarragongw/kv"
 )
 
-// What calls to the store are for, as store_calls_total names it.
+// The purposes of store calls; part of the label kind of the metric store_calls_total.
 const (
-	forLead    = "lead"
-	forKeys    = "keys"
-	forConfig  = "config"
-	forTargets = "targets"
-	forRouters = "routers"
-	forOwn     = "own_record"
+	purposeLead      = "lead"
+	purposeKeys      = "keys"
+	purposeConfig    = "config"
+	purposeTargets   = "targets"
+	purposeRouters   = "routers"
+	purposeOwnRecord = "own_record"
 )
 
-// storeFor returns the store for calls that are counted under the purpose.
+// storeFor returns the store, with its calls counted under the purpose.
 func (g *Gateway) storeFor(purpose string) kv.Ledger {
 	if g.opts.Telemetry == nil {
 		return g.opts.Store
@@ -25,19 +25,19 @@
 	return &countedStore{store: g.opts.Store, observer: g.opts.Telemetry, purpose: purpose}
 }
 
-// purposeOf returns what a watch of the prefix is for.
+// purposeOf returns the purpose of a watch of the prefix.
 func (g *Gateway) purposeOf(prefix string) string {
 	switch prefix {
 	case leaderPrefix:
-		return forLead
+		return purposeLead
 	case routerPrefix:
-		return forRouters
+		return purposeRouters
 	case tablePrefix:
-		return forKeys
+		return purposeKeys
 	case g.opts.Adapter.TargetPrefix:
-		return forTargets
+		return purposeTargets
 	default:
-		return forConfig
+		return purposeConfig
 	}
 }
 
--- a/gateway/storecalls_test.go
+++ b/gateway/storecalls_test.go
@@ -12,16 +12,16 @@
 	"tarragongw/telemetry"
 )
 
-// Guards against calls to the store that no metric tells the cause of.
+// Guards against store calls whose purpose is not shown by any metric.
 func TestStoreCallsAreCountedByPurpose(t *testing.T) {
 	g, _ := idleGateway(t)
 	g.opts.Telemetry = telemetry.New(telemetry.Config{})
 	ctx := t.Context()
 	_, at, err := g.storeFor(g.purposeOf(leaderPrefix)).List(ctx, leaderPrefix)
 	assert.NilError(t, err)
-	_, _, err = g.storeFor(forTargets).Watch(ctx, "targets/", at, time.Millisecond)
+	_, _, err = g.storeFor(purposeTargets).Watch(ctx, "targets/", at, time.Millisecond)
 	assert.NilError(t, err)
-	_, err = g.storeFor(forKeys).Get(ctx, tablePrefix+"nothing")
+	_, err = g.storeFor(purposeKeys).Get(ctx, tablePrefix+"nothing")
 	assert.Assert(t, err != nil)
 	for _, line := range []string{
 		`tarragongw_store_calls_total{kind="list_lead",outcome="ok"} 1`,
