--- a/caller/answer.go
+++ b/caller/answer.go
@@ -10,19 +10,19 @@
 	"tarragongw/core/fault"
 )
 
-// Headers of an answer that comes from the router itself.
+// Headers of an answer that the router generates itself.
 const (
 	// HeaderError carries the machine-readable code of the fault.
 	HeaderError = "Tarragon-Error"
 	// HeaderRan says whether the request ran: not-run, unknown or ran.
 	HeaderRan = "Tarragon-Ran"
-	// HeaderRetryAfterMillis carries the advised wait in milliseconds.
+	// HeaderRetryAfterMillis carries the advised retry delay in milliseconds.
 	HeaderRetryAfterMillis = "Retry-After-Ms"
 )
 
 const millisPerSecond = 1000
 
-// Answer is the body of an answer to a fault.
+// Answer is the JSON body of the answer to a fault.
 type Answer struct {
 	Code             string `json:"code"`
 	Ran              string `json:"ran"`
@@ -31,21 +31,21 @@
 	RetryAfterMillis int64  `json:"retry_after_ms,omitempty"`
 }
 
-// WriteFault answers with the row of the fault's kind. The answer is final; its
-// body is left out for HEAD.
+// WriteFault answers with the status, code and retry delay that the fault table lists for the
+// kind of f. It writes the complete answer; for HEAD it leaves out the body.
 func WriteFault(w http.ResponseWriter, method, requestID string, f *fault.Fault) {
 	writeFaultAnswer(w, method, requestID, f, &Config{})
 }
 
-// writeFaultAnswer is WriteFault under settings.
+// writeFaultAnswer is WriteFault with the settings in cfg.
 func writeFaultAnswer(w http.ResponseWriter, method, requestID string, f *fault.Fault, cfg *Config) {
 	row := f.Kind.Row()
 	answer := Answer{Code: row.Code, Ran: f.Ran.String(), Detail: f.Detail, RequestID: requestID}
 	h := w.Header()
 	if wait := f.Wait(); wait > 0 {
 		fraction := rand.Float64()
-		answer.RetryAfterMillis = spread(roundUp(wait, time.Millisecond), fraction)
-		h.Set("Retry-After", strconv.FormatInt(spread(roundUp(wait, time.Second), fraction), 10))
+		answer.RetryAfterMillis = jitter(roundUp(wait, time.Millisecond), fraction)
+		h.Set("Retry-After", strconv.FormatInt(jitter(roundUp(wait, time.Second), fraction), 10))
 		if cfg.FractionalWaits {
 			seconds := float64(answer.RetryAfterMillis) / millisPerSecond
 			h.Set("Retry-After", strconv.FormatFloat(seconds, 'f', -1, 64))
@@ -67,9 +67,10 @@
 	}
 }
 
-// statusOf is the status of a fault. What goes wrong without the exception: a caller whose
-// upload stalled on the way is answered 408, takes it for "not run" and sends it again,
-// although the target got enough of it to run it.
+// statusOf returns the status for a fault. Where callers take certain statuses as a guarantee
+// that the request did not run, a fault without that proof gets 502 instead. Otherwise a
+// caller whose upload stalled would be answered 408, take the request as not run and send it
+// again, although the target had received enough of it to run it.
 func (c *Config) statusOf(status int, ran fault.Ran) int {
 	if !c.Promises || ran == fault.NotRun {
 		return status
@@ -81,11 +82,11 @@
 	return status
 }
 
-// spread lengthens an advised wait by up to as much again. Callers that were refused
-// at one moment, because a target stopped or a queue was full, would else come back at
-// one moment and be refused again; one notices by refusals that come in waves.
-// fraction is drawn evenly from 0 to 1.
-func spread(units int64, fraction float64) int64 {
+// jitter lengthens a retry delay by a random amount of up to the delay itself. Without it,
+// callers that are refused at the same moment, because a target stopped or a queue was full,
+// would all return at the same moment and be refused again; the symptom is refusals that come
+// in waves. fraction is uniformly distributed in [0, 1).
+func jitter(units int64, fraction float64) int64 {
 	return units + int64(fraction*float64(units+1))
 }
 
--- a/caller/bench_test.go
+++ b/caller/bench_test.go
@@ -19,13 +19,13 @@
 	"tarragongw/core/request"
 )
 
-// benchTransport returns a transport that keeps its connections, so that both
-// ways pay the same for the target's side.
+// benchTransport returns a transport that keeps its connections open, so that both proxies
+// have the same costs towards the target.
 func benchTransport() *http.Transport {
 	return &http.Transport{MaxIdleConns: 0, MaxIdleConnsPerHost: 256, DisableCompression: true}
 }
 
-// roundTrips is a forwarder over net/http's transport.
+// roundTrips returns a forwarder that uses transport.
 func roundTrips(transport *http.Transport, target *url.URL) forwardFunc {
 	return func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		u := *r.URL
@@ -39,8 +39,8 @@
 	}
 }
 
-// benchProxy measures this package and, as the baseline, net/http/httputil's
-// reverse proxy, each as a server in front of the same target.
+// benchProxy measures this package and, as the baseline, the reverse proxy of
+// net/http/httputil, each as a server in front of the same target.
 func benchProxy(b *testing.B, size int) {
 	payload := strings.Repeat("x", size)
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -100,8 +100,8 @@
 	})
 }
 
-// cpuTime returns what the process used. On a busy machine it says more than the
-// time that passed.
+// cpuTime returns the CPU time used by the process. On a busy machine it is more meaningful
+// than elapsed time.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -119,7 +119,7 @@
 
 // BenchmarkHandler measures this package alone: no connection, no target.
 func BenchmarkHandler(b *testing.B) {
-	handler := NewHandler(Config{}, forwardFunc(answered), nil)
+	handler := NewHandler(Config{}, forwardFunc(answerWhole), nil)
 	handler.SetModel(testModel())
 	benchHandler(b, handler)
 }
@@ -139,12 +139,12 @@
 	return &http.Response{StatusCode: 200, ContentLength: 5, Body: &endBody{data: "whole"}, Request: r}, nil
 }
 
-// sink is a ResponseWriter that allocates nothing itself.
-type sink struct{ header http.Header }
+// discardWriter is a ResponseWriter that does not allocate.
+type discardWriter struct{ header http.Header }
 
-func (s *sink) Header() http.Header         { return s.header }
-func (s *sink) WriteHeader(int)             {}
-func (s *sink) Write(p []byte) (int, error) { return len(p), nil }
+func (s *discardWriter) Header() http.Header         { return s.header }
+func (s *discardWriter) WriteHeader(int)             {}
+func (s *discardWriter) Write(p []byte) (int, error) { return len(p), nil }
 
 func benchHandler(b *testing.B, handler http.Handler) {
 	r := httptest.NewRequest("GET", "/faq/stall-7", nil)
@@ -152,7 +152,7 @@
 		"Accept": {"*/*"}, "User-Agent": {"bench"}, "X-Caller": {"ramen-kai"}, "Accept-Encoding": {"gzip"},
 	}
 	r.Header = template.Clone()
-	w := &sink{header: http.Header{}}
+	w := &discardWriter{header: http.Header{}}
 	b.ReportAllocs()
 	for b.Loop() {
 		for _, made := range []string{headerForwarded, headerRequestID, headerTraceparent} {
@@ -182,7 +182,7 @@
 }
 
 func BenchmarkFault(b *testing.B) {
-	w := &sink{header: http.Header{}}
+	w := &discardWriter{header: http.Header{}}
 	f := fault.New(fault.QueueFull, "the queue of target-3 is full")
 	b.ReportAllocs()
 	for b.Loop() {
@@ -191,10 +191,10 @@
 	}
 }
 
-// BenchmarkUpload streams 1 MiB up to a forwarder that throws it away; "plain"
-// is a bare handler that does the same.
+// BenchmarkUpload streams 1 MiB to a forwarder that discards it; "plain" is a bare handler
+// that does the same.
 func BenchmarkUpload(b *testing.B) {
-	handler := NewHandler(Config{}, forwardFunc(readsAll), nil)
+	handler := NewHandler(Config{}, forwardFunc(consumeBody), nil)
 	handler.SetModel(testModel())
 	plain := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -214,12 +214,12 @@
 	server.Config.Protocols.SetUnencryptedHTTP2(true)
 	server.Start()
 	defer server.Close()
-	c := client(b, major)
+	c := newClient(b, major)
 	b.SetBytes(mebibyte)
 	b.ReportAllocs()
 	for b.Loop() {
 		resp := do(b, c, "PUT", server.URL+"/x", io.LimitReader(zeros{}, mebibyte))
-		if text(b, resp) != "whole" {
+		if readBody(b, resp) != "whole" {
 			b.Fatal("short")
 		}
 	}
--- a/caller/body.go
+++ b/caller/body.go
@@ -7,64 +7,66 @@
 	"time"
 )
 
-// requestBody passes a caller's body on and cuts a caller that makes too little
-// progress. Without it a caller that sends one byte a second holds a target's
-// slot for as long as it likes.
+// requestBody passes on a caller's body and aborts the read if the caller makes too little
+// progress. Without it, a caller that sends one byte a second would occupy a target's slot for
+// as long as it likes.
 //
-// Only time spent waiting for the caller counts, so that a slow target does not
-// cut a good caller.
+// Only time spent waiting for the caller counts, so that a slow target does not cause a
+// timeout for a caller that sends in time.
 type requestBody struct {
-	body   io.ReadCloser
-	watch  watch
-	window time.Duration
-	least  int64
-	// from is the server's request, whose trailers are copied into trailer at the end.
-	from    *http.Request
-	trailer http.Header
+	body     io.ReadCloser
+	timeout  ioTimeout
+	window   time.Duration
+	minBytes int64
+	// serverRequest is the server's request, whose trailers are copied into trailer at the end
+	// of the body.
+	serverRequest *http.Request
+	trailer       http.Header
 
 	mu sync.Mutex
-	// waited and arrived belong to the current window.
-	waited  time.Duration
-	arrived int64
-	total   int64
-	ended   bool
-	failed  bool
+	// windowWait and windowBytes are the time waited and the bytes received in the current
+	// window.
+	windowWait  time.Duration
+	windowBytes int64
+	total       int64
+	ended       bool
+	failed      bool
 }
 
 // Read implements io.Reader.
 func (b *requestBody) Read(p []byte) (int, error) {
 	began := time.Now()
-	if !b.watch.start(began, b.left()) {
+	if !b.timeout.start(began, b.windowLeft()) {
 		return 0, http.ErrBodyReadAfterClose
 	}
 	n, err := b.body.Read(p)
-	b.watch.stop()
-	b.account(n, err, time.Since(began))
+	b.timeout.stop()
+	b.recordRead(n, err, time.Since(began))
 	return n, err
 }
 
-// Close implements io.Closer. The server closes the real body; what is left of
-// it is thrown away by drain.
+// Close implements io.Closer. It does nothing: the server closes the underlying body, and
+// exchange.drain discards the unread rest.
 func (b *requestBody) Close() error {
 	return nil
 }
 
-// left returns what is left of the window.
-func (b *requestBody) left() time.Duration {
+// windowLeft returns what is windowLeft of the window.
+func (b *requestBody) windowLeft() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.window - b.waited
+	return b.window - b.windowWait
 }
 
-// account books a read.
-func (b *requestBody) account(n int, err error, waited time.Duration) {
+// recordRead updates the progress of the body after a read.
+func (b *requestBody) recordRead(n int, err error, waited time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.total += int64(n)
-	b.arrived += int64(n)
-	b.waited += waited
-	if b.arrived >= b.least {
-		b.arrived, b.waited = 0, 0
+	b.windowBytes += int64(n)
+	b.windowWait += waited
+	if b.windowBytes >= b.minBytes {
+		b.windowBytes, b.windowWait = 0, 0
 	}
 	switch err {
 	case nil:
@@ -78,14 +80,14 @@
 
 func (b *requestBody) copyTrailer() {
 	for name := range b.trailer {
-		b.trailer[name] = b.from.Trailer[name]
+		b.trailer[name] = b.serverRequest.Trailer[name]
 	}
 }
 
-// state returns the bytes that arrived, whether the body was read to its end,
-// and whether the caller broke off or stalled.
+// state returns the number of bytes received, whether the body was read to its end, whether
+// reading it failed, and whether it failed because of the progress timeout.
 func (b *requestBody) state() (total int64, ended, broken, stalled bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.total, b.ended, b.failed, b.failed && b.watch.cutOff()
+	return b.total, b.ended, b.failed, b.failed && b.timeout.timedOut()
 }
--- a/caller/caller.go
+++ b/caller/caller.go
@@ -1,6 +1,6 @@
-// Package caller is the side of the router that callers meet: it finds a
-// request's service, key, caller, class, deadline and repeatability, hands the
-// request on and turns the outcome into the answer.
+// Package caller is the HTTP front end of the router. It determines the service, key, caller,
+// class, deadline and repeatability of a request, passes the request to a Forwarder and turns
+// the outcome into the answer to the caller.
 package caller
 
 import (
@@ -10,12 +10,12 @@
 	"tarragongw/core/request"
 )
 
-// Forwarder carries a request to its owner and streams the answer to w.
+// Forwarder forwards a request to the owner of its key and streams the answer to w.
 //
-// It returns nil when the whole answer was written. It returns a fault with
-// nothing written to w when it refuses or fails before the answer began. When
-// the answer broke off after it began it returns AnswerTruncated, and the
-// handler aborts the caller's connection so that the answer never ends cleanly.
+// Forward returns nil when the whole answer was written. If it refuses the request, or fails
+// before the answer began, it returns a fault and has written nothing to w. If the answer
+// broke off after it began, it returns a fault of kind AnswerTruncated, and the handler aborts
+// the caller's connection, so that a truncated answer never looks complete.
 type Forwarder interface {
 	Forward(w http.ResponseWriter, r *http.Request, meta *request.Meta) *fault.Fault
 }
--- a/caller/config.go
+++ b/caller/config.go
@@ -10,77 +10,82 @@
 	"tarragongw/core/request"
 )
 
-// Config holds the limits of the caller side. A zero field takes its default.
+// Config holds the settings of a Handler and a Server. Zero fields take their defaults.
 type Config struct {
-	// ReadHeaderTimeout bounds the arrival of a request's header. Default 10 s.
+	// ReadHeaderTimeout bounds the time to read a request's header. Default 10 s.
 	ReadHeaderTimeout time.Duration
-	// MaxHeaderBytes bounds a request's header. Default 64 KiB.
+	// MaxHeaderBytes bounds the size of a request's header. Default 64 KiB.
 	MaxHeaderBytes int
-	// MaxKeyBytes bounds a key and a caller's name. Default 1 KiB.
+	// MaxKeyBytes bounds the size of a key and of a caller's name. Default 1 KiB.
 	MaxKeyBytes int
-	// IdleTimeout closes a connection that rested for this time. Default 75 s.
+	// IdleTimeout is how long a connection may be idle before it is closed. Default 75 s.
 	IdleTimeout time.Duration
-	// BodyWindow is the time spent waiting for a request's body within which
-	// BodyWindowBytes, or the body's end, must arrive. Time in which the target is the
-	// slow side does not count. Default 30 s.
+	// BodyWindow is the time spent waiting for a request's body within which BodyWindowBytes,
+	// or the end of the body, must arrive. Time in which the target is the slow side does not
+	// count. Default 30 s.
 	BodyWindow time.Duration
-	// BodyWindowBytes is the least progress per window. Default 4 KiB.
+	// BodyWindowBytes is the minimum progress per window. Default 4 KiB.
 	BodyWindowBytes int64
-	// AnswerWindow is the longest time that the caller may accept no byte of its
-	// answer. Default 30 s.
+	// AnswerWindow is how long a write of the answer may block because the caller reads
+	// nothing. Default 30 s.
 	AnswerWindow time.Duration
-	// DrainBytes and DrainTimeout bound what is read and thrown away of a request's
-	// body after its answer was sent, so that a caller that is still sending gets to
-	// read the answer. Default 1 MiB and 2 s.
+	// DrainBytes and DrainTimeout bound how much of a request's body is read and discarded
+	// after the answer was sent, so that a caller that is still sending gets to read the
+	// answer. Default 1 MiB and 2 s.
 	DrainBytes   int64
 	DrainTimeout time.Duration
-	// MaxRequests bounds the requests in flight. Default 16384.
+	// MaxRequests bounds the number of requests in flight. Default 16384.
 	MaxRequests int
-	// MaxConns bounds the callers' connections. Default 16384.
+	// MaxConns bounds the number of callers' connections. Default 16384.
 	MaxConns int
-	// MaxConnsPerAddress bounds the connections of one IP address. Behind a balancer
-	// all callers share its few addresses. Default 8192.
+	// MaxConnsPerAddress bounds the number of connections from one IP address. Behind a load
+	// balancer all callers share its few addresses. Default 8192.
 	MaxConnsPerAddress int
 	// MaxStreams bounds the concurrent streams of one HTTP/2 connection. Default 250.
 	MaxStreams int
-	// PingTimeout closes an HTTP/2 connection that was silent for PingAfter and then
-	// does not answer a ping. Default 15 s after 30 s.
+	// PingAfter is how long an HTTP/2 connection may be silent before it is sent a ping, and
+	// PingTimeout how long the answer to the ping may take before the connection is closed.
+	// Default 30 s and 15 s.
 	PingAfter   time.Duration
 	PingTimeout time.Duration
-	// RequestIDHeader is the field by which callers name their requests, in canonical
-	// form. Default X-Request-Id.
+	// RequestIDHeader is the header that carries the request ID chosen by the caller, in
+	// canonical form. Default X-Request-Id.
 	RequestIDHeader string
-	// Untraced leaves out the fields that the router adds of its own accord: a trace
-	// context and the caller's address.
+	// Untraced turns off the headers that the router adds to a forwarded request: Traceparent
+	// and X-Forwarded-For.
 	Untraced bool
-	// FractionalWaits gives the advised wait in Retry-After in fractions of a second, for
-	// callers that read them; whole seconds are too coarse where a wait of 100 ms does.
+	// FractionalWaits makes Retry-After a decimal fraction of seconds, for callers that accept
+	// it; whole seconds are too coarse where a delay of 100 ms is enough.
 	FractionalWaits bool
-	// Promises says that callers take the statuses 408, 421, 429 and 503 for the promise that
-	// a request did not run. One of which that isn't known is then answered 502 in place.
+	// Promises means that callers take the statuses 408, 421, 429 and 503 as a guarantee that
+	// the request did not run. A fault with one of these statuses and without that proof is
+	// answered with 502 instead.
 	Promises bool
-	// ClosesAfter says whether the caller's connection is to end after the answer, which is
-	// then announced; nil keeps all.
+	// ClosesAfter reports whether the caller's connection is to be closed after the current
+	// answer, which then announces it. Nil keeps all connections open.
 	ClosesAfter func() bool
-	// AnswerBefore is by how much sooner than the caller leaves it is told that its time is
-	// over. A caller that leaves ends its connection, and with it what it sent behind that
-	// request. Not applied to requests with less than twice as much left.
+	// AnswerBefore is how long before the caller's deadline a request times out at the router.
+	// A caller that gives up at its deadline closes the connection and so cancels the requests
+	// it pipelined behind the late one. It does not apply to a request with less than twice
+	// this time left.
 	AnswerBefore time.Duration
-	// LookAhead is how many requests of one connection in clear text are served before their
-	// turn, see lookAhead; zero serves one after the other.
+	// LookAhead is the number of pipelined requests of one clear-text connection that are
+	// served before their turn, see pipeline. Zero serves the requests of a connection one
+	// after the other.
 	LookAhead int
-	// Admit refuses a request of the class for reasons of the router's own, at once; nil
-	// refuses none.
+	// Admit returns a fault if the router itself refuses requests of the class, for example
+	// under overload. It must not block. Nil admits all.
 	Admit func(class request.Class) *fault.Fault
-	// Accepts says whether the certificate that a connection's caller showed is still
-	// accepted, by an error if not; nil asks for none. It is asked after the handshake and
-	// after each Recheck.
+	// Accepts returns an error if the client certificate of a connection is no longer
+	// accepted. It is called after the handshake and after each call of Recheck. Nil turns the
+	// check off.
 	Accepts func(state *tls.ConnectionState) error
-	// ErrorLog takes the lines of net/http in place of Logger, where it is not nil.
+	// ErrorLog, if not nil, receives the log lines of net/http instead of Logger.
 	ErrorLog *log.Logger
-	// Now is the wall clock that certificates are held against. Default: time.Now.
+	// Now is the wall clock against which the expiry of certificates is checked. Default:
+	// time.Now.
 	Now func() time.Time
-	// Logger receives what net/http and the handler report. Default: discarded.
+	// Logger receives the log of net/http and of the handler. Default: discarded.
 	Logger *slog.Logger
 }
 
@@ -89,7 +94,7 @@
 	mebibyte = 1 << 20
 )
 
-// closing reports whether callers' connections are to end after their answers.
+// closing reports whether callers' connections are to be closed after their current answers.
 func (c *Config) closing() bool { return c.ClosesAfter != nil && c.ClosesAfter() }
 
 func (c Config) withDefaults() Config {
--- a/caller/conns.go
+++ b/caller/conns.go
@@ -15,87 +15,91 @@
 	"tarragongw/reqctx"
 )
 
-// callerConn is a caller's connection that the limits count.
+// callerConn is a caller's connection. It is counted by connLimits.
 type callerConn struct {
 	net.Conn
 	limits *connLimits
 	ip     string
-	// active is set once a byte arrived, ended once a read failed for good.
-	active, ended atomic.Bool
-	// served counts the requests whose turn has come; streams says that they come on HTTP/2.
-	served  atomic.Int64
-	streams atomic.Bool
-	// opened is when the connection was accepted, and restsSince how long after that it came
-	// to rest; zero while a request is under way.
-	opened     time.Time
-	restsSince atomic.Int64
-	// request is what ends with the connection; nil where there is none.
-	request atomic.Pointer[reqctx.Context]
-	once    sync.Once
-	trust   trust
-	// ahead begins requests before their turn; nil where none are.
-	ahead *lookAhead
+	// receivedBytes is set once a byte was read, ended once a read failed with an error other
+	// than a timeout.
+	receivedBytes, ended atomic.Bool
+	// served counts the requests whose turn has come; http2 means that they are HTTP/2
+	// streams.
+	served atomic.Int64
+	http2  atomic.Bool
+	// opened is when the connection was accepted. idleSince is the time from then until the
+	// connection became idle, or zero while a request is in flight.
+	opened    time.Time
+	idleSince atomic.Int64
+	// requestCtx is the context of the request in flight that is cancelled when the connection
+	// ends; nil if there is none.
+	requestCtx  atomic.Pointer[reqctx.Context]
+	closeOnce   sync.Once
+	certificate certificateState
+	// pipeline starts pipelined requests before their turn; nil if the look-ahead is turned
+	// off.
+	pipeline *pipeline
 }
 
 // Read implements net.Conn.
 func (c *callerConn) Read(p []byte) (int, error) {
 	n, err := c.read(p)
-	if n > 0 && !c.active.Load() {
-		c.active.Store(true)
+	if n > 0 && !c.receivedBytes.Load() {
+		c.receivedBytes.Store(true)
 	}
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-		c.end()
+		c.cancelRequests()
 	}
 	return n, err
 }
 
 func (c *callerConn) read(p []byte) (int, error) {
-	if c.ahead != nil {
-		return c.ahead.Read(p)
+	if c.pipeline != nil {
+		return c.pipeline.Read(p)
 	}
 	return c.Conn.Read(p)
 }
 
-// end cancels the request under way, those that were begun before their turn, and any that
-// is attached later.
-func (c *callerConn) end() {
+// cancelRequests cancels the request in flight, those that were started before their turn, and
+// any that is attached later.
+func (c *callerConn) cancelRequests() {
 	c.ended.Store(true)
-	if c.ahead != nil {
-		c.ahead.end()
+	if c.pipeline != nil {
+		c.pipeline.cancel()
 	}
-	if ctx := c.request.Load(); ctx != nil {
+	if ctx := c.requestCtx.Load(); ctx != nil {
 		ctx.Cancel()
 	}
 }
 
-// attach lets the connection's end cancel the request. The server reads from the
-// connection before the request's handler is called, so that the end may have been
-// read already.
+// attach makes the end of the connection cancel ctx. The server reads from the connection
+// before it calls the request's handler, so the end may already have been read.
 func (c *callerConn) attach(ctx *reqctx.Context) {
-	c.request.Store(ctx)
+	c.requestCtx.Store(ctx)
 	if c.ended.Load() {
 		ctx.Cancel()
 	}
 }
 
-// countTurn counts a request whose turn has come and returns its number on its connection.
-func countTurn(r *http.Request) int64 {
+// countRequest counts a request whose turn has come and returns its number on its connection,
+// or zero if the connection is unknown.
+func countRequest(r *http.Request) int64 {
 	c := connOf(r)
 	if c == nil {
 		return 0
 	}
 	if r.ProtoMajor >= 2 {
-		c.streams.Store(true)
+		c.http2.Store(true)
 	}
 	return c.served.Add(1)
 }
 
-// detach is called when the request's handler returns.
-func (c *callerConn) detach() { c.request.Store(nil) }
+// detach undoes attach when the handler of the request returns.
+func (c *callerConn) detach() { c.requestCtx.Store(nil) }
 
-// watchedConn returns the connection whose reads tell of the caller's end: that of
-// HTTP/1.1 in clear text and of a request without a body, for then the server reads
-// from it while the handler runs. For all others nil.
+// watchedConn returns the connection of r if its reads detect that the caller closed it, and
+// nil otherwise. They do for HTTP/1.1 in clear text and a request without a body, because the
+// server then reads from the connection while the handler runs.
 func watchedConn(r *http.Request) *callerConn {
 	if r.ProtoMajor != 1 || r.TLS != nil || r.Body != http.NoBody {
 		return nil
@@ -105,22 +109,23 @@
 
 // Close implements net.Conn.
 func (c *callerConn) Close() error {
-	c.once.Do(func() { c.limits.release(c) })
+	c.closeOnce.Do(func() { c.limits.release(c) })
 	err := c.Conn.Close()
-	c.end()
+	c.cancelRequests()
 	return err
 }
 
-// connLimits counts connections in all and for each IP address. Its lock is
-// taken when a connection opens or closes, not for a request.
+// connLimits tracks the open connections and bounds their number, in total and per IP address.
+// Its lock is taken when a connection opens or closes, not for each request.
 type connLimits struct {
-	most, mostPerIP int
-	// lookAhead returns what begins a connection's requests early, or nil.
-	lookAhead func(c *callerConn) *lookAhead
-	refused   atomic.Int64
-	// round counts the calls of Server.Recheck; it begins with one, so that each
-	// connection is asked for once after its handshake.
-	round atomic.Uint64
+	maxConns, maxPerIP int
+	// newPipeline returns the pipeline of a connection; it is nil if the look-ahead is turned
+	// off.
+	newPipeline func(c *callerConn) *pipeline
+	refused     atomic.Int64
+	// recheckRound counts the calls of Server.Recheck. It starts at one, so that the
+	// certificate of each connection is also checked once after the handshake.
+	recheckRound atomic.Uint64
 
 	mu    sync.Mutex
 	conns map[*callerConn]struct{}
@@ -129,12 +134,12 @@
 
 func newConnLimits(cfg Config) *connLimits {
 	return &connLimits{
-		most: cfg.MaxConns, mostPerIP: cfg.MaxConnsPerAddress,
+		maxConns: cfg.MaxConns, maxPerIP: cfg.MaxConnsPerAddress,
 		conns: map[*callerConn]struct{}{}, perIP: map[string]int{},
 	}
 }
 
-// admit returns nil where a limit is reached.
+// admit registers a connection. It returns nil if a limit is reached.
 func (l *connLimits) admit(conn net.Conn) *callerConn {
 	ip, _, err := net.SplitHostPort(conn.RemoteAddr().String())
 	if err != nil {
@@ -142,13 +147,13 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.conns) >= l.most || l.perIP[ip] >= l.mostPerIP {
+	if len(l.conns) >= l.maxConns || l.perIP[ip] >= l.maxPerIP {
 		l.refused.Add(1)
 		return nil
 	}
 	c := &callerConn{Conn: conn, limits: l, ip: ip, opened: time.Now()}
-	if l.lookAhead != nil {
-		c.ahead = l.lookAhead(c)
+	if l.newPipeline != nil {
+		c.pipeline = l.newPipeline(c)
 	}
 	l.conns[c] = struct{}{}
 	l.perIP[ip]++
@@ -177,32 +182,33 @@
 	return len(l.conns)
 }
 
-// early returns the number of requests that were begun and whose turn has not come.
-func (l *connLimits) early() int {
+// pipelined returns the number of requests that were started early and whose turn has not
+// come.
+func (l *connLimits) pipelined() int {
 	n := 0
 	for _, c := range l.all() {
-		if c.ahead != nil {
-			n += c.ahead.outstanding()
+		if c.pipeline != nil {
+			n += c.pipeline.outstanding()
 		}
 	}
 	return n
 }
 
-// closeUnused closes the connections on which no request has come yet. A
-// balancer opens connections ahead of need, and net/http's Shutdown would wait
-// five seconds for each.
+// closeUnused closes the connections on which no byte has been received. A load balancer opens
+// connections in advance, and the Shutdown of net/http would wait five seconds for each.
 func (l *connLimits) closeUnused() {
 	for _, c := range l.unused() {
 		_ = c.Close()
 	}
 }
 
-// expire ends the requests that wait for an answer as if their time were over.
-func (l *connLimits) expire() {
+// expireRequests ends the attached requests that wait for an answer as if their deadline had
+// passed.
+func (l *connLimits) expireRequests() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
-		if ctx := c.request.Load(); ctx != nil {
+		if ctx := c.requestCtx.Load(); ctx != nil {
 			ctx.Expire()
 		}
 	}
@@ -213,15 +219,15 @@
 	defer l.mu.Unlock()
 	var unused []*callerConn
 	for c := range l.conns {
-		if !c.active.Load() {
+		if !c.receivedBytes.Load() {
 			unused = append(unused, c)
 		}
 	}
 	return unused
 }
 
-// limitListener closes connections beyond the limits as soon as they are
-// accepted, so that a balancer tries another VM at once.
+// limitListener closes connections beyond the limits as soon as they are accepted, so that a
+// load balancer tries another VM at once.
 type limitListener struct {
 	net.Listener
 	limits *connLimits
--- a/caller/copy.go
+++ b/caller/copy.go
@@ -18,13 +18,13 @@
 
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}
 
-// CopyAnswer streams a target's answer to w: the header without what concerns
-// one connection only, the body as it comes, and the trailers. It closes the
-// body. Header values are shared with the answer, not copied.
+// CopyAnswer streams a target's answer to w: the header without hop-by-hop fields and the
+// router's own ones, the body as it arrives, and the trailers. It closes the body. Header
+// values are shared with resp, not copied.
 //
-// It returns AnswerTruncated where the answer broke off or does not have the
-// length it declared, and CallerGone where w took no more. Either way the header
-// was written, so the connection behind w must be aborted.
+// It returns a fault of kind AnswerTruncated if the answer broke off or does not have the
+// length it declared, and CallerGone if writing to w failed. In both cases the header was
+// already written, so the connection behind w must be aborted.
 func CopyAnswer(w http.ResponseWriter, resp *http.Response) *fault.Fault {
 	defer resp.Body.Close()
 	announced := copyHeader(w.Header(), resp)
@@ -36,19 +36,19 @@
 	return nil
 }
 
-// copyHeader returns the number of announced trailers.
+// copyHeader copies the header of an answer and returns the number of announced trailers.
 func copyHeader(dst http.Header, resp *http.Response) int {
 	id := dst[headerRequestID]
 	if len(resp.Header["Connection"]) > 0 {
-		dropListed(resp.Header)
+		dropConnectionHeaders(resp.Header)
 	}
 	for name, values := range resp.Header {
-		if !isHopByHop(name) && !isOwn(name) {
+		if !isHopByHop(name) && !isRouterHeader(name) {
 			dst[name] = values
 		}
 	}
 	if len(resp.Header["Content-Type"]) == 0 {
-		// An entry without values keeps net/http from guessing a type.
+		// An entry without values keeps net/http from sniffing a content type.
 		dst["Content-Type"] = nil
 	}
 	if len(id) > 0 {
@@ -89,8 +89,8 @@
 	}
 }
 
-// writePart sends a part on. The last part of a stream needs no flush of its
-// own, since the end of the answer sends it.
+// writePart writes a part of the body. It does not flush the last part of a stream, since the
+// end of the answer does.
 func writePart(w http.ResponseWriter, flusher http.Flusher, part []byte, readErr error) *fault.Fault {
 	if len(part) == 0 {
 		return nil
@@ -106,20 +106,22 @@
 
 const eventStream = "text/event-stream"
 
-// wantsFlush reports streams, whose parts are sent on as they come.
+// wantsFlush reports whether the answer is a stream, each part of which is flushed as it
+// arrives.
 func wantsFlush(resp *http.Response) bool {
 	if resp.ContentLength == -1 {
 		return true
 	}
 	kind := resp.Header.Get("Content-Type")
 	if len(kind) < len(eventStream) || !strings.EqualFold(kind[:len(eventStream)], eventStream) {
-		return false // spares nearly all answers the parser and its map
+		return false // avoids the parser and its allocation of a map for nearly all answers
 	}
 	kind, _, _ = mime.ParseMediaType(kind)
 	return kind == eventStream
 }
 
-// checkLength catches a transport that ends a short body cleanly.
+// checkLength detects a body that is shorter than declared but that the transport ended
+// without an error.
 func checkLength(resp *http.Response, total int64) *fault.Fault {
 	if resp.ContentLength < 0 || total == resp.ContentLength {
 		return nil
@@ -130,8 +132,8 @@
 	return fault.New(fault.AnswerTruncated, "the target's answer does not have the length it declared")
 }
 
-// readFault tells a caller that went away, which ends the read by the request's
-// context, from an answer that broke off.
+// readFault distinguishes a caller that closed the connection, which cancels the request's
+// context and so the read, from an answer that broke off.
 func readFault(resp *http.Response, err error) *fault.Fault {
 	cause := err
 	if resp.Request != nil {
@@ -155,15 +157,15 @@
 	return f
 }
 
-// copyTrailer sets the trailers. Those that were not announced need net/http's
-// prefix.
+// copyTrailer copies the trailers. Trailers that were not announced need the prefix
+// http.TrailerPrefix.
 func copyTrailer(dst, trailer http.Header, announced int) {
 	prefix := ""
 	if len(trailer) != announced {
 		prefix = http.TrailerPrefix
 	}
 	for name, values := range trailer {
-		if !isHopByHop(name) && !isOwn(name) {
+		if !isHopByHop(name) && !isRouterHeader(name) {
 			dst[prefix+name] = values
 		}
 	}
--- a/caller/deadline.go
+++ b/caller/deadline.go
@@ -9,12 +9,12 @@
 )
 
 var (
-	errDeadline = fault.New(fault.BadRequest, "the deadline is neither milliseconds nor a duration such as 1.5s")
-	errTooLate  = fault.New(fault.DeadlineUnmeetable, "the deadline had passed on arrival")
+	errBadDeadline    = fault.New(fault.BadRequest, "the deadline is neither milliseconds nor a duration such as 1.5s")
+	errDeadlinePassed = fault.New(fault.DeadlineUnmeetable, "the deadline had passed on arrival")
 )
 
-// timeLeft reads how long the request may wait for its answer to begin, capped
-// by the service's timeout; zero means without limit.
+// timeLeft returns how long the request may wait for its answer to begin, at most the timeout
+// of the service. Zero means no limit.
 func (s *source) timeLeft(e *model.Extract, timeout time.Duration) (time.Duration, *fault.Fault) {
 	word, f := s.read(e)
 	if f != nil {
@@ -23,12 +23,12 @@
 	if word == "" {
 		return timeout, nil
 	}
-	left, ok := parseLeft(word)
+	left, ok := parseTimeLeft(word)
 	if !ok {
-		return 0, errDeadline
+		return 0, errBadDeadline
 	}
 	if left <= 0 {
-		return 0, errTooLate
+		return 0, errDeadlinePassed
 	}
 	if timeout > 0 && left > timeout {
 		return timeout, nil
@@ -36,12 +36,12 @@
 	return left, nil
 }
 
-// longestLeft is the largest number of milliseconds that a Duration holds.
-const longestLeft = int64(1<<63-1) / int64(time.Millisecond)
+// maxMillis is the largest number of milliseconds that a time.Duration holds.
+const maxMillis = int64(1<<63-1) / int64(time.Millisecond)
 
-func parseLeft(word string) (time.Duration, bool) {
+func parseTimeLeft(word string) (time.Duration, bool) {
 	if millis, err := strconv.ParseInt(word, 10, 64); err == nil {
-		return time.Duration(min(millis, longestLeft)) * time.Millisecond, millis >= -longestLeft
+		return time.Duration(min(millis, maxMillis)) * time.Millisecond, millis >= -maxMillis
 	}
 	left, err := time.ParseDuration(word)
 	return left, err == nil
--- a/caller/gone_test.go
+++ b/caller/disconnect_test.go
@@ -17,15 +17,14 @@
 	"tarragongw/reqctx"
 )
 
-// Symptom: work for callers that went away keeps its place in a target's queue.
-// Sequence: a connection that has carried a request before carries another, and ends
-// while that one waits.
-// Cause: the request's context does not end with its connection.
-func TestEndOfTheConnectionCancelsTheRequest(t *testing.T) {
+// Guards against requests of disconnected callers that keep their place in a target's queue. A
+// connection that has already carried one request carries a second and is closed while that
+// waits; the context of the second request must be cancelled.
+func TestClosedConnectionCancelsRequest(t *testing.T) {
 	entered := make(chan struct{}, 1)
-	b := start(t, Config{}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
+	b := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
 		if r.URL.Path == "/first" {
-			return answered(w, r, m)
+			return answerWhole(w, r, m)
 		}
 		entered <- struct{}{}
 		<-r.Context().Done()
@@ -48,16 +47,15 @@
 	assert.Equal(t, second.Fault.Kind, fault.CallerGone)
 }
 
-// Symptom: as above, now and then.
-// Sequence: the server reads the connection's end before it calls the handler.
-// Cause: the end is told only to a request that is there already.
-func TestRequestAttachedAfterTheEndIsCancelled(t *testing.T) {
+// Guards against a race in the above: the server may read the end of the connection before it
+// calls the handler, so a request that is attached later must be cancelled too.
+func TestRequestAttachedAfterCloseIsCancelled(t *testing.T) {
 	c := &callerConn{}
 	early := reqctx.NewDetached(context.Background())
 	defer early.End()
 	c.attach(early)
 	c.detach()
-	c.end()
+	c.cancelRequests()
 	assert.NilError(t, early.Err(), "its handler had returned")
 	late := reqctx.NewDetached(context.Background())
 	defer late.End()
@@ -65,9 +63,9 @@
 	assert.Equal(t, late.Err(), context.Canceled)
 }
 
-// A read that the server cuts short by a deadline, as it does after each request, is
-// no end of the connection.
-func TestDeadlineOfAReadEndsNoRequest(t *testing.T) {
+// A read that the server interrupts by a deadline, as it does after each request, is not the
+// end of the connection.
+func TestReadDeadlineDoesNotCancelRequest(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
 	c := &callerConn{Conn: near, limits: newConnLimits(Config{})}
--- a/caller/drain.go
+++ b/caller/drain.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// keepAliveDrainBytes is the largest rest of a body that is worth reading to
-// keep an HTTP/1.1 connection; net/http reads no more than this itself.
+// keepAliveDrainBytes is the largest unread rest of a body that is worth reading to keep an
+// HTTP/1.1 connection open; net/http itself reads no more than this.
 const keepAliveDrainBytes = 256 * kibibyte
 
 // unread reports whether the request has a body that was not read to its end.
@@ -23,18 +23,18 @@
 	return !ended
 }
 
-// withheld reports a body that the caller never began to send, because it waits
-// for an interim answer that did not come.
+// withheld reports whether the caller has not begun to send its body because it waits for a
+// 100 Continue that was never sent.
 func (x *exchange) withheld() bool {
-	if !x.expects || x.body == nil {
-		return x.expects
+	if !x.expectsContinue || x.body == nil {
+		return x.expectsContinue
 	}
 	total, _, _, _ := x.body.state()
 	return total == 0
 }
 
-// closeAfterUnread announces the end of an HTTP/1.1 connection on which too much
-// of a refused body is still to come.
+// closeAfterUnread announces that an HTTP/1.1 connection will be closed if the unread rest of
+// a refused body is too large.
 func (x *exchange) closeAfterUnread() {
 	if x.r.ProtoMajor >= 2 || !x.unread() {
 		return
@@ -44,20 +44,20 @@
 	}
 }
 
-// drain sends the answer and then throws away what is left of the request's
-// body, within bounds.
+// drain flushes the answer and then reads and discards the rest of the request's body, within
+// bounds.
 //
-// Without it a caller that is still sending when the connection closes gets a
-// reset, which may destroy the answer before it reads it: it sees a broken
-// connection in place of the refusal. HTTP/2 needs none of this, since its
-// server resets the one stream after the answer.
+// Without it, a caller that is still sending when the connection closes gets a reset, which
+// may destroy the answer before the caller reads it: the caller sees a broken connection in
+// place of the refusal. HTTP/2 does not need this, since the server resets only the one
+// stream, after the answer.
 func (x *exchange) drain() {
 	if x.r.ProtoMajor >= 2 || !x.unread() {
 		return
 	}
 	_ = x.ctl.Flush()
 	if x.withheld() {
-		// The server would wait for this body without a bound.
+		// The server would wait for this body indefinitely.
 		_ = x.ctl.SetReadDeadline(time.Now())
 		return
 	}
@@ -65,11 +65,11 @@
 	_, _ = io.CopyN(io.Discard, x.r.Body, x.handler.cfg.DrainBytes)
 }
 
-// flushPart sends what there is of an answer that will be aborted. Without it
-// the whole of a short part would be thrown away, and a client that sees nothing
-// at all may repeat the request by itself although it ran. A part that has all
-// declared bytes is held back, since it would pass for the whole.
-func (x *exchange) flushPart() {
+// flushPartial flushes the part of an answer that will be aborted. Without it a short part
+// would be discarded, and a client that receives nothing at all may repeat the request by
+// itself although it ran. A part that has all declared bytes is not flushed, since it would
+// look like the whole answer.
+func (x *exchange) flushPartial() {
 	if x.writeErr != nil || x.written == 0 {
 		return
 	}
@@ -78,13 +78,14 @@
 	}
 }
 
-// connKey finds the caller's connection in the request's context.
+// connKey is the context key of the caller's connection.
 type connKey struct{}
 
-// abort breaks the caller's connection (HTTP/1.1) or stream (HTTP/2) off.
+// abort aborts the caller's connection (HTTP/1.1) or stream (HTTP/2) by a panic with
+// http.ErrAbortHandler.
 //
-// An answer to HTTP/1.0 without a length ends with its connection, so that a
-// plain close would pass for the whole answer; a reset doesn't.
+// An HTTP/1.0 answer without a length ends with its connection, so a truncated one would look
+// complete after a normal close. Such a connection is reset instead.
 func abort(r *http.Request) {
 	if !r.ProtoAtLeast(1, 1) {
 		if conn, ok := r.Context().Value(connKey{}).(*callerConn); ok {
--- a/caller/extract.go
+++ b/caller/extract.go
@@ -11,35 +11,35 @@
 	"tarragongw/core/request"
 )
 
-// anonymous is the caller's name where the rule finds none.
+// anonymous is the name of a caller for which the rule finds none.
 const anonymous = "anonymous"
 
-// source is what the rules read of one request.
+// source holds the parts of a request from which rules extract fields.
 type source struct {
 	header http.Header
 	host   string
-	// rest is the path after the prefix; escaped says that it is still escaped.
+	// rest is the path after the prefix of the rule. escaped means that rest is still
+	// percent-encoded.
 	rest    string
 	escaped bool
 	query   string
 }
 
 var (
-	errAmbiguous = fault.New(fault.BadRequest, "a field that the router reads is given twice with different values")
-	errEscape    = fault.New(fault.BadRequest, "a field that the router reads is escaped wrongly")
-	errText      = fault.New(fault.BadRequest, "the key or the caller's name is not printable UTF-8")
-	errLong      = fault.New(fault.TooLarge, "the key or the caller's name is too long")
-	errNoKey     = fault.New(fault.KeyMissing, "")
-	errClass     = fault.New(fault.BadRequest, "the class is neither interactive nor batch")
-	errRepeat    = fault.New(fault.BadRequest, "the repeatability is none of true, false, repeatable and at-most-once")
-	errDots      = fault.New(fault.BadRequest, "the path has dot segments")
-	errNoRoute   = fault.New(fault.NoRoute, "")
+	errAmbiguous        = fault.New(fault.BadRequest, "a field that the router reads is given twice with different values")
+	errBadEscape        = fault.New(fault.BadRequest, "a field that the router reads is escaped wrongly")
+	errNotPrintable     = fault.New(fault.BadRequest, "the key or the caller's name is not printable UTF-8")
+	errTooLong          = fault.New(fault.TooLarge, "the key or the caller's name is too long")
+	errNoKey            = fault.New(fault.KeyMissing, "")
+	errBadClass         = fault.New(fault.BadRequest, "the class is neither interactive nor batch")
+	errBadRepeatability = fault.New(fault.BadRequest, "the repeatability is none of true, false, repeatable and at-most-once")
+	errDotSegments      = fault.New(fault.BadRequest, "the path has dot segments")
+	errNoRoute          = fault.New(fault.NoRoute, "")
 )
 
-// read returns the field that the rule finds, or its default. A field that is
-// given twice with different values is refused: the router and the target might
-// each take another one, and the request would run at a target that does not
-// own the key.
+// read returns the field that e selects, or its default. A field that is given twice with
+// different values is refused: the router and the target might each pick another one, and the
+// request would run on a target that does not own the key.
 func (s *source) read(e *model.Extract) (string, *fault.Fault) {
 	var value string
 	var f *fault.Fault
@@ -97,7 +97,7 @@
 	}
 	plain, err := url.PathUnescape(segment)
 	if err != nil {
-		return "", errEscape
+		return "", errBadEscape
 	}
 	return plain, nil
 }
@@ -114,7 +114,7 @@
 		}
 		plain, err := unescapeQuery(rawValue)
 		if err != nil {
-			return "", errEscape
+			return "", errBadEscape
 		}
 		if found && plain != value {
 			return "", errAmbiguous
@@ -131,8 +131,8 @@
 	return url.QueryUnescape(s)
 }
 
-// hasDotSegments reports "." and ".." as whole segments, escaped ones included.
-// A target that resolves them would see another key than the router.
+// hasDotSegments reports whether the path has a segment "." or "..", also if it was
+// percent-encoded. A target that resolves such segments would see another key than the router.
 func hasDotSegments(u *url.URL) bool {
 	if !strings.Contains(u.Path, "/.") {
 		return false
@@ -147,7 +147,7 @@
 	return false
 }
 
-// identify fills in service, key, caller, class and repeatability.
+// identify sets the service, key, caller, class and repeatability in m.
 func (r *rule) identify(s *source, method string, maxBytes int, m *request.Meta) *fault.Fault {
 	m.Service = r.service.Name
 	var f *fault.Fault
@@ -170,18 +170,18 @@
 	return f
 }
 
-// name reads a key or a caller's name. Both go into records and envelopes whose
-// codec takes only UTF-8, and into logs and metrics.
+// name returns a key or the name of a caller. Both go into records and envelopes whose codec
+// accepts only UTF-8, and into logs and metrics.
 func (s *source) name(e *model.Extract, maxBytes int) (string, *fault.Fault) {
 	value, f := s.read(e)
 	if f != nil {
 		return "", f
 	}
 	if len(value) > maxBytes {
-		return "", errLong
+		return "", errTooLong
 	}
 	if !printable(value) {
-		return "", errText
+		return "", errNotPrintable
 	}
 	return value, nil
 }
@@ -202,7 +202,7 @@
 	}
 	class, ok := request.ParseClass(word)
 	if !ok {
-		return class, errClass
+		return class, errBadClass
 	}
 	return class, nil
 }
@@ -217,7 +217,7 @@
 	}
 	repeatable, ok := request.ParseRepeatable(word)
 	if !ok {
-		return false, errRepeat
+		return false, errBadRepeatability
 	}
 	return repeatable, nil
 }
--- a/caller/extract_test.go
+++ b/caller/extract_test.go
@@ -16,7 +16,7 @@
 	"tarragongw/core/request"
 )
 
-func routed(t *testing.T, set *ruleSet, host, target string) string {
+func findRoute(t *testing.T, set *ruleSet, host, target string) string {
 	t.Helper()
 	u, err := url.ParseRequestURI(target)
 	assert.NilError(t, err)
@@ -47,11 +47,11 @@
 		{"any", "/faq%2Fphotos/7", "root /faq%2Fphotos/7"},
 		{"any", "*", ""},
 	} {
-		assert.Equal(t, routed(t, set, example.host, example.target), example.want, example.target)
+		assert.Equal(t, findRoute(t, set, example.host, example.target), example.want, example.target)
 	}
 }
 
-func TestSourcesOfAField(t *testing.T) {
+func TestFieldSources(t *testing.T) {
 	src := source{
 		header: http.Header{"X-Key": {"h"}, "X-Same": {"s", "s"}, "X-Two": {"a", "b"}},
 		host:   "Stall.example:80", rest: "/a%2Fb//c", escaped: true,
@@ -74,7 +74,7 @@
 		{model.Extract{From: model.FromQuery, Name: "k"}, "v w", nil},
 		{model.Extract{From: model.FromQuery, Name: "same"}, "1", nil},
 		{model.Extract{From: model.FromQuery, Name: "two"}, "", errAmbiguous},
-		{model.Extract{From: model.FromQuery, Name: "bad"}, "", errEscape},
+		{model.Extract{From: model.FromQuery, Name: "bad"}, "", errBadEscape},
 		{model.Extract{From: model.FromQuery, Name: "pl us"}, "1", nil},
 		{model.Extract{From: model.FromQuery, Name: "empty", Default: "d"}, "d", nil},
 		{model.Extract{Default: "d"}, "d", nil},
@@ -98,11 +98,11 @@
 		{"250", time.Second, 250 * time.Millisecond, nil},
 		{"1.5s", time.Minute, 1500 * time.Millisecond, nil},
 		{"2m", time.Second, time.Second, nil},
-		{"9223372036854775807", 0, time.Duration(longestLeft) * time.Millisecond, nil},
-		{"0", time.Second, 0, errTooLate},
-		{"-5ms", time.Second, 0, errTooLate},
-		{"-9223372036854775808", time.Second, 0, errDeadline},
-		{"soon", time.Second, 0, errDeadline},
+		{"9223372036854775807", 0, time.Duration(maxMillis) * time.Millisecond, nil},
+		{"0", time.Second, 0, errDeadlinePassed},
+		{"-5ms", time.Second, 0, errDeadlinePassed},
+		{"-9223372036854775808", time.Second, 0, errBadDeadline},
+		{"soon", time.Second, 0, errBadDeadline},
 	} {
 		src := source{header: http.Header{"X-Deadline": {example.word}}}
 		got, f := src.timeLeft(&rule, example.timeout)
@@ -120,11 +120,11 @@
 	}{
 		{"/faq", nil, errNoKey},
 		{"/faq/", nil, errNoKey},
-		{"/faq/a%00b", nil, errText},
-		{"/faq/%ff", nil, errText},
-		{"/faq/" + strings.Repeat("k", 1025), nil, errLong},
-		{"/faq/k", http.Header{"X-Class": {"urgent"}}, errClass},
-		{"/faq/k?repeat=perhaps", nil, errRepeat},
+		{"/faq/a%00b", nil, errNotPrintable},
+		{"/faq/%ff", nil, errNotPrintable},
+		{"/faq/" + strings.Repeat("k", 1025), nil, errTooLong},
+		{"/faq/k", http.Header{"X-Class": {"urgent"}}, errBadClass},
+		{"/faq/k?repeat=perhaps", nil, errBadRepeatability},
 		{"/faq/k", http.Header{"X-Caller": {"a", "b"}}, errAmbiguous},
 	} {
 		r := httptest.NewRequest("GET", example.target, nil)
@@ -135,27 +135,26 @@
 	}
 }
 
-// Symptom: a key is served by a target that does not own it.
-// Sequence: a caller asks for /faq/a/../b; the router takes "a" for the key and
-// sends to its owner, which resolves the path and works on "b".
-// Cause: router and target read the path differently.
+// Guards against a key that is served by a target that does not own it. For /faq/a/../b the
+// router would extract the key "a" and forward to its owner, which resolves the path and works
+// on "b".
 func TestDotSegmentsAreRefused(t *testing.T) {
-	b := start(t, Config{}, answered)
+	b := startServer(t, Config{}, answerWhole)
 	for _, path := range []string{"/faq/a/../b", "/faq/./a", "/faq/a/%2e%2e/b", "/faq/..", "/.."} {
 		r, err := http.NewRequest("GET", b.url, nil)
 		assert.NilError(t, err)
 		r.URL.Opaque = path
-		resp, err := client(t, 1).Do(r)
+		resp, err := newClient(t, 1).Do(r)
 		assert.NilError(t, err)
 		defer resp.Body.Close()
 		assert.Equal(t, resp.Header.Get("Tarragon-Error"), "bad_request", path)
 	}
-	resp := do(t, client(t, 1), "GET", b.url+"/faq/..a/.b/c..", nil)
+	resp := do(t, newClient(t, 1), "GET", b.url+"/faq/..a/.b/c..", nil)
 	assert.Equal(t, resp.StatusCode, 200)
 }
 
-// FuzzExtract checks that whatever a caller sends is either refused or yields a
-// key that fits into records and logs, and that the prefix is kept.
+// FuzzExtract checks that any request is either refused or yields a key that is fit for
+// records and logs, and that strip does not panic.
 func FuzzExtract(f *testing.F) {
 	f.Add("/faq/stall-7?repeat=true", "ramen-kai", "250")
 	f.Add("/faq/a%2Fb/../c", "", "1s")
--- a/caller/fuzz_test.go
+++ b/caller/fuzz_test.go
@@ -9,9 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// FuzzHeaders: whatever headers a caller sends, none that is the router's own or
-// concerns the caller's connection alone goes on, the id fits into a log line, and
-// the deadline is refused or within its range.
+// FuzzHeaders checks that for any headers from a caller, no hop-by-hop or reserved router
+// header is forwarded, the request ID is fit for a log line, and the deadline is refused or
+// within range.
 func FuzzHeaders(f *testing.F) {
 	f.Add("X-Request-Id", "id-1", "close", "250")
 	f.Add("Tarragon-Token", "99", "keep-alive, Tarragon-Term", "1.5s")
@@ -22,16 +22,16 @@
 		h := make(http.Header)
 		h.Set(name, value)
 		h.Set("Connection", connection)
-		dropListed(h)
-		dropForeign(h)
+		dropConnectionHeaders(h)
+		dropUnforwarded(h)
 		for key := range h {
-			assert.Assert(t, !isOwn(key), "%q went on", key)
+			assert.Assert(t, !isRouterHeader(key), "%q went on", key)
 			assert.Assert(t, !isHopByHop(key) || key == "Te" && h.Get(key) == "trailers", "%q went on", key)
 		}
 		id := requestID(h, headerRequestID)
 		assert.Assert(t, id != "" && len(id) <= maxIDBytes)
 		assert.Assert(t, !strings.ContainsFunc(id, func(r rune) bool { return r <= ' ' || r >= 0x7f }), "%q", id)
-		left, ok := parseLeft(deadline)
+		left, ok := parseTimeLeft(deadline)
 		if millis, err := strconv.ParseInt(deadline, 10, 64); err == nil && ok {
 			// An overflow would turn a long wait into a deadline that has passed.
 			assert.Equal(t, left > 0, millis > 0, "%q gives %v", deadline, left)
--- a/caller/handler.go
+++ b/caller/handler.go
@@ -11,16 +11,15 @@
 	"tarragongw/reqctx"
 )
 
-// Handler is the http.Handler for callers. It takes the request's header map as
-// its own and changes it in place, so nothing that wraps it may read the header
-// after the call.
+// Handler is the http.Handler for callers. It modifies the request's header map in place, so a
+// wrapping handler must not read the header after the call.
 type Handler struct {
 	cfg       Config
 	forwarder Forwarder
 	observer  Observer
 	rules     atomic.Pointer[ruleSet]
 	inFlight  atomic.Int64
-	// stopping says that requests which come from now on are refused.
+	// stopping means that new requests are refused.
 	stopping atomic.Bool
 }
 
@@ -33,14 +32,14 @@
 	return &Handler{cfg: cfg.withDefaults(), forwarder: forwarder, observer: observer}
 }
 
-// SetModel puts a model in force for requests that arrive from now on. The model
-// must not be changed afterwards.
+// SetModel sets the model for requests that arrive from now on. The model must not be changed
+// afterwards.
 func (h *Handler) SetModel(m *model.Model) { h.rules.Store(compile(m)) }
 
-// closing reports whether callers' connections are to end after their answers.
+// closing reports whether callers' connections are to be closed after their current answers.
 func (h *Handler) closing() bool { return h.stopping.Load() || h.cfg.closing() }
 
-// InFlight returns the number of requests being worked on.
+// InFlight returns the number of requests in flight.
 func (h *Handler) InFlight() int64 { return h.inFlight.Load() }
 
 // ServeHTTP implements http.Handler.
@@ -48,31 +47,31 @@
 	x := &exchange{
 		handler: h, w: w, r: r, ctl: *http.NewResponseController(w), declared: -1, began: time.Now(),
 	}
-	if e := begunEarly(r); e != nil && e.deliver(x) {
+	if e := takePipelined(r); e != nil && e.deliver(x) {
 		return
 	}
-	x.nth = countTurn(r)
-	x.expects = len(r.Header["Expect"]) > 0
+	x.requestNumber = countRequest(r)
+	x.expectsContinue = len(r.Header["Expect"]) > 0
 	x.allowDuplex()
 	inFlight := h.inFlight.Add(1)
-	f := x.settle(x.serve(inFlight))
+	f := x.reconcile(x.serve(inFlight))
 	if x.body != nil {
-		x.body.watch.close()
+		x.body.timeout.close()
 	}
 	aborted := x.answer(f)
-	x.release()
+	x.releaseContext()
 	h.observe(x, f, aborted)
-	x.writes.close()
-	x.armEnd()
+	x.writeTimeout.close()
+	x.boundFinalFlush()
 	h.inFlight.Add(-1)
 	if aborted {
-		x.flushPart()
+		x.flushPartial()
 		abort(r)
 	}
 	x.drain()
 }
 
-// serve extracts and forwards.
+// serve checks whether the request can be accepted, extracts its fields and forwards it.
 func (x *exchange) serve(inFlight int64) *fault.Fault {
 	h := x.handler
 	x.meta.ID = requestID(x.r.Header, h.cfg.RequestIDHeader)
@@ -88,7 +87,7 @@
 		return fault.New(fault.Unsupported, "")
 	}
 	if h.cfg.Accepts != nil {
-		if f := x.distrusted(); f != nil {
+		if f := x.refuseRejectedCertificate(); f != nil {
 			return f
 		}
 	}
@@ -103,14 +102,14 @@
 	return x.forward(r)
 }
 
-// prepare finds out what the request is and returns the request for the
-// forwarder.
+// prepare extracts the fields of the request, checks admission, and returns the request to
+// pass to the forwarder.
 func (x *exchange) prepare(rules *ruleSet) (*http.Request, *fault.Fault) {
 	r := x.r
 	if hasDotSegments(r.URL) {
-		return nil, errDots
+		return nil, errDotSegments
 	}
-	dropListed(r.Header)
+	dropConnectionHeaders(r.Header)
 	rule, src := rules.match(r)
 	if rule == nil {
 		return nil, errNoRoute
@@ -134,13 +133,14 @@
 	if left > 0 {
 		x.meta.Deadline = x.began.Add(left)
 	}
-	x.bound()
+	x.attachContext()
 	if left > 0 {
 		x.ctx.Limit(x.meta.Deadline, left)
 	}
 	out := r.WithContext(x.ctx)
-	// Whether the caller ends its own connection is nothing to the target's: passed on, it
-	// cost a new connection to a target for each second request of callers without kept ones.
+	// Whether the caller closes its own connection must not reach the target: passed on, it
+	// cost a new connection to a target for every second request of callers that do not keep
+	// their connections open.
 	out.Close = false
 	rule.strip(out, src.rest)
 	x.prepareHeader(out)
@@ -148,8 +148,9 @@
 	return out, nil
 }
 
-// bound gives the request the context that ends with its caller's connection.
-func (x *exchange) bound() {
+// attachContext creates the context of the request, which ends when the connection of the
+// caller does.
+func (x *exchange) attachContext() {
 	x.conn = watchedConn(x.r)
 	if x.conn == nil {
 		x.ctx = reqctx.New(x.r.Context())
@@ -159,8 +160,8 @@
 	x.conn.attach(x.ctx)
 }
 
-// release ends what bound began.
-func (x *exchange) release() {
+// releaseContext undoes attachContext.
+func (x *exchange) releaseContext() {
 	if x.conn != nil {
 		x.conn.detach()
 	}
@@ -169,7 +170,7 @@
 	}
 }
 
-// strip removes the prefix where the service wants it.
+// strip removes the path prefix of the rule if the service asks for it.
 func (r *rule) strip(out *http.Request, rest string) {
 	if !r.service.StripPrefix || r.prefix == "" {
 		return
@@ -191,7 +192,7 @@
 
 func (x *exchange) prepareHeader(out *http.Request) {
 	header := out.Header
-	dropForeign(header)
+	dropUnforwarded(header)
 	cfg := &x.handler.cfg
 	header[cfg.RequestIDHeader] = x.idValue[:]
 	if cfg.Untraced {
@@ -204,46 +205,45 @@
 	appendForwarded(header, out.RemoteAddr, &x.forwardedValue)
 }
 
-// allowDuplex lets an HTTP/1.1 answer begin before the request's body ended.
-// Without it the server reads up to 256 KiB of the body before it sends any
-// answer, and a caller that trickles its upload would have its answer, also a
-// refusal, held back.
+// allowDuplex lets an HTTP/1.1 answer begin before the end of the request body. Without it,
+// the server reads up to 256 KiB of the body before it sends any answer, and a caller that
+// uploads slowly would get its answer late, even a refusal.
 func (x *exchange) allowDuplex() {
 	if x.r.ProtoMajor < 2 && x.r.ContentLength != 0 {
 		_ = x.ctl.EnableFullDuplex()
 	}
 }
 
-// prepareBody puts the progress watch around the body.
+// prepareBody wraps the body in the progress timeout.
 func (x *exchange) prepareBody(out *http.Request) {
 	if out.Body == nil || out.Body == http.NoBody {
 		return
 	}
 	x.body = &requestBody{
-		body: out.Body, watch: watch{cut: x.ctl.SetReadDeadline}, window: x.handler.cfg.BodyWindow, least: x.handler.cfg.BodyWindowBytes,
+		body: out.Body, timeout: ioTimeout{setDeadline: x.ctl.SetReadDeadline}, window: x.handler.cfg.BodyWindow, minBytes: x.handler.cfg.BodyWindowBytes,
 	}
 	out.Body = x.body
 	x.prepareTrailer(out)
 }
 
-// prepareTrailer gives the forwarder a trailer of its own with the announced
-// names. The server's own map takes in whatever the caller sends, which would
-// bring the router's own headers in by the back door.
+// prepareTrailer gives the forwarded request a trailer map of its own with the announced
+// names. The server's map accepts any trailer that the caller sends, which would let callers
+// set the router's own headers.
 func (x *exchange) prepareTrailer(out *http.Request) {
 	if len(x.r.Trailer) == 0 {
 		return
 	}
 	out.Trailer = make(http.Header, len(x.r.Trailer))
 	for name := range x.r.Trailer {
-		if !isHopByHop(name) && !isOwn(name) {
+		if !isHopByHop(name) && !isRouterHeader(name) {
 			out.Trailer[name] = nil
 		}
 	}
-	x.body.from, x.body.trailer = x.r, out.Trailer
+	x.body.serverRequest, x.body.trailer = x.r, out.Trailer
 }
 
-// forward calls the forwarder; a panic in it becomes a fault, so that one
-// request's defect ends neither the process nor its answer cleanly.
+// forward calls the forwarder and turns a panic in it into a fault, so that a defect in one
+// request neither ends the process nor makes a truncated answer look complete.
 func (x *exchange) forward(r *http.Request) (f *fault.Fault) {
 	defer func() {
 		cause := recover()
@@ -259,8 +259,8 @@
 	return x.handler.forwarder.Forward(x, r, &x.meta)
 }
 
-// answer sends the fault's answer and reports whether the caller's connection
-// must be aborted instead, because an answer had begun or the caller is gone.
+// answer writes the answer for a fault. It reports whether the caller's connection must be
+// aborted instead, because an answer had already begun or the caller is gone.
 func (x *exchange) answer(f *fault.Fault) (aborted bool) {
 	if f == nil {
 		return false
@@ -268,7 +268,7 @@
 	if x.status != 0 {
 		return true
 	}
-	if x.refuse(f) {
+	if x.deferRefusal(f) {
 		return false
 	}
 	if f.Kind == fault.CallerGone {
@@ -276,17 +276,17 @@
 		return true
 	}
 	x.direct = true
-	x.forgetHeader()
+	x.resetHeader()
 	x.closeAfterUnread()
-	if x.distrusts {
+	if x.certificateRejected {
 		x.w.Header().Set("Connection", "close")
 	}
 	writeFaultAnswer(x, x.r.Method, x.meta.ID, f, &x.handler.cfg)
 	return x.writeErr != nil
 }
 
-// forgetHeader removes what the forwarder had set before it failed.
-func (x *exchange) forgetHeader() {
+// resetHeader removes the headers that the forwarder set before it failed.
+func (x *exchange) resetHeader() {
 	header := x.w.Header()
 	for name := range header {
 		delete(header, name)
@@ -297,7 +297,7 @@
 func (h *Handler) observe(x *exchange, f *fault.Fault, aborted bool) {
 	x.outcome = Outcome{
 		Meta: &x.meta, Method: x.r.Method, Status: x.status, Fault: f, Aborted: aborted,
-		Began: x.began, Duration: time.Since(x.began), Nth: x.nth, BytesOut: x.written,
+		Began: x.began, Duration: time.Since(x.began), Nth: x.requestNumber, BytesOut: x.written,
 	}
 	o := &x.outcome
 	if f == nil || f.Ran == fault.RanFully {
--- a/caller/handler_test.go
+++ b/caller/handler_test.go
@@ -13,17 +13,17 @@
 	"tarragongw/core/request"
 )
 
-func TestForwardsWhatItExtracted(t *testing.T) {
+func TestExtractedFieldsAreForwarded(t *testing.T) {
 	var got request.Meta
 	var path string
-	b := start(t, Config{}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
+	b := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
 		got, path = *m, r.URL.Path
-		return answered(w, r, m)
+		return answerWhole(w, r, m)
 	})
-	onBoth(t, func(t *testing.T, c *http.Client) {
+	onBothVersions(t, func(t *testing.T, c *http.Client) {
 		resp := do(t, c, "POST", b.url+"/faq/stall-7/answers?repeat=true", nil,
 			"X-Caller", "ramen-kai", "X-Class", "batch", "X-Deadline", "1500", "X-Request-Id", "id-1")
-		assert.Equal(t, text(t, resp), "whole")
+		assert.Equal(t, readBody(t, resp), "whole")
 		assert.Equal(t, resp.Header.Get("X-Request-Id"), "id-1")
 		assert.Equal(t, path, "/stall-7/answers")
 		outcome := <-b.observer.outcomes
@@ -41,11 +41,11 @@
 
 func TestFaultsAreAnsweredFromTheTable(t *testing.T) {
 	var next *fault.Fault
-	b := start(t, Config{}, func(w http.ResponseWriter, _ *http.Request, _ *request.Meta) *fault.Fault {
+	b := startServer(t, Config{}, func(w http.ResponseWriter, _ *http.Request, _ *request.Meta) *fault.Fault {
 		w.Header().Set("X-Left-Over", "1")
 		return next
 	})
-	onBoth(t, func(t *testing.T, c *http.Client) {
+	onBothVersions(t, func(t *testing.T, c *http.Client) {
 		for _, kind := range fault.Kinds() {
 			if kind == fault.CallerGone {
 				continue
@@ -58,7 +58,7 @@
 			assert.Equal(t, resp.Header.Get("Tarragon-Ran"), row.Ran.String())
 			assert.Equal(t, resp.Header.Get("X-Left-Over"), "")
 			var answer Answer
-			assert.NilError(t, json.Unmarshal([]byte(text(t, resp)), &answer))
+			assert.NilError(t, json.Unmarshal([]byte(readBody(t, resp)), &answer))
 			least := row.RetryAfter.Milliseconds()
 			assert.Assert(t, answer.RetryAfterMillis >= least && answer.RetryAfterMillis <= 2*least, "%d", answer.RetryAfterMillis)
 			answer.RetryAfterMillis = 0
@@ -70,14 +70,12 @@
 	})
 }
 
-// Symptom: refusals come in waves.
-// Sequence: many callers are refused at one moment and told to wait; all come back at
-// one moment.
-// Cause: each is told the same.
+// Guards against refusals that come in waves: if callers that are refused at the same moment
+// all get the same retry delay, they all return at the same moment.
 func TestRetryAfterIsRoundedUpAndSpread(t *testing.T) {
 	wait := fault.New(fault.QueueFull, "")
-	b := start(t, Config{}, func(http.ResponseWriter, *http.Request, *request.Meta) *fault.Fault { return wait })
-	c := client(t, 1)
+	b := startServer(t, Config{}, func(http.ResponseWriter, *http.Request, *request.Meta) *fault.Fault { return wait })
+	c := newClient(t, 1)
 	for _, example := range []struct {
 		wait            time.Duration
 		seconds, millis [2]int
@@ -87,7 +85,7 @@
 		{time.Second + time.Nanosecond, [2]int{2, 4}, [2]int{1001, 2002}},
 	} {
 		wait.RetryAfter = example.wait
-		told := map[int]bool{}
+		seen := map[int]bool{}
 		for range 64 {
 			resp := do(t, c, "GET", b.url+"/x", nil)
 			<-b.observer.outcomes
@@ -97,28 +95,28 @@
 			assert.NilError(t, err)
 			assert.Assert(t, seconds >= example.seconds[0] && seconds <= example.seconds[1], "%d s", seconds)
 			assert.Assert(t, millis >= example.millis[0] && millis <= example.millis[1], "%d ms", millis)
-			told[seconds] = true
+			seen[seconds] = true
 		}
-		// That 64 draws of two or three values miss one has a chance below 1e-10.
-		assert.Equal(t, len(told), example.seconds[1]-example.seconds[0]+1)
+		// The chance that 64 draws of two or three values miss one is below 1e-10.
+		assert.Equal(t, len(seen), example.seconds[1]-example.seconds[0]+1)
 	}
 }
 
 func TestHeadHasNoBody(t *testing.T) {
-	b := start(t, Config{}, func(http.ResponseWriter, *http.Request, *request.Meta) *fault.Fault {
+	b := startServer(t, Config{}, func(http.ResponseWriter, *http.Request, *request.Meta) *fault.Fault {
 		return fault.New(fault.NoOwner, "")
 	})
-	onBoth(t, func(t *testing.T, c *http.Client) {
+	onBothVersions(t, func(t *testing.T, c *http.Client) {
 		resp := do(t, c, "HEAD", b.url+"/x", nil)
 		assert.Equal(t, resp.StatusCode, 503)
-		assert.Equal(t, text(t, resp), "")
+		assert.Equal(t, readBody(t, resp), "")
 	})
 }
 
 func TestNotReadyWithoutModel(t *testing.T) {
-	b := start(t, Config{}, answered)
+	b := startServer(t, Config{}, answerWhole)
 	b.server.rules.Store(nil)
-	resp := do(t, client(t, 1), "GET", b.url+"/x", nil)
+	resp := do(t, newClient(t, 1), "GET", b.url+"/x", nil)
 	assert.Equal(t, resp.Header.Get("Tarragon-Error"), "not_ready")
 	assert.Equal(t, resp.Header.Get("Tarragon-Ran"), "not-run")
 }
--- a/caller/headers.go
+++ b/caller/headers.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	ownPrefix         = "Tarragon"
+	routerPrefix      = "Tarragon"
 	headerRequestID   = "X-Request-Id"
 	headerTraceparent = "Traceparent"
 	headerForwarded   = "X-Forwarded-For"
 )
 
-// isHopByHop reports the headers that concern one connection only (RFC 9110,
-// section 7.6.1). The name is in canonical form.
+// isHopByHop reports whether a header applies to a single connection only (RFC 9110, section
+// 7.6.1). The name is in canonical form.
 func isHopByHop(name string) bool {
 	switch name {
 	case "Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
@@ -25,15 +25,16 @@
 	}
 }
 
-// isOwn reports the router's own headers, the name in canonical form. Servers that map
-// headers to variables take Tarragon_Token for Tarragon-Token, so that both are its own.
-func isOwn(name string) bool {
-	rest, found := strings.CutPrefix(name, ownPrefix)
+// isRouterHeader reports whether a header is reserved for the router. The name is in canonical
+// form. Servers that map headers to variables do not distinguish Tarragon_Token from
+// Tarragon-Token, so both are reserved.
+func isRouterHeader(name string) bool {
+	rest, found := strings.CutPrefix(name, routerPrefix)
 	return found && rest != "" && (rest[0] == '-' || rest[0] == '_')
 }
 
-// dropListed removes the headers that Connection names.
-func dropListed(h http.Header) {
+// dropConnectionHeaders removes the headers that are listed in the Connection header.
+func dropConnectionHeaders(h http.Header) {
 	for _, line := range h["Connection"] {
 		for line != "" {
 			var name string
@@ -45,19 +46,18 @@
 	}
 }
 
-// dropForeign removes what concerns the caller's connection only and the
-// router's own headers. A caller that could send those would pass for a router
-// and name its own token, term or outcome. "TE: trailers" is put back, because
-// trailers do pass through.
-func dropForeign(h http.Header) {
+// dropUnforwarded removes hop-by-hop headers and the router's own headers. A caller that could
+// send the router's own headers could pose as a router and set its own token, term or outcome.
+// "TE: trailers" is put back, because trailers are forwarded.
+func dropUnforwarded(h http.Header) {
 	trailers := hasToken(h["Te"], "trailers")
 	for name := range h {
-		if isHopByHop(name) || isOwn(name) {
+		if isHopByHop(name) || isRouterHeader(name) {
 			delete(h, name)
 		}
 	}
-	// net/http sends the interim answer to Expect when the body is first read, which
-	// is when the request goes out to the target.
+	// net/http sends 100 Continue when the body is first read, which is when the request is
+	// sent to the target.
 	delete(h, "Expect")
 	if trailers {
 		h["Te"] = []string{"trailers"}
@@ -78,8 +78,8 @@
 	return false
 }
 
-// wantsTunnel reports requests that would turn the connection into something
-// else. "Upgrade: h2c" may be ignored and is: the answer comes in HTTP/1.1.
+// wantsTunnel reports whether the request asks to turn the connection into a tunnel or another
+// protocol. "Upgrade: h2c" may be ignored, and is: the answer is sent in HTTP/1.1.
 func wantsTunnel(r *http.Request) bool {
 	if r.Method == http.MethodConnect {
 		return true
@@ -88,8 +88,8 @@
 	return len(upgrade) > 0 && hasToken(r.Header["Connection"], "upgrade") && !hasToken(upgrade, "h2c")
 }
 
-// appendForwarded adds the caller's address to X-Forwarded-For; value becomes the
-// header's.
+// appendForwarded adds the caller's address to X-Forwarded-For. It stores the new value in
+// *value, which backs the header's slice.
 func appendForwarded(h http.Header, remote string, value *[1]string) {
 	ip, _, err := net.SplitHostPort(remote)
 	if err != nil {
--- a/caller/headers_test.go
+++ b/caller/headers_test.go
@@ -14,20 +14,19 @@
 	"tarragongw/core/request"
 )
 
-// Symptom: a target takes a caller for a router and works under a wrong token.
-// Sequence: a caller sends the router's own headers, plainly and as a trailer.
-// Cause: the headers are passed on with the rest.
+// Guards against a caller that poses as a router: forwarded unchanged, the router's own
+// headers, sent as headers or as a trailer, would make a target work under a wrong token.
 func TestForgedHeadersAreStripped(t *testing.T) {
 	var header, trailer http.Header
-	b := start(t, Config{}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
+	b := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
 		buffer := make([]byte, 16)
 		for err := error(nil); err == nil; {
 			_, err = r.Body.Read(buffer)
 		}
 		header, trailer = r.Header.Clone(), r.Trailer.Clone()
-		return answered(w, r, m)
+		return answerWhole(w, r, m)
 	})
-	onBoth(t, func(t *testing.T, c *http.Client) {
+	onBothVersions(t, func(t *testing.T, c *http.Client) {
 		r, err := http.NewRequest("POST", b.url+"/x", struct{ *strings.Reader }{strings.NewReader("body")})
 		assert.NilError(t, err)
 		r.Trailer = http.Header{"Tarragon-Token": {"9"}, "X-Sum": {"42"}}
@@ -39,9 +38,9 @@
 		}
 		resp, err := c.Do(r)
 		assert.NilError(t, err)
-		assert.Equal(t, text(t, resp), "whole")
+		assert.Equal(t, readBody(t, resp), "whole")
 		for name := range header {
-			assert.Assert(t, !isOwn(name), name)
+			assert.Assert(t, !isRouterHeader(name), name)
 		}
 		assert.Equal(t, header.Get("Proxy-Authorization"), "")
 		assert.Equal(t, header.Get("X-Plain"), "kept")
@@ -53,13 +52,13 @@
 	})
 }
 
-func TestListedHeadersAreStripped(t *testing.T) {
+func TestHeadersListedInConnectionAreStripped(t *testing.T) {
 	var header http.Header
-	b := start(t, Config{}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
+	b := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
 		header = r.Header.Clone()
-		return answered(w, r, m)
+		return answerWhole(w, r, m)
 	})
-	do(t, client(t, 1), "GET", b.url+"/x", nil, "Connection", "x-one, keep-alive", "X-One", "1", "Keep-Alive", "5",
+	do(t, newClient(t, 1), "GET", b.url+"/x", nil, "Connection", "x-one, keep-alive", "X-One", "1", "Keep-Alive", "5",
 		"X-Two", "2", "X-Request-Id", "bad id")
 	assert.Equal(t, header.Get("X-One"), "")
 	assert.Equal(t, header.Get("Keep-Alive"), "")
@@ -69,47 +68,46 @@
 	assert.Equal(t, len(header.Get("Traceparent")), 55)
 }
 
-// Symptom: half of the connections to targets are opened for one request only.
-// Sequence: callers that keep no connection say so; the request goes out with the same
-// word, and the target closes the connection that a pool would have kept.
-// Cause: net/http keeps a connection's end apart from the header, so that removing the
-// header left it in force for the way to the target.
-func TestEndOfTheCallersConnectionIsNotPassedOn(t *testing.T) {
+// Guards against connections to targets that are used for one request only. Callers that do
+// not keep connections open send "Connection: close". net/http stores that in Request.Close,
+// apart from the header, so that removing the header alone leaves it in force and the target
+// closes its pooled connection.
+func TestConnectionCloseIsNotForwarded(t *testing.T) {
 	var passedOn bool
-	b := start(t, Config{}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
+	b := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
 		passedOn = r.Close
-		return answered(w, r, m)
+		return answerWhole(w, r, m)
 	})
-	resp := do(t, client(t, 1), "GET", b.url+"/x", nil, "Connection", "close")
-	assert.Equal(t, text(t, resp), "whole")
+	resp := do(t, newClient(t, 1), "GET", b.url+"/x", nil, "Connection", "close")
+	assert.Equal(t, readBody(t, resp), "whole")
 	assert.Assert(t, resp.Close, "the caller's own connection ends as it asked")
 	assert.Assert(t, !passedOn)
 }
 
 func TestTunnelsAreRefused(t *testing.T) {
-	b := start(t, Config{}, answered)
+	b := startServer(t, Config{}, answerWhole)
 	for _, head := range []string{
 		"GET /x HTTP/1.1\r\nHost: h\r\nConnection: Upgrade\r\nUpgrade: websocket\r\n\r\n",
 		"CONNECT h:80 HTTP/1.1\r\nHost: h:80\r\n\r\n",
 	} {
-		resp := raw(t, b, head)
+		resp := sendRaw(t, b, head)
 		assert.Equal(t, resp.StatusCode, 501)
 		assert.Equal(t, resp.Header.Get("Tarragon-Error"), "unsupported")
 		assert.Equal(t, resp.Header.Get("Tarragon-Ran"), "not-run")
 	}
-	resp := raw(t, b, "GET /x HTTP/1.1\r\nHost: h\r\nConnection: Upgrade, HTTP2-Settings\r\nUpgrade: h2c\r\nHTTP2-Settings: \r\n\r\n")
+	resp := sendRaw(t, b, "GET /x HTTP/1.1\r\nHost: h\r\nConnection: Upgrade, HTTP2-Settings\r\nUpgrade: h2c\r\nHTTP2-Settings: \r\n\r\n")
 	assert.Equal(t, resp.StatusCode, 200)
 }
 
-// raw sends bytes on a connection of their own and reads one answer.
-func raw(t *testing.T, b *bench, head string) *http.Response {
+// sendRaw sends bytes on a new connection and reads one answer.
+func sendRaw(t *testing.T, b *testServer, head string) *http.Response {
 	t.Helper()
 	conn, reader := dial(t, b)
-	return converse(t, conn, reader, head)
+	return exchangeRaw(t, conn, reader, head)
 }
 
-// converse writes text to the connection and reads the next answer.
-func converse(t *testing.T, conn net.Conn, reader *bufio.Reader, text string) *http.Response {
+// exchangeRaw writes text to the connection and reads the next answer.
+func exchangeRaw(t *testing.T, conn net.Conn, reader *bufio.Reader, text string) *http.Response {
 	t.Helper()
 	_, err := io.WriteString(conn, text)
 	assert.NilError(t, err)
@@ -118,7 +116,7 @@
 	return resp
 }
 
-func dial(t *testing.T, b *bench) (net.Conn, *bufio.Reader) {
+func dial(t *testing.T, b *testServer) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	conn, err := net.Dial("tcp", b.address)
 	assert.NilError(t, err)
--- a/caller/fake_test.go
+++ b/caller/helpers_test.go
@@ -18,21 +18,21 @@
 	"tarragongw/core/request"
 )
 
-// forwardFunc is a Forwarder for tests.
+// forwardFunc is a function that implements Forwarder.
 type forwardFunc func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault
 
 func (f forwardFunc) Forward(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
 	return f(w, r, m)
 }
 
-// recorder is an Observer that hands outcomes to the test.
+// recorder is an Observer that passes outcomes to the test.
 type recorder struct{ outcomes chan Outcome }
 
 func newRecorder() *recorder { return &recorder{outcomes: make(chan Outcome, 64)} }
 
 func (o *recorder) Observe(outcome *Outcome) { o.outcomes <- *outcome }
 
-// testModel has one service divided by key and one that is not.
+// testModel returns a model with one service divided by key and one that is not.
 func testModel() *model.Model {
 	return &model.Model{
 		Revision: 1,
@@ -52,38 +52,38 @@
 	}
 }
 
-// bench is a running server with its clients.
-type bench struct {
+// testServer is a running server with its observer and address.
+type testServer struct {
 	server   *Server
 	observer *recorder
 	address  string
 	url      string
 }
 
-func start(t testing.TB, cfg Config, f forwardFunc) *bench {
+func startServer(t testing.TB, cfg Config, f forwardFunc) *testServer {
 	t.Helper()
-	return startWith(t, cfg, f, nil)
+	return startServerWith(t, cfg, f, nil)
 }
 
-// startTLS starts a server with the test certificate of net/http/httptest.
-func startTLS(t testing.TB, f forwardFunc) *bench {
+// startTLSServer starts a server with the test certificate of net/http/httptest.
+func startTLSServer(t testing.TB, f forwardFunc) *testServer {
 	t.Helper()
 	donor := httptest.NewUnstartedServer(nil)
 	donor.StartTLS()
 	t.Cleanup(donor.Close)
-	b := startWith(t, Config{}, f, &tls.Config{Certificates: donor.TLS.Certificates})
+	b := startServerWith(t, Config{}, f, &tls.Config{Certificates: donor.TLS.Certificates})
 	b.url = "https://" + b.address
 	return b
 }
 
-func startWith(t testing.TB, cfg Config, f forwardFunc, secure *tls.Config) *bench {
+func startServerWith(t testing.TB, cfg Config, f forwardFunc, secure *tls.Config) *testServer {
 	t.Helper()
 	observer := newRecorder()
 	handler := NewHandler(cfg, f, observer)
 	handler.SetModel(testModel())
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	b := &bench{server: NewServer(handler, secure), observer: observer, address: listener.Addr().String()}
+	b := &testServer{server: NewServer(handler, secure), observer: observer, address: listener.Addr().String()}
 	b.url = "http://" + b.address
 	served := make(chan error, 1)
 	go func() { served <- b.server.Serve(listener) }()
@@ -96,8 +96,8 @@
 	return b
 }
 
-// client returns a client for HTTP/1.1 (1) or clear-text HTTP/2 (2).
-func client(t testing.TB, major int) *http.Client {
+// newClient returns a client for HTTP/1.1 (major 1) or clear-text HTTP/2 (major 2).
+func newClient(t testing.TB, major int) *http.Client {
 	var protocols http.Protocols
 	protocols.SetHTTP1(major == 1)
 	protocols.SetUnencryptedHTTP2(major == 2)
@@ -106,10 +106,10 @@
 	return &http.Client{Transport: transport}
 }
 
-// onBoth runs the test over HTTP/1.1 and HTTP/2.
-func onBoth(t *testing.T, test func(t *testing.T, c *http.Client)) {
+// onBothVersions runs the test over HTTP/1.1 and HTTP/2.
+func onBothVersions(t *testing.T, test func(t *testing.T, c *http.Client)) {
 	for major, name := range map[int]string{1: "http1", 2: "http2"} {
-		t.Run(name, func(t *testing.T) { test(t, client(t, major)) })
+		t.Run(name, func(t *testing.T) { test(t, newClient(t, major)) })
 	}
 }
 
@@ -126,39 +126,39 @@
 	return resp
 }
 
-func text(t testing.TB, resp *http.Response) string {
+func readBody(t testing.TB, resp *http.Response) string {
 	t.Helper()
 	body, err := io.ReadAll(resp.Body)
 	assert.NilError(t, err)
 	return string(body)
 }
 
-// answered is a forwarder's plain success.
-func answered(w http.ResponseWriter, _ *http.Request, _ *request.Meta) *fault.Fault {
+// answerWhole is a forwarder that writes a complete answer.
+func answerWhole(w http.ResponseWriter, _ *http.Request, _ *request.Meta) *fault.Fault {
 	_, _ = io.WriteString(w, "whole")
 	return nil
 }
 
-// gate lets a test hold a forwarder and wait for it.
+// gate lets a test block a forwarder and wait until it was entered.
 type gate struct {
 	entered chan struct{}
-	leave   chan struct{}
+	opened  chan struct{}
 	once    sync.Once
 }
 
 func newGate() *gate {
-	return &gate{entered: make(chan struct{}, 16), leave: make(chan struct{})}
+	return &gate{entered: make(chan struct{}, 16), opened: make(chan struct{})}
 }
 
 func (g *gate) pass() {
 	g.entered <- struct{}{}
-	<-g.leave
+	<-g.opened
 }
 
-// answered is a forwarder that answers once it may pass.
-func (g *gate) answered(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
+// forward is a forwarder that answers once the gate is open.
+func (g *gate) forward(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
 	g.pass()
-	return answered(w, r, m)
+	return answerWhole(w, r, m)
 }
 
-func (g *gate) open() { g.once.Do(func() { close(g.leave) }) }
+func (g *gate) open() { g.once.Do(func() { close(g.opened) }) }
--- a/caller/id.go
+++ b/caller/id.go
@@ -6,18 +6,18 @@
 	"net/http"
 )
 
-// maxIDBytes bounds a request id that a caller brings.
+// maxIDBytes bounds the length of a request ID that a caller sends.
 const maxIDBytes = 128
 
 const (
-	idHexBytes    = 32
-	spanHexBytes  = 16
-	traceVersion  = "00-"
-	traceUnmarked = "-00"
+	idHexBytes      = 32
+	spanHexBytes    = 16
+	traceVersion    = "00-"
+	traceNotSampled = "-00"
 )
 
-// requestID returns the caller's id, or a new one where it brings none or one
-// that does not fit into a log line.
+// requestID returns the caller's request ID, or a new one if it sends none or one that is not
+// fit for a log line.
 func requestID(h http.Header, name string) string {
 	if ids := h[name]; len(ids) == 1 && validID(ids[0]) {
 		return ids[0]
@@ -39,9 +39,9 @@
 	return true
 }
 
-// newTraceparent returns a W3C trace context that is not sampled.
+// newTraceparent returns a new W3C trace context that is not sampled.
 func newTraceparent() string {
-	var text [len(traceVersion) + idHexBytes + 1 + spanHexBytes + len(traceUnmarked)]byte
+	var text [len(traceVersion) + idHexBytes + 1 + spanHexBytes + len(traceNotSampled)]byte
 	next := copy(text[:], traceVersion)
 	randomHex(text[next : next+idHexBytes])
 	next += idHexBytes
@@ -49,12 +49,12 @@
 	next++
 	randomHex(text[next : next+spanHexBytes])
 	next += spanHexBytes
-	copy(text[next:], traceUnmarked)
+	copy(text[next:], traceNotSampled)
 	return string(text[:])
 }
 
-// randomHex fills dst, whose length is a multiple of 16. Ids need to be unlike
-// each other, not hard to guess, so the runtime's generator does.
+// randomHex fills dst, whose length is a multiple of 16, with random hexadecimal digits. IDs
+// need to be distinct, not hard to guess, so math/rand/v2 is sufficient.
 func randomHex(dst []byte) {
 	var word [8]byte
 	for ; len(dst) > 0; dst = dst[spanHexBytes:] {
--- a/caller/promises_test.go
+++ b/caller/notrun_test.go
@@ -12,10 +12,10 @@
 	"tarragongw/core/fault"
 )
 
-// Symptom: a caller repeats an upload that the target has run.
-// Sequence: its body stalls on the way to the target; it is answered 408.
-// Cause: where callers take 408 for "not run", it was said without knowing.
-func TestStatusThatPromisesNeedsAProof(t *testing.T) {
+// Guards against a caller that repeats an upload which the target has run. If callers take a
+// 408 to mean "not run", a body that stalls on its way to the target must only be answered 408
+// with proof that the request did not run.
+func TestNotRunStatusNeedsProof(t *testing.T) {
 	for _, promises := range []bool{false, true} {
 		cfg := Config{Promises: promises}
 		for _, kind := range fault.Kinds() {
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestWaitsInFractionsOfASecond(t *testing.T) {
+func TestFractionalRetryAfter(t *testing.T) {
 	f := fault.New(fault.QueueFull, "")
 	f.RetryAfter = 120 * time.Millisecond
 	w := httptest.NewRecorder()
--- a/caller/observer.go
+++ b/caller/observer.go
@@ -7,35 +7,36 @@
 	"tarragongw/core/request"
 )
 
-// Observer is told once about each request, after its answer and before what is
-// left of its body is thrown away. Observe is called on the request's goroutine
-// by many at once and must not block; the outcome must not be kept.
+// Observer is notified once about each request, after its answer and before the rest of its
+// body is discarded. Observe is called on the request's goroutine, concurrently with other
+// calls; it must not block, and must not retain the outcome.
 type Observer interface {
 	Observe(o *Outcome)
 }
 
-// Outcome is how a request ended.
+// Outcome describes how a request ended.
 type Outcome struct {
-	// Meta is what was extracted. Fields after the one that was refused are empty;
-	// the service is empty where none matched.
+	// Meta holds the extracted fields. If a field was refused, those extracted after it are
+	// empty; the service is empty if no rule matched.
 	Meta   *request.Meta
 	Method string
-	// Status is what was sent, or 499 where the caller went away before the answer.
+	// Status is the status that was sent, or 499 if the caller closed the connection before
+	// the answer.
 	Status int
-	// Fault is nil where the target's whole answer was sent.
+	// Fault is nil if the whole answer of the target was sent.
 	Fault *fault.Fault
-	// Aborted says that the caller's connection or stream was broken off.
+	// Aborted means that the caller's connection or stream was aborted.
 	Aborted bool
-	// Began is when the request's header had arrived; Duration runs from then to the
-	// end of the answer, and FirstByte to the begin of the target's answer, zero where
-	// there was none.
+	// Began is when the request's header had arrived. Duration is the time from then to the
+	// end of the answer, and FirstByte the time to the beginning of the target's answer, or
+	// zero if there was none.
 	Began     time.Time
 	Duration  time.Duration
 	FirstByte time.Duration
-	// Nth counts the requests that were served in their turn on the caller's
-	// connection, from 1; it is zero for one that was served before its turn.
+	// Nth is the number of the request on its connection, from 1, among those that were served
+	// in their turn. It is zero for a request that was served before its turn.
 	Nth int64
-	// BytesIn and BytesOut count bodies.
+	// BytesIn and BytesOut are the sizes of the request body and of the answer body.
 	BytesIn  int64
 	BytesOut int64
 }
--- /dev/null
+++ b/caller/pipeline.go
@@ -0,0 +1,250 @@
+package caller
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"errors"
+	"net/http"
+	"os"
+	"sync"
+)
+
+const (
+	// pipelineBufferBytes bounds how much is read from a connection beyond the request that is
+	// being served: room for some dozen requests without a body.
+	pipelineBufferBytes = 16 * kibibyte
+	// pipelineReadBytes is the size of a single read.
+	pipelineReadBytes = 4 * kibibyte
+)
+
+// pipeline starts the pipelined requests of an HTTP/1.1 connection, that is, those that the
+// caller sends before the current one is answered. Their answers are buffered until their
+// turn, so that the caller gets them in order.
+//
+// Without it, net/http serves the requests of a connection one after the other, so that each
+// waits for the sum of those before it and not just for the slowest one. Under a mixed load
+// from callers that pipeline, 8 in 100 requests reached a target only after half of the time
+// within which their answer has its full value.
+//
+// Only requests that may run more than once and have no body are started early, because if the
+// connection ends before their turn, the caller sends them again. The server still parses each
+// request itself in its turn; pipeline only hands it the bytes of one request at a time, and
+// disables itself for the rest of the connection at the first request that it cannot delimit
+// with certainty.
+type pipeline struct {
+	conn *callerConn
+	// start starts a request before its turn, or returns nil if the request must wait for it.
+	start      func(ctx context.Context, r *http.Request) *pipelinedAnswer
+	maxStarted int
+	// ctx is cancelled when the connection ends.
+	ctx    context.Context
+	cancel context.CancelFunc
+
+	// The fields below are only accessed by the server's reads, of which there is one at a
+	// time.
+
+	// buffered holds bytes that were read from the connection and not yet returned to the
+	// server; the first currentLeft of them belong to the request that is being returned.
+	buffered    []byte
+	currentLeft int
+	// scanned is the number of bytes in buffered that precede the next request to start.
+	// blocked means that this request must wait for its turn.
+	scanned int
+	blocked bool
+	// disabled means that no more requests are started early.
+	disabled bool
+
+	// mu guards started, the answers of the requests in buffered that were started, and
+	// handedOut, the answers of the requests that were returned to the server and whose
+	// handler has not been called yet; an entry is nil if its request was not started early.
+	mu        sync.Mutex
+	started   []*pipelinedAnswer
+	handedOut []*pipelinedAnswer
+}
+
+func newPipeline(c *callerConn, base context.Context, most int, begin func(context.Context, *http.Request) *pipelinedAnswer) *pipeline {
+	p := &pipeline{conn: c, start: begin, maxStarted: most}
+	p.ctx, p.cancel = context.WithCancel(base)
+	return p
+}
+
+// Read serves the reads of the HTTP server. While a request is being served, the server reads
+// a single byte to detect that the caller closed the connection; pipeline uses that read to
+// start further requests.
+func (p *pipeline) Read(dst []byte) (int, error) {
+	if len(dst) == 1 && p.currentLeft == 0 && !p.disabled {
+		return p.readAhead(dst)
+	}
+	return p.readCurrent(dst)
+}
+
+// readCurrent returns bytes of at most one request.
+func (p *pipeline) readCurrent(dst []byte) (int, error) {
+	if p.disabled && len(p.buffered) == 0 {
+		return p.conn.Conn.Read(dst)
+	}
+	if p.currentLeft == 0 {
+		if err := p.advance(); err != nil {
+			return 0, err
+		}
+	}
+	n := copy(dst, p.buffered[:p.currentLeft])
+	p.buffered = p.buffered[n:]
+	p.currentLeft -= n
+	return n, nil
+}
+
+// advance makes the next request the current one, whose bytes are returned to the server.
+func (p *pipeline) advance() error {
+	if len(p.buffered) == 0 {
+		if err := p.readMore(); err != nil {
+			return err
+		}
+	}
+	p.currentLeft = simpleRequestLength(p.buffered)
+	if p.disabled = p.disabled || p.currentLeft == 0; p.disabled {
+		p.currentLeft = len(p.buffered)
+		return nil
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	var turn *pipelinedAnswer
+	if len(p.started) > 0 {
+		turn, p.started = p.started[0], p.started[1:]
+		p.scanned -= p.currentLeft
+	}
+	p.handedOut = append(p.handedOut, turn)
+	p.blocked = false
+	return nil
+}
+
+func (p *pipeline) readMore() error {
+	var b [pipelineReadBytes]byte
+	n, err := p.conn.Conn.Read(b[:])
+	p.buffered = append(p.buffered, b[:n]...)
+	if n > 0 {
+		return nil
+	}
+	return err
+}
+
+// readAhead starts the requests that arrive behind the one being served, until the caller
+// closes the connection or the server interrupts the read by setting a deadline in the past.
+func (p *pipeline) readAhead(dst []byte) (int, error) {
+	for {
+		p.startBuffered()
+		if len(p.buffered) >= pipelineBufferBytes {
+			return p.readCurrent(dst) // ends the server's read; it starts none before the end of the request
+		}
+		if err := p.readMore(); err != nil {
+			if !errors.Is(err, os.ErrDeadlineExceeded) {
+				p.cancel()
+			}
+			return 0, err
+		}
+	}
+}
+
+// startBuffered starts the complete requests in the buffer.
+func (p *pipeline) startBuffered() {
+	for !p.blocked && !p.disabled {
+		whole := simpleRequestLength(p.buffered[p.scanned:])
+		if whole == 0 || p.outstanding() >= p.maxStarted {
+			return
+		}
+		r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(p.buffered[p.scanned : p.scanned+whole])))
+		if err != nil {
+			p.blocked = true
+			return
+		}
+		r.RemoteAddr = p.conn.RemoteAddr().String()
+		if !p.startRequest(r) {
+			p.blocked = true
+			return
+		}
+		p.scanned += whole
+	}
+}
+
+// startRequest starts a request and reports whether it did. It holds the lock throughout:
+// otherwise a shutdown that begins meanwhile would find no outstanding request and announce
+// the end of the connection, which would cut this request off.
+func (p *pipeline) startRequest(r *http.Request) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	answer := p.start(p.ctx, r)
+	if answer == nil {
+		return false
+	}
+	p.started = append(p.started, answer)
+	return true
+}
+
+// outstanding returns the number of requests that were started early and whose turn has not
+// come.
+func (p *pipeline) outstanding() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	n := len(p.started)
+	for _, turn := range p.handedOut {
+		if turn != nil {
+			n++
+		}
+	}
+	return n
+}
+
+// takeAnswer returns the answer of r, whose turn has come, or nil if r was not started early.
+func (p *pipeline) takeAnswer(r *http.Request) *pipelinedAnswer {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.handedOut) == 0 {
+		return nil
+	}
+	turn := p.handedOut[0]
+	p.handedOut = p.handedOut[1:]
+	if turn == nil || turn.matches(r) {
+		return turn
+	}
+	turn.cancelRequest()
+	return nil
+}
+
+var (
+	requestEnd = []byte("\r\n\r\n")
+	// excludedHeaders are the beginnings of header lines, in lower case, that keep a request
+	// from being started early: it has a body, gets interim answers, or is the last one on its
+	// connection.
+	excludedHeaders = [][]byte{
+		[]byte("\r\ncontent-length"), []byte("\r\ntransfer-encoding"), []byte("\r\nconnection"), []byte("\r\nexpect"),
+		[]byte("\r\nupgrade"), []byte("\r\ntrailer"),
+	}
+)
+
+// simpleRequestLength returns the length of the request at the beginning of b. It returns zero
+// if the request is incomplete, or if another parser could see its end elsewhere: bytes that
+// pipeline takes for the next request might then be part of this one.
+func simpleRequestLength(b []byte) int {
+	end := bytes.Index(b, requestEnd)
+	if end < 0 || !bytes.HasPrefix(b, []byte("GET ")) {
+		return 0
+	}
+	whole := b[:end+len(requestEnd)]
+	line, _, _ := bytes.Cut(whole, []byte("\r\n"))
+	if !bytes.HasSuffix(line, []byte(" HTTP/1.1")) {
+		return 0
+	}
+	// Every line must end with CRLF; a CR or LF on its own is refused.
+	ends := bytes.Count(whole, []byte("\r\n"))
+	if bytes.Count(whole, []byte("\n")) != ends || bytes.Count(whole, []byte("\r")) != ends || bytes.IndexByte(whole, 0) >= 0 {
+		return 0
+	}
+	lower := bytes.ToLower(whole)
+	for _, word := range excludedHeaders {
+		if bytes.Contains(lower, word) {
+			return 0
+		}
+	}
+	return len(whole)
+}
--- a/caller/ahead_test.go
+++ b/caller/pipeline_test.go
@@ -18,28 +18,28 @@
 	"tarragongw/internal/waittest"
 )
 
-// pipe is a caller that sends requests before the first is answered.
-type pipe struct {
+// pipeliningClient is a caller that sends requests before the first is answered.
+type pipeliningClient struct {
 	t    *testing.T
 	conn net.Conn
 	in   *bufio.Reader
 }
 
-func newPipe(t *testing.T, b *bench) *pipe {
+func dialPipelining(t *testing.T, b *testServer) *pipeliningClient {
 	conn, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
 	assert.NilError(t, err)
 	t.Cleanup(func() { conn.Close() })
 	assert.NilError(t, conn.SetDeadline(time.Now().Add(20*time.Second)))
-	return &pipe{t: t, conn: conn, in: bufio.NewReader(conn)}
+	return &pipeliningClient{t: t, conn: conn, in: bufio.NewReader(conn)}
 }
 
-func (p *pipe) send(text string) {
+func (p *pipeliningClient) send(text string) {
 	_, err := io.WriteString(p.conn, text)
 	assert.NilError(p.t, err)
 }
 
-// get sends requests for paths at once.
-func (p *pipe) get(paths ...string) {
+// get sends requests for the paths in a single write.
+func (p *pipeliningClient) get(paths ...string) {
 	var all strings.Builder
 	for _, path := range paths {
 		fmt.Fprintf(&all, "GET /x/%s HTTP/1.1\r\nHost: h\r\nX-Request-Id: id-%s\r\n\r\n", path, path)
@@ -48,7 +48,7 @@
 }
 
 // answer reads one answer and returns its status and body.
-func (p *pipe) answer() (int, string) {
+func (p *pipeliningClient) answer() (int, string) {
 	p.t.Helper()
 	resp, err := http.ReadResponse(p.in, nil)
 	assert.NilError(p.t, err)
@@ -57,17 +57,18 @@
 	return resp.StatusCode, string(body)
 }
 
-// held is a forwarder whose answers wait to be let go, by the last part of the path.
-type held struct {
-	mu    sync.Mutex
-	begun []string
-	gates map[string]chan struct{}
-	gone  []string
+// gatedForwarder is a forwarder that answers a request once the gate named by the last segment
+// of its path is closed.
+type gatedForwarder struct {
+	mu        sync.Mutex
+	started   []string
+	gates     map[string]chan struct{}
+	cancelled []string
 }
 
-func newHeld() *held { return &held{gates: map[string]chan struct{}{}} }
+func newGatedForwarder() *gatedForwarder { return &gatedForwarder{gates: map[string]chan struct{}{}} }
 
-func (f *held) gate(name string) chan struct{} {
+func (f *gatedForwarder) gate(name string) chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.gates[name] == nil {
@@ -76,17 +77,17 @@
 	return f.gates[name]
 }
 
-func (f *held) forward(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+func (f *gatedForwarder) forward(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 	name := r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:]
 	gate := f.gate(name)
 	f.mu.Lock()
-	f.begun = append(f.begun, name)
+	f.started = append(f.started, name)
 	f.mu.Unlock()
 	select {
 	case <-gate:
 	case <-r.Context().Done():
 		f.mu.Lock()
-		f.gone = append(f.gone, name)
+		f.cancelled = append(f.cancelled, name)
 		f.mu.Unlock()
 		return fault.New(fault.CallerGone, "")
 	}
@@ -94,25 +95,24 @@
 	return nil
 }
 
-func (f *held) names(of *[]string) string {
+func (f *gatedForwarder) names(list *[]string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return strings.Join(*of, " ")
+	return strings.Join(*list, " ")
 }
 
-func ahead(t *testing.T, f *held) *pipe {
-	return newPipe(t, start(t, Config{LookAhead: 3}, f.forward))
+func startPipelining(t *testing.T, f *gatedForwarder) *pipeliningClient {
+	return dialPipelining(t, startServer(t, Config{LookAhead: 3}, f.forward))
 }
 
-// Symptom: quick reads take as long as the slowest of those that their caller sent before.
-// Sequence: a caller sends three reads at once; the first takes long, and the others begin
-// only after it.
-// Cause: a connection's requests are served one after the other.
-func TestRequestsBehindASlowOneBeginAtOnce(t *testing.T) {
-	f := newHeld()
-	p := ahead(t, f)
+// Guards against fast reads that take as long as the slowest read that their caller sent
+// before them. A caller pipelines three reads and the first is slow; if the requests of a
+// connection are served one after the other, the others only start after it.
+func TestPipelinedRequestsStartBehindASlowOne(t *testing.T) {
+	f := newGatedForwarder()
+	p := startPipelining(t, f)
 	p.get("a", "b", "c")
-	waittest.Until(t, "all three are at work", func() bool { return len(f.names(&f.begun)) == len("a b c") })
+	waittest.Until(t, "all three are in flight", func() bool { return len(f.names(&f.started)) == len("a b c") })
 	close(f.gate("c"))
 	close(f.gate("b"))
 	close(f.gate("a"))
@@ -127,18 +127,18 @@
 	assert.Equal(t, body, "answer to d")
 }
 
-// Those that come while the first is at work begin as well, and no more than the limit.
-func TestRequestsThatComeLaterBeginUpToTheLimit(t *testing.T) {
-	f := newHeld()
-	p := ahead(t, f)
+// Requests that arrive while the first is in flight are started too, up to the limit.
+func TestLaterPipelinedRequestsStartUpToTheLimit(t *testing.T) {
+	f := newGatedForwarder()
+	p := startPipelining(t, f)
 	p.get("a")
-	waittest.Until(t, "the first is at work", func() bool { return f.names(&f.begun) == "a" })
+	waittest.Until(t, "the first is in flight", func() bool { return f.names(&f.started) == "a" })
 	for _, name := range []string{"b", "c", "d", "e", "f"} {
 		p.get(name)
 	}
-	waittest.Until(t, "three more are at work", func() bool { return len(f.names(&f.begun)) == len("a b c d") })
+	waittest.Until(t, "three more are in flight", func() bool { return len(f.names(&f.started)) == len("a b c d") })
 	time.Sleep(20 * time.Millisecond)
-	assert.Equal(t, len(f.names(&f.begun)), len("a b c d"))
+	assert.Equal(t, len(f.names(&f.started)), len("a b c d"))
 	for _, name := range []string{"a", "b", "c", "d", "e", "f"} {
 		close(f.gate(name))
 	}
@@ -148,8 +148,9 @@
 	}
 }
 
-// What may run once at most, has a body or could be read in two ways waits for its turn.
-func TestOnlySimpleRepeatableRequestsBeginEarly(t *testing.T) {
+// A request that may run at most once, has a body, or could be parsed in two ways waits for
+// its turn.
+func TestOnlySimpleRepeatableRequestsStartEarly(t *testing.T) {
 	const second = "GET /x/b HTTP/1.1\r\nHost: h\r\n"
 	for name, text := range map[string]string{
 		"at most once":    strings.Replace(second, "/x/b", "/faq/k/b?repeat=at-most-once", 1) + "\r\n",
@@ -161,13 +162,13 @@
 		"no such route":   strings.Replace(second, "/x/", "/../", 1) + "\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newHeld()
-			p := ahead(t, f)
+			f := newGatedForwarder()
+			p := startPipelining(t, f)
 			p.get("a")
 			p.send(text)
-			waittest.Until(t, "the first is at work", func() bool { return f.names(&f.begun) == "a" })
+			waittest.Until(t, "the first is in flight", func() bool { return f.names(&f.started) == "a" })
 			time.Sleep(20 * time.Millisecond)
-			assert.Equal(t, f.names(&f.begun), "a")
+			assert.Equal(t, f.names(&f.started), "a")
 			close(f.gate("a"))
 			_, body := p.answer()
 			assert.Equal(t, body, "answer to a")
@@ -178,32 +179,32 @@
 	}
 }
 
-// Symptom: targets work on for callers that left.
-// Sequence: a caller sends reads at once and closes its connection.
-// Cause: the end of the connection ends the request whose turn it is, and no other.
-func TestCallersEndEndsAllThatWasBegun(t *testing.T) {
-	f := newHeld()
-	p := ahead(t, f)
+// Guards against targets that keep working for callers that have left. A caller pipelines
+// reads and closes its connection; the end of the connection must cancel all of them, not just
+// the one whose turn it is.
+func TestClosedConnectionCancelsPipelinedRequests(t *testing.T) {
+	f := newGatedForwarder()
+	p := startPipelining(t, f)
 	p.get("a", "b", "c")
-	waittest.Until(t, "all three are at work", func() bool { return len(f.names(&f.begun)) == len("a b c") })
+	waittest.Until(t, "all three are in flight", func() bool { return len(f.names(&f.started)) == len("a b c") })
 	p.conn.Close()
-	waittest.Until(t, "all three were given up", func() bool { return len(f.names(&f.gone)) == len("a b c") })
+	waittest.Until(t, "all three were cancelled", func() bool { return len(f.names(&f.cancelled)) == len("a b c") })
 }
 
-// Symptom: a target's slot is taken for ever by an answer of which 64 kB have come.
-// Sequence: a caller sends reads at once and leaves while the second, long answer waits for
-// its turn.
-// Cause: what writes the answer waits for room and doesn't hear of the caller's end.
-func TestCallersEndEndsAnAnswerThatWaitsForRoom(t *testing.T) {
+// Guards against a target's slot that stays occupied for ever by an answer of which 64 KiB
+// have arrived. A caller pipelines reads and closes its connection while the second, long
+// answer waits for its turn; the blocked write of that answer must fail when the connection
+// ends.
+func TestClosedConnectionUnblocksBufferedAnswer(t *testing.T) {
 	ended := make(chan struct{})
 	full := make(chan struct{})
-	b := start(t, Config{LookAhead: 3}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+	b := startServer(t, Config{LookAhead: 3}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		if strings.HasSuffix(r.URL.Path, "a") {
 			<-r.Context().Done()
 			return fault.New(fault.CallerGone, "")
 		}
 		defer close(ended)
-		part := make([]byte, earlyBytes)
+		part := make([]byte, maxPipelinedBytes)
 		if _, err := w.Write(part); err == nil {
 			close(full)
 			_, err = w.Write(part)
@@ -211,24 +212,24 @@
 		}
 		return fault.New(fault.CallerGone, "")
 	})
-	p := newPipe(t, b)
+	p := dialPipelining(t, b)
 	p.get("a", "b")
 	<-full
 	p.conn.Close()
 	select {
 	case <-ended:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the answer still waits")
+		t.Fatal("the write is still blocked")
 	}
 }
 
-// Symptom: reads that are at work are cut off, and their callers left without an answer.
-// Sequence: a caller sends reads at once; the first is still unanswered when its time is
-// over, and the caller ends the connection with all that it sent behind it.
-// Cause: the router tells it that the time is over just when the caller leaves.
-func TestCallerIsToldBeforeItLeaves(t *testing.T) {
-	const patience = 400 * time.Millisecond
-	b := start(t, Config{LookAhead: 3, AnswerBefore: patience / 4}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+// Guards against reads in flight that are cancelled and never answered. A caller pipelines
+// reads, the first is unanswered at its deadline, and the caller closes the connection and so
+// cancels the others. The timeout answer must be sent early enough to arrive before the
+// deadline.
+func TestTimeoutIsAnsweredBeforeTheCallersDeadline(t *testing.T) {
+	const deadline = 400 * time.Millisecond
+	b := startServer(t, Config{LookAhead: 3, AnswerBefore: deadline / 4}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		if strings.HasSuffix(r.URL.Path, "a") {
 			<-r.Context().Done()
 			return fault.New(fault.DeadlineExceeded, "")
@@ -236,25 +237,24 @@
 		_, _ = io.WriteString(w, "whole")
 		return nil
 	})
-	p := newPipe(t, b)
+	p := dialPipelining(t, b)
 	sent := time.Now()
-	p.send(fmt.Sprintf("GET /faq/k/a HTTP/1.1\r\nHost: h\r\nX-Deadline: %d\r\n\r\n", patience.Milliseconds()))
+	p.send(fmt.Sprintf("GET /faq/k/a HTTP/1.1\r\nHost: h\r\nX-Deadline: %d\r\n\r\n", deadline.Milliseconds()))
 	p.get("b")
 	status, _ := p.answer()
 	assert.Equal(t, status, http.StatusGatewayTimeout)
-	assert.Assert(t, time.Since(sent) < patience, "%v", time.Since(sent))
+	assert.Assert(t, time.Since(sent) < deadline, "%v", time.Since(sent))
 	_, body := p.answer()
 	assert.Equal(t, body, "whole")
 }
 
-// Symptom: a planned stop cuts off reads that were at work.
-// Sequence: a caller has sent reads at once; the router stops and closes the connection
-// after the answer whose turn it is.
-// Cause: the announced end of the connection is the first answer's, not the last's.
-func TestStopAnswersAllThatWasBegun(t *testing.T) {
-	f := newHeld()
+// Guards against a planned stop that cuts off reads in flight. A caller has pipelined reads,
+// and the router announces the end of the connection and closes it after the first answer,
+// when it should do so only after the last one.
+func TestShutdownAnswersStartedPipelinedRequests(t *testing.T) {
+	f := newGatedForwarder()
 	stopping := make(chan struct{})
-	b := start(t, Config{LookAhead: 3, ClosesAfter: func() bool {
+	b := startServer(t, Config{LookAhead: 3, ClosesAfter: func() bool {
 		select {
 		case <-stopping:
 			return true
@@ -262,9 +262,9 @@
 			return false
 		}
 	}}, f.forward)
-	p := newPipe(t, b)
+	p := dialPipelining(t, b)
 	p.get("a", "b", "c")
-	waittest.Until(t, "all three are at work", func() bool { return len(f.names(&f.begun)) == len("a b c") })
+	waittest.Until(t, "all three are in flight", func() bool { return len(f.names(&f.started)) == len("a b c") })
 	close(stopping)
 	done := make(chan int, 1)
 	go func() { done <- b.server.Shutdown(t.Context()) }()
@@ -279,18 +279,17 @@
 		assert.Equal(t, resp.Close, name == "c", name)
 	}
 	assert.Equal(t, <-done, 0)
-	assert.Equal(t, len(f.names(&f.begun)), len("a b c"), "what was not begun is the caller's to send again")
+	assert.Equal(t, len(f.names(&f.started)), len("a b c"), "a request that was not started must not be forwarded")
 }
 
-// Symptom: reads of one caller are refused while the router has nothing else to do.
-// Sequence: they come at once; those that begin before their turn fill the places.
-// Cause: what finds no place before its turn is refused, though a refusal could be given
-// no sooner than in its turn, when there is one.
-func TestRefusedBeforeItsTurnIsServedInIt(t *testing.T) {
+// Guards against reads that are refused although the router is otherwise idle. Pipelined reads
+// of one caller fill the capacity before their turn. A refusal could not be sent before the
+// turn anyway, and by then there is room, so the request must be served again instead.
+func TestRequestRefusedBeforeItsTurnIsServedInItsTurn(t *testing.T) {
 	gate := make(chan struct{})
 	var mu sync.Mutex
 	tries := map[string]int{}
-	b := start(t, Config{LookAhead: 3}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
+	b := startServer(t, Config{LookAhead: 3}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
 		mu.Lock()
 		tries[m.ID]++
 		first := tries[m.ID] == 1
@@ -307,9 +306,9 @@
 		_, _ = io.WriteString(w, "whole")
 		return nil
 	})
-	p := newPipe(t, b)
+	p := dialPipelining(t, b)
 	p.get("a", "b", "c")
-	waittest.Until(t, "all have begun", func() bool {
+	waittest.Until(t, "all have started", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
 		return len(tries) == 3
@@ -321,11 +320,11 @@
 	}
 }
 
-// An answer that breaks off doesn't look whole, whether it is short and held back or can't be,
-// and what is larger than what is kept of it comes whole all the same.
-func TestAnswersBeforeTheirTurnStayWhole(t *testing.T) {
-	large := strings.Repeat("0123456789abcdef", 3*earlyBytes/16)
-	b := start(t, Config{LookAhead: 3}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+// A pipelined answer that breaks off must not look complete, whether it is short and held back
+// or not, and an answer larger than the buffer must arrive complete.
+func TestPipelinedAnswersStayComplete(t *testing.T) {
+	large := strings.Repeat("0123456789abcdef", 3*maxPipelinedBytes/16)
+	b := startServer(t, Config{LookAhead: 3}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		switch {
 		case strings.HasSuffix(r.URL.Path, "a"):
 			time.Sleep(30 * time.Millisecond)
@@ -341,7 +340,7 @@
 		_, _ = io.WriteString(w, "half")
 		return fault.New(fault.AnswerTruncated, "")
 	})
-	p := newPipe(t, b)
+	p := dialPipelining(t, b)
 	p.get("a", "b", "c", "d")
 	_, body := p.answer()
 	assert.Equal(t, body, "first")
@@ -355,20 +354,20 @@
 	if err == nil {
 		_, err = io.ReadAll(resp.Body)
 	}
-	assert.Assert(t, err != nil, "a part must not pass for the whole")
+	assert.Assert(t, err != nil, "a truncated answer looked complete")
 }
 
-// Symptom: reads at which targets are at work are cut off; one notices several aborted
-// requests of one connection at one moment, of which one is answer_truncated and the others
-// caller_gone.
-// Sequence: a caller sends three reads at once, which begin; the answer of one breaks off
-// midway; the router ends the connection, as it must not let the part pass for the whole.
-// Cause: the header was on its way already, though nobody could be served sooner for it.
-func TestAnswerThatBreaksOffCutsNothingBehindIt(t *testing.T) {
+// Guards against reads in flight that are cancelled because another answer on their connection
+// broke off. The symptom is several aborted requests of one connection at the same moment, one
+// with answer_truncated and the others with caller_gone. A caller pipelines three reads and
+// the answer to one breaks off midway. If its header has already been sent, the router has to
+// end the connection so that the part does not look complete; that is why short answers are
+// held back.
+func TestTruncatedAnswerDoesNotCancelRequestsBehindIt(t *testing.T) {
 	for _, broken := range []string{"a", "b"} {
 		t.Run(broken, func(t *testing.T) {
-			f := newHeld()
-			b := start(t, Config{LookAhead: 3}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
+			f := newGatedForwarder()
+			b := startServer(t, Config{LookAhead: 3}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
 				if !strings.HasSuffix(r.URL.Path, broken) {
 					return f.forward(w, r, m)
 				}
@@ -377,9 +376,9 @@
 				_, _ = io.WriteString(w, "half")
 				return fault.New(fault.AnswerTruncated, "")
 			})
-			p := newPipe(t, b)
+			p := dialPipelining(t, b)
 			p.get("a", "b", "c")
-			waittest.Until(t, "those behind are at work", func() bool { return len(f.names(&f.begun)) == len("a c") })
+			waittest.Until(t, "the others are in flight", func() bool { return len(f.names(&f.started)) == len("a c") })
 			for _, name := range []string{"a", "b", "c"} {
 				close(f.gate(name))
 				status, body := p.answer()
@@ -390,15 +389,15 @@
 				}
 				assert.Equal(t, body, "answer to "+name)
 			}
-			assert.Equal(t, len(f.gone), 0)
+			assert.Equal(t, len(f.cancelled), 0)
 		})
 	}
 }
 
-// An answer that is held back until it is whole and takes longer than its caller waits is
-// given up in time, and those behind it are answered.
-func TestAnswerThatIsHeldBackEndsWithItsTime(t *testing.T) {
-	b := start(t, Config{LookAhead: 3}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+// An answer that is held back and takes longer than its deadline is answered with a timeout in
+// time, and the requests behind it are answered.
+func TestHeldAnswerTimesOut(t *testing.T) {
+	b := startServer(t, Config{LookAhead: 3}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		if !strings.HasSuffix(r.URL.Path, "a") {
 			_, _ = io.WriteString(w, "whole")
 			return nil
@@ -409,7 +408,7 @@
 		<-r.Context().Done()
 		return fault.New(fault.AnswerTruncated, "")
 	})
-	p := newPipe(t, b)
+	p := dialPipelining(t, b)
 	p.send("GET /faq/k/a HTTP/1.1\r\nHost: h\r\nX-Deadline: 300\r\n\r\n")
 	p.get("b")
 	status, _ := p.answer()
@@ -418,23 +417,24 @@
 	assert.Equal(t, body, "whole")
 }
 
-// Whatever bytes a caller sends, what is taken for one simple request is one to net/http.
+// FuzzSimpleRequest checks that net/http parses whatever simpleRequestLength delimits as one
+// request without a body, and consumes exactly those bytes.
 func FuzzSimpleRequest(f *testing.F) {
 	f.Add([]byte("GET / HTTP/1.1\r\nHost: h\r\n\r\nGET /b HTTP/1.1\r\nHost: h\r\n\r\n"))
 	f.Add([]byte("GET / HTTP/1.1\r\nHost: h\r\nContent-Length : 3\r\n\r\nabc"))
 	f.Add([]byte("GET / HTTP/1.1\r\nHost: h\r\n X: folded\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		n := simpleRequest(data)
+		n := simpleRequestLength(data)
 		if n == 0 {
 			return
 		}
 		in := bufio.NewReader(strings.NewReader(string(data[:n]) + "rest"))
 		r, err := http.ReadRequest(in)
 		if err != nil {
-			return // the server refuses it and closes the connection
+			return // the server refuses the request and closes the connection
 		}
 		if r.Body != http.NoBody || r.Close {
-			t.Fatalf("%q has a body, or is the last", data[:n])
+			t.Fatalf("%q has a body or closes the connection", data[:n])
 		}
 		rest, err := io.ReadAll(in)
 		assert.NilError(t, err)
--- a/caller/recheck.go
+++ b/caller/recheck.go
@@ -10,93 +10,96 @@
 	"tarragongw/core/fault"
 )
 
-// trust is what a caller's connection knows of the certificate that was shown on it.
-type trust struct {
-	secure atomic.Pointer[tls.Conn]
-	// round is that of the last Recheck that the connection has passed; zero before the
-	// first, which follows the handshake.
+// certificateState is the state of the checks of a connection's client certificate.
+type certificateState struct {
+	tlsConn atomic.Pointer[tls.Conn]
+	// round is the value of connLimits.recheckRound at the last check of this connection. It
+	// is zero before the first check, which follows the handshake.
 	round atomic.Uint64
-	// open says that the handshake is over.
-	open atomic.Bool
-	// ends is when the certificate does; nil where none was shown.
-	ends   atomic.Pointer[time.Time]
-	barred atomic.Bool
+	// handshakeDone is set once the handshake is complete.
+	handshakeDone atomic.Bool
+	// notAfter is when the certificate expires; nil if none was presented.
+	notAfter atomic.Pointer[time.Time]
+	// rejected means that the certificate is no longer accepted.
+	rejected atomic.Bool
 }
 
-// Recheck asks Config.Accepts for the certificate of each open connection. One that is
-// refused is closed at its rest; requests that still come on it are refused as not run,
-// and what is in flight has its answer.
+// Recheck calls Config.Accepts for the certificate of each open connection. A connection whose
+// certificate is rejected is closed once it is idle. New requests on it are refused as not
+// run, and requests in flight are still answered.
 func (s *Server) Recheck() {
-	s.limits.round.Add(1)
+	s.limits.recheckRound.Add(1)
 	for _, c := range s.limits.all() {
-		if c.trust.open.Load() {
-			s.check(c)
+		if c.certificate.handshakeDone.Load() {
+			s.checkCertificate(c)
 		}
 	}
 }
 
-// recheck checks a connection that has come to rest or left it.
-func (s *Server) recheck(c *callerConn, conn net.Conn, state http.ConnState) {
+// recheckOnStateChange checks the certificate of a connection that has become active or idle.
+func (s *Server) recheckOnStateChange(c *callerConn, conn net.Conn, state http.ConnState) {
 	secure, ok := conn.(*tls.Conn)
 	if !ok || state != http.StateActive && state != http.StateIdle {
 		return
 	}
-	c.trust.secure.Store(secure)
-	c.trust.open.Store(true)
-	s.check(c)
+	c.certificate.tlsConn.Store(secure)
+	c.certificate.handshakeDone.Store(true)
+	s.checkCertificate(c)
 }
 
-// check asks once for each round, and closes a connection at rest that is refused.
-func (s *Server) check(c *callerConn) {
-	t := &c.trust
-	if round := s.limits.round.Load(); t.round.Swap(round) != round {
-		s.ask(t)
+// checkCertificate verifies the certificate once per round and closes the connection if the
+// certificate is rejected and the connection idle.
+func (s *Server) checkCertificate(c *callerConn) {
+	t := &c.certificate
+	if round := s.limits.recheckRound.Load(); t.round.Swap(round) != round {
+		s.verifyCertificate(t)
 	}
-	if t.barred.Load() && c.restsSince.Load() != 0 {
-		c.closeAtRest()
+	if t.rejected.Load() && c.idleSince.Load() != 0 {
+		c.closeIfStillIdle()
 	}
 }
 
-// flushWithin is how long a connection must have rested before it is closed: with HTTP/2
-// net/http says that a connection rests before it has sent the end of the last answer,
-// which would be cut off.
-const flushWithin = time.Second
+// http2FlushGrace is how long a connection must have been idle before it is closed. On HTTP/2,
+// net/http reports a connection as idle before it has sent the end of the last answer, which
+// would be cut off.
+const http2FlushGrace = time.Second
 
-// closeAtRest closes the connection unless another request comes.
-func (c *callerConn) closeAtRest() {
-	since := c.restsSince.Load()
-	time.AfterFunc(flushWithin, func() {
-		if since != 0 && c.restsSince.Load() == since {
+// closeIfStillIdle closes the connection after http2FlushGrace unless another request has
+// come.
+func (c *callerConn) closeIfStillIdle() {
+	since := c.idleSince.Load()
+	time.AfterFunc(http2FlushGrace, func() {
+		if since != 0 && c.idleSince.Load() == since {
 			_ = c.Close()
 		}
 	})
 }
 
-func (s *Server) ask(t *trust) {
-	state := t.secure.Load().ConnectionState()
+func (s *Server) verifyCertificate(t *certificateState) {
+	state := t.tlsConn.Load().ConnectionState()
 	if len(state.PeerCertificates) == 0 {
 		return
 	}
-	t.ends.Store(&state.PeerCertificates[0].NotAfter)
+	t.notAfter.Store(&state.PeerCertificates[0].NotAfter)
 	if s.cfg.Accepts(&state) != nil {
-		t.barred.Store(true)
+		t.rejected.Store(true)
 	}
 }
 
-// distrusted refuses a request that came on a connection whose certificate is refused by
-// now, and has the connection closed.
-func (x *exchange) distrusted() *fault.Fault {
+// refuseRejectedCertificate returns a fault if the certificate of the connection is no longer
+// accepted or has expired, and has the connection closed after the answer.
+func (x *exchange) refuseRejectedCertificate() *fault.Fault {
 	c, _ := x.r.Context().Value(connKey{}).(*callerConn)
 	if c == nil {
 		return nil
 	}
-	t := &c.trust
-	if ends := t.ends.Load(); ends != nil && x.handler.cfg.Now().After(*ends) {
-		t.barred.Store(true)
+	t := &c.certificate
+	if ends := t.notAfter.Load(); ends != nil && x.handler.cfg.Now().After(*ends) {
+		t.rejected.Store(true)
 	}
-	if !t.barred.Load() {
+	if !t.rejected.Load() {
 		return nil
 	}
-	x.distrusts = true
+	x.certificateRejected = true
 	return fault.New(fault.Unauthenticated, "the certificate of the connection is not accepted any more")
 }
--- a/caller/rules.go
+++ b/caller/rules.go
@@ -17,7 +17,7 @@
 	callers map[string]map[string]string
 }
 
-// rule is one service's part of a ruleSet.
+// rule holds the extraction rules of one service.
 type rule struct {
 	service    *model.Service
 	prefix     string
@@ -81,23 +81,23 @@
 	sort.SliceStable(rules, func(i, j int) bool { return len(rules[i].prefix) > len(rules[j].prefix) })
 }
 
-// find returns the rule with the longest prefix among the services of the host,
-// else among those for any host, and the rest of the path after the prefix. The
-// rest is escaped where the URL keeps an escaped path.
+// find returns the rule with the longest matching prefix among the services of the host, or
+// else among those for any host, and the rest of the path after the prefix. The rest is
+// percent-encoded if the URL keeps an encoded path (RawPath).
 func (s *ruleSet) find(host string, u *url.URL) (*rule, string) {
-	if r, rest := longest(s.byHost[hostName(host)], u); r != nil {
+	if r, rest := longestMatch(s.byHost[hostName(host)], u); r != nil {
 		return r, rest
 	}
-	return longest(s.anyHost, u)
+	return longestMatch(s.anyHost, u)
 }
 
-// match returns the rule of the request, or nil, and what its fields are read from.
+// match returns the rule of the request, or nil, and the source to extract its fields from.
 func (s *ruleSet) match(r *http.Request) (*rule, source) {
 	found, rest := s.find(r.Host, r.URL)
 	return found, source{header: r.Header, host: r.Host, rest: rest, escaped: r.URL.RawPath != "", query: r.URL.RawQuery}
 }
 
-func longest(rules []*rule, u *url.URL) (*rule, string) {
+func longestMatch(rules []*rule, u *url.URL) (*rule, string) {
 	for _, r := range rules {
 		if rest, ok := r.match(u); ok {
 			return r, rest
@@ -114,9 +114,8 @@
 	return rest, ok && (rest == "" || rest[0] == '/')
 }
 
-// matchEscaped compares segment by segment: an escaped slash is part of its
-// segment, and taking it for a separator would let a path under one prefix pass
-// for another.
+// matchEscaped compares segment by segment. An encoded slash is part of its segment; treating
+// it as a separator would let a path under one prefix match another.
 func (r *rule) matchEscaped(path string) (string, bool) {
 	for _, want := range r.segments {
 		segment, rest, ok := nextSegment(path)
@@ -132,7 +131,7 @@
 	return path, true
 }
 
-// nextSegment cuts "/a/b" into "a" and "/b".
+// nextSegment splits "/a/b" into "a" and "/b".
 func nextSegment(path string) (segment, rest string, ok bool) {
 	if path == "" || path[0] != '/' {
 		return "", "", false
@@ -144,7 +143,7 @@
 	return path, "", true
 }
 
-// hostName returns the host in lower case without its port.
+// hostName returns the host in lower case without port and trailing dot.
 func hostName(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
--- a/caller/server.go
+++ b/caller/server.go
@@ -17,37 +17,37 @@
 	cfg    Config
 	http   *http.Server
 	limits *connLimits
-	// expire ends all requests with a cause.
-	expire context.CancelCauseFunc
+	// cancelBase cancels the base context of all requests with a cause.
+	cancelBase context.CancelCauseFunc
 
-	// mu guards listeners, which is nil once no caller is accepted any more.
+	// mu guards listeners, which is nil once no more connections are accepted.
 	mu        sync.Mutex
 	listeners map[net.Listener]struct{}
 }
 
-// NewServer returns a server around the handler. tlsConfig is nil for clear
-// text; it is used as it is, so that its hooks can renew certificates.
+// NewServer returns a server for the handler. tlsConfig is nil for clear text; it is not
+// cloned, so that its hooks can renew certificates.
 func NewServer(handler *Handler, tlsConfig *tls.Config) *Server {
 	return newServer(handler, handler.cfg, tlsConfig)
 }
 
-// NewServerWith is NewServer in clear text with connection limits of its own: a handler
-// may be there before what bounds its callers is known.
+// NewServerWith is NewServer for clear text with a Config of its own for connections, so that
+// a handler can be created before the connection limits are known.
 func NewServerWith(handler *Handler, cfg Config) *Server {
 	return newServer(handler, cfg.withDefaults(), nil)
 }
 
 func newServer(handler *Handler, cfg Config, tlsConfig *tls.Config) *Server {
 	s := &Server{Handler: handler, cfg: cfg, limits: newConnLimits(cfg), listeners: map[net.Listener]struct{}{}}
-	s.limits.round.Store(1)
+	s.limits.recheckRound.Store(1)
 	var protocols http.Protocols
 	protocols.SetHTTP1(true)
 	protocols.SetHTTP2(tlsConfig != nil)
 	protocols.SetUnencryptedHTTP2(tlsConfig == nil)
 	base, expire := context.WithCancelCause(context.Background())
-	s.expire = expire
+	s.cancelBase = expire
 	if cfg.LookAhead > 0 && tlsConfig == nil {
-		s.limits.lookAhead = func(c *callerConn) *lookAhead { return newLookAhead(c, base, cfg.LookAhead, handler.beginEarly) }
+		s.limits.newPipeline = func(c *callerConn) *pipeline { return newPipeline(c, base, cfg.LookAhead, handler.startPipelined) }
 	}
 	s.http = &http.Server{
 		Handler:           handler,
@@ -58,7 +58,7 @@
 		IdleTimeout:       cfg.IdleTimeout,
 		MaxHeaderBytes:    cfg.MaxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(cfg.Logger.Handler(), slog.LevelDebug),
-		ConnContext:       rememberConn,
+		ConnContext:       withCallerConn,
 		HTTP2: &http.HTTP2Config{
 			MaxConcurrentStreams: cfg.MaxStreams,
 			SendPingTimeout:      cfg.PingAfter,
@@ -66,18 +66,18 @@
 			WriteByteTimeout:     cfg.AnswerWindow,
 		},
 	}
-	s.http.ConnState = s.changed
+	s.http.ConnState = s.connStateChanged
 	if cfg.ErrorLog != nil {
 		s.http.ErrorLog = cfg.ErrorLog
 	}
 	return s
 }
 
-// Serve accepts callers' connections until Shutdown or a failure of the
-// listener; after Shutdown it returns nil.
+// Serve accepts callers' connections until Shutdown or a failure of the listener. After
+// Shutdown it returns nil.
 func (s *Server) Serve(l net.Listener) error {
 	limited := &limitListener{Listener: l, limits: s.limits}
-	if !s.accepting(l) {
+	if !s.addListener(l) {
 		return nil
 	}
 	var err error
@@ -92,13 +92,13 @@
 	return errors.Wrap(err, "serve callers")
 }
 
-// Conns returns the number of callers' open connections and how many were
-// refused by the limits since the start.
+// Conns returns the number of callers' open connections and of those refused by the limits
+// since the start.
 func (s *Server) Conns() (open int, refused int64) {
 	return s.limits.open(), s.limits.refused.Load()
 }
 
-func rememberConn(ctx context.Context, conn net.Conn) context.Context {
+func withCallerConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, unwrapConn(conn))
 }
 
--- a/caller/server_test.go
+++ b/caller/server_test.go
@@ -11,8 +11,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// stopping starts a shutdown and returns once no connection is accepted.
-func stopping(b *bench, ctx context.Context) chan int {
+// startShutdown starts a shutdown and returns once no connection is accepted. The channel
+// receives the result of Shutdown.
+func startShutdown(b *testServer, ctx context.Context) chan int {
 	cut := make(chan int, 1)
 	go func() { cut <- b.server.Shutdown(ctx) }()
 	for {
@@ -24,16 +25,16 @@
 	}
 }
 
-type result struct {
+type getResult struct {
 	resp *http.Response
 	body []byte
 	err  error
 }
 
-func asyncGet(c *http.Client, url string) chan result {
-	done := make(chan result, 1)
+func asyncGet(c *http.Client, url string) chan getResult {
+	done := make(chan getResult, 1)
 	go func() {
-		var got result
+		var got getResult
 		if got.resp, got.err = c.Get(url); got.err == nil {
 			got.body, got.err = io.ReadAll(got.resp.Body)
 			got.resp.Body.Close()
@@ -43,13 +44,13 @@
 	return done
 }
 
-func TestShutdownFinishesWhatIsInFlight(t *testing.T) {
-	onBoth(t, func(t *testing.T, c *http.Client) {
+func TestShutdownCompletesRequestsInFlight(t *testing.T) {
+	onBothVersions(t, func(t *testing.T, c *http.Client) {
 		g := newGate()
-		b := start(t, Config{}, g.answered)
+		b := startServer(t, Config{}, g.forward)
 		done := asyncGet(c, b.url+"/x")
 		<-g.entered
-		cut := stopping(b, context.Background())
+		cut := startShutdown(b, context.Background())
 		assert.Equal(t, b.server.InFlight(), int64(1))
 		g.open()
 		got := <-done
@@ -62,28 +63,28 @@
 	})
 }
 
-func TestShutdownSaysWhatItCut(t *testing.T) {
-	onBoth(t, func(t *testing.T, c *http.Client) {
+func TestShutdownReturnsNumberOfCutRequests(t *testing.T) {
+	onBothVersions(t, func(t *testing.T, c *http.Client) {
 		g := newGate()
-		b := start(t, Config{}, g.answered)
+		b := startServer(t, Config{}, g.forward)
 		t.Cleanup(g.open)
 		done := asyncGet(c, b.url+"/x")
 		<-g.entered
 		ctx, cancel := context.WithCancel(context.Background())
-		cut := stopping(b, ctx)
+		cut := startShutdown(b, ctx)
 		cancel()
 		assert.Equal(t, <-cut, 1)
 		assert.Assert(t, (<-done).err != nil)
 	})
 }
 
-// Symptom: each planned stop takes five seconds longer than its work.
-// Sequence: a balancer holds connections open on which no request came yet.
-// Cause: net/http waits for a first request on a new connection.
+// Guards against a shutdown that takes five seconds longer than its requests. A load balancer
+// keeps connections open on which no request has come yet, and net/http waits for the first
+// request on a new connection.
 func TestShutdownClosesUnusedConnections(t *testing.T) {
-	b := start(t, Config{}, answered)
+	b := startServer(t, Config{}, answerWhole)
 	_, reader := dial(t, b)
-	awaitOpen(b, 1)
+	awaitOpenConns(b, 1)
 	began := time.Now()
 	assert.Equal(t, b.server.Shutdown(context.Background()), 0)
 	_, err := reader.ReadByte()
@@ -91,7 +92,7 @@
 	assert.Assert(t, time.Since(began) < 4*time.Second)
 }
 
-func awaitOpen(b *bench, want int) {
+func awaitOpenConns(b *testServer, want int) {
 	for {
 		if open, _ := b.server.Conns(); open == want {
 			return
@@ -101,31 +102,31 @@
 }
 
 func TestConnectionsPerAddressAreBounded(t *testing.T) {
-	b := start(t, Config{MaxConnsPerAddress: 1}, answered)
+	b := startServer(t, Config{MaxConnsPerAddress: 1}, answerWhole)
 	first, _ := dial(t, b)
-	awaitOpen(b, 1)
+	awaitOpenConns(b, 1)
 	_, refused := dial(t, b)
 	_, err := refused.ReadByte()
 	assert.Assert(t, err != nil)
 	_, count := b.server.Conns()
 	assert.Equal(t, count, int64(1))
 	first.Close()
-	awaitOpen(b, 0)
+	awaitOpenConns(b, 0)
 	third, reader := dial(t, b)
-	resp := converse(t, third, reader, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n")
-	assert.Equal(t, text(t, resp), "whole")
+	resp := exchangeRaw(t, third, reader, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n")
+	assert.Equal(t, readBody(t, resp), "whole")
 }
 
-func TestTLSServesBothVersions(t *testing.T) {
-	b := startTLS(t, answered)
+func TestTLSServesHTTP1AndHTTP2(t *testing.T) {
+	b := startTLSServer(t, answerWhole)
 	for _, major := range []int{1, 2} {
-		c := client(t, 1)
+		c := newClient(t, 1)
 		transport := c.Transport.(*http.Transport)
 		transport.Protocols.SetHTTP1(major == 1)
 		transport.Protocols.SetHTTP2(major == 2)
 		transport.TLSClientConfig.InsecureSkipVerify = true
 		resp := do(t, c, "GET", b.url+"/x", nil)
 		assert.Equal(t, resp.ProtoMajor, major)
-		assert.Equal(t, text(t, resp), "whole")
+		assert.Equal(t, readBody(t, resp), "whole")
 	}
 }
--- a/caller/slow_test.go
+++ b/caller/slow_test.go
@@ -15,20 +15,20 @@
 	"tarragongw/core/request"
 )
 
-// readsAll is a forwarder that takes the whole body, as a target would.
-func readsAll(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
+// consumeBody is a forwarder that reads the whole body, as a target would.
+func consumeBody(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return fault.Wrap(fault.TargetLost, err, "while sending")
 	}
-	return answered(w, r, m)
+	return answerWhole(w, r, m)
 }
 
-// Symptom: a few callers occupy all slots of a target and nobody else is served.
-// Sequence: each sends the header of an upload and then one byte now and then.
-// Cause: any byte counts as progress, or nothing bounds the wait for the body.
+// Guards against a few callers that occupy all slots of a target by sending the header of an
+// upload and then one byte now and then. Neither may single bytes count as progress, nor may
+// the wait for the body be unbounded.
 func TestStalledBodyIsCut(t *testing.T) {
-	b := start(t, Config{BodyWindow: 100 * time.Millisecond}, readsAll)
-	onBoth(t, func(t *testing.T, c *http.Client) {
+	b := startServer(t, Config{BodyWindow: 100 * time.Millisecond}, consumeBody)
+	onBothVersions(t, func(t *testing.T, c *http.Client) {
 		for _, pause := range []time.Duration{time.Hour, 5 * time.Millisecond} {
 			body := &trickle{pause: pause, stop: make(chan struct{})}
 			resp := do(t, c, "POST", b.url+"/x", body)
@@ -41,7 +41,7 @@
 	})
 }
 
-// trickle is a body of one byte after each pause.
+// trickle is a body that yields one byte after each pause.
 type trickle struct {
 	pause time.Duration
 	stop  chan struct{}
@@ -57,76 +57,75 @@
 	}
 }
 
-// deadlines is a ResponseWriter that keeps the last read deadline.
-type deadlines struct {
+// deadlineRecorder is a ResponseWriter that records the last read deadline.
+type deadlineRecorder struct {
 	*httptest.ResponseRecorder
 	last time.Time
 }
 
-func (d *deadlines) SetReadDeadline(at time.Time) error {
+func (d *deadlineRecorder) SetReadDeadline(at time.Time) error {
 	d.last = at
 	return nil
 }
 
-func watched(data string) (*requestBody, *deadlines) {
-	w := &deadlines{ResponseRecorder: httptest.NewRecorder()}
-	return &requestBody{body: io.NopCloser(strings.NewReader(data)), watch: watch{cut: w.SetReadDeadline},
-		window: time.Hour, least: 10}, w
+func newTestBody(data string) (*requestBody, *deadlineRecorder) {
+	w := &deadlineRecorder{ResponseRecorder: httptest.NewRecorder()}
+	return &requestBody{body: io.NopCloser(strings.NewReader(data)), timeout: ioTimeout{setDeadline: w.SetReadDeadline},
+		window: time.Hour, minBytes: 10}, w
 }
 
-// Symptom: a good caller's upload is cut.
-// Sequence: the target takes the body more slowly than the window allows.
-// Cause: the time between two reads counts as the caller's.
-func TestOnlyTheCallersTimeCounts(t *testing.T) {
-	body, w := watched("")
+// Guards against the upload of a fast caller that is aborted because the target reads more
+// slowly than the window allows: the time between two reads must not count as waiting for the
+// caller.
+func TestOnlyTimeWaitingForCallerCounts(t *testing.T) {
+	body, w := newTestBody("")
 	now := time.Now()
 	step := func(n int, waited, left time.Duration) {
 		t.Helper()
-		assert.Equal(t, body.left(), left)
-		assert.Assert(t, body.watch.start(now, left))
-		body.watch.stop()
-		body.account(n, nil, waited)
+		assert.Equal(t, body.windowLeft(), left)
+		assert.Assert(t, body.timeout.start(now, left))
+		body.timeout.stop()
+		body.recordRead(n, nil, waited)
 		now = now.Add(2 * time.Hour)
-		body.watch.expireAt(now)
+		body.timeout.expireAt(now)
 		assert.Assert(t, w.last.IsZero(), "cut while no read waits")
 	}
 	step(4, 20*time.Minute, time.Hour)
 	step(5, 10*time.Minute, 40*time.Minute)
 	step(1, time.Minute, 30*time.Minute)
 	step(0, 0, time.Hour)
-	body.watch.start(now, body.left())
-	body.watch.expireAt(now.Add(time.Hour - 1))
+	body.timeout.start(now, body.windowLeft())
+	body.timeout.expireAt(now.Add(time.Hour - 1))
 	assert.Assert(t, w.last.IsZero(), "cut too early")
-	body.watch.expireAt(now.Add(time.Hour))
+	body.timeout.expireAt(now.Add(time.Hour))
 	assert.Assert(t, w.last.Before(now.Add(time.Hour)) && !w.last.IsZero())
 }
 
-// Symptom: a request on a kept connection is cancelled although its caller waits.
-// Sequence: the forwarder fails and leaves a read of the body behind, which goes
-// on after the handler returned; its time runs out while the connection serves
-// the next request.
-// Cause: the body still reaches the connection after the request is over.
-func TestDetachedBodyLeavesTheConnectionAlone(t *testing.T) {
-	body, w := watched("x")
+// Guards against a request that is cancelled although its caller waits. The forwarder of the
+// previous request failed and left a read of the body behind, which times out while the
+// connection serves the next request; the body must not reach the connection once its request
+// is over.
+func TestBodyOfEndedRequestDoesNotTouchConnection(t *testing.T) {
+	body, w := newTestBody("x")
 	now := time.Now()
-	body.watch.start(now, time.Hour)
-	body.watch.close()
-	body.watch.expireAt(now.Add(time.Hour))
+	body.timeout.start(now, time.Hour)
+	body.timeout.close()
+	body.timeout.expireAt(now.Add(time.Hour))
 	assert.Assert(t, w.last.IsZero())
 	_, err := body.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, http.ErrBodyReadAfterClose)
 }
 
-// Symptom: slots stay taken long after the work is done.
-// Sequence: a caller asks for a large answer and reads none of it.
-// Cause: nothing bounds the wait for the caller to read.
+// Guards against slots that stay occupied by a caller that requests a large answer and reads
+// none of it.
 func TestUnreadAnswerIsCut(t *testing.T) {
-	// A stall as long as the window, before the header is sent, would cut that too.
-	b := start(t, Config{AnswerWindow: time.Second}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+	// With a shorter window, a pause of the test itself before the header is sent would fail
+	// the write too.
+	b := startServer(t, Config{AnswerWindow: time.Second}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		body := io.NopCloser(io.LimitReader(zeros{}, largeBytes))
 		return CopyAnswer(w, &http.Response{StatusCode: 200, ContentLength: largeBytes, Body: body})
 	})
-	onBoth(t, func(t *testing.T, c *http.Client) {
+	onBothVersions(t, func(t *testing.T, c *http.Client) {
 		do(t, c, "GET", b.url+"/x", nil)
 		outcome := <-b.observer.outcomes
 		assert.Equal(t, outcome.Fault.Kind, fault.CallerGone)
@@ -134,28 +133,27 @@
 	})
 }
 
-// Symptom: connections and their goroutines pile up without work in flight.
-// Sequence: a caller sends request after request and reads none of the answers;
-// each is small enough for the server to send it after the handler returned.
-// Cause: only writes of the handler are bounded.
+// Guards against idle connections and goroutines that pile up. A caller sends request after
+// request and reads none of the answers, each of which is small enough for the server to send
+// it after the handler returned, so bounding the writes of the handler is not sufficient.
 func TestUnreadSmallAnswersAreCut(t *testing.T) {
-	b := start(t, Config{AnswerWindow: 100 * time.Millisecond}, answered)
+	b := startServer(t, Config{AnswerWindow: 100 * time.Millisecond}, answerWhole)
 	b.server.observer = noObserver{}
 	conn, _ := dial(t, b)
-	awaitOpen(b, 1)
+	awaitOpenConns(b, 1)
 	for err := error(nil); err == nil; {
 		_, err = fmt.Fprint(conn, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n")
 	}
-	awaitOpen(b, 0)
+	awaitOpenConns(b, 0)
 }
 
-// An HTTP/2 stream is reset by a write deadline that passes while nothing is
-// written, so a resting event stream must not have one.
-func TestRestingStreamIsKept(t *testing.T) {
+// An HTTP/2 stream is reset by a write deadline that passes while nothing is written, so an
+// idle event stream must not have one.
+func TestIdleStreamIsNotReset(t *testing.T) {
 	t.Parallel()
 	const window = 500 * time.Millisecond
 	const burst = 64 * kibibyte
-	b := start(t, Config{AnswerWindow: window}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+	b := startServer(t, Config{AnswerWindow: window}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		for range 3 {
 			_, _ = io.WriteString(w, strings.Repeat("x", burst))
 			w.(http.Flusher).Flush()
@@ -163,13 +161,13 @@
 		}
 		return nil
 	})
-	onBoth(t, func(t *testing.T, c *http.Client) {
-		assert.Equal(t, len(text(t, do(t, c, "GET", b.url+"/x", nil))), 3*burst)
+	onBothVersions(t, func(t *testing.T, c *http.Client) {
+		assert.Equal(t, len(readBody(t, do(t, c, "GET", b.url+"/x", nil))), 3*burst)
 	})
 }
 
 func TestSlowHeaderIsCut(t *testing.T) {
-	b := start(t, Config{ReadHeaderTimeout: 50 * time.Millisecond}, answered)
+	b := startServer(t, Config{ReadHeaderTimeout: 50 * time.Millisecond}, answerWhole)
 	conn, reader := dial(t, b)
 	_, err := fmt.Fprint(conn, "GET /x HTTP/1.1\r\nHost:")
 	assert.NilError(t, err)
@@ -178,21 +176,20 @@
 	assert.Assert(t, !strings.Contains(string(rest), "200"))
 }
 
-// Symptom: an upload on a kept connection breaks off before it began.
-// Sequence: the connection rests for longer than AnswerWindow; the next request
-// waits for an interim answer, whose write fails at once.
-// Cause: the write deadline of the answer before still stands. net/http lifts it
-// between requests; this test notices if it stops to.
-func TestInterimAnswerOnARestedConnection(t *testing.T) {
+// Guards against an upload that fails on a kept-alive connection before it began. The
+// connection is idle for longer than AnswerWindow, and the write of 100 Continue for the next
+// request fails at once because the write deadline of the previous answer is still set.
+// net/http clears it between requests; this test fails if it no longer does.
+func TestContinueOnAnIdleConnection(t *testing.T) {
 	t.Parallel()
 	const window = 500 * time.Millisecond
-	b := start(t, Config{AnswerWindow: window}, readsAll)
+	b := startServer(t, Config{AnswerWindow: window}, consumeBody)
 	conn, reader := dial(t, b)
 	for range 2 {
-		resp := converse(t, conn, reader, "POST /x HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n")
+		resp := exchangeRaw(t, conn, reader, "POST /x HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n")
 		assert.Equal(t, resp.StatusCode, http.StatusContinue)
-		resp = converse(t, conn, reader, "some")
-		assert.Equal(t, text(t, resp), "whole")
+		resp = exchangeRaw(t, conn, reader, "some")
+		assert.Equal(t, readBody(t, resp), "whole")
 		time.Sleep(2 * window)
 	}
 }
--- a/caller/stream_test.go
+++ b/caller/stream_test.go
@@ -13,13 +13,13 @@
 	"tarragongw/core/request"
 )
 
-// Each part is sent only after the echo of the one before came back, so a body
-// that is held whole in either direction stops the test.
+// Each part is sent only after the echo of the previous one arrived, so the test blocks if a
+// body is buffered as a whole in either direction.
 func TestBodiesStreamBothWays(t *testing.T) {
-	b := start(t, Config{}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+	b := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		return CopyAnswer(w, &http.Response{StatusCode: 200, ContentLength: -1, Body: r.Body, Request: r})
 	})
-	onBoth(t, func(t *testing.T, c *http.Client) {
+	onBothVersions(t, func(t *testing.T, c *http.Client) {
 		reader, writer := io.Pipe()
 		go func() { _, _ = writer.Write([]byte("part")) }()
 		resp := do(t, c, "POST", b.url+"/x", reader)
@@ -32,7 +32,7 @@
 		_, err := io.ReadFull(resp.Body, part)
 		assert.NilError(t, err)
 		assert.NilError(t, writer.Close())
-		assert.Equal(t, text(t, resp), "")
+		assert.Equal(t, readBody(t, resp), "")
 		outcome := <-b.observer.outcomes
 		assert.Equal(t, outcome.BytesIn, int64(36))
 		assert.Equal(t, outcome.BytesOut, int64(36))
@@ -46,24 +46,24 @@
 
 func TestLargeUploadInBoundedMemory(t *testing.T) {
 	var most uint64
-	b := start(t, Config{}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
+	b := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
 		for err := error(nil); err == nil; {
 			_, err = io.CopyN(io.Discard, r.Body, stepBytes)
 			most = max(most, liveHeap())
 		}
-		return answered(w, r, m)
+		return answerWhole(w, r, m)
 	})
-	onBoth(t, func(t *testing.T, c *http.Client) {
+	onBothVersions(t, func(t *testing.T, c *http.Client) {
 		before := liveHeap()
 		most = 0
 		resp := do(t, c, "PUT", b.url+"/x", io.LimitReader(zeros{}, largeBytes))
-		assert.Equal(t, text(t, resp), "whole")
+		assert.Equal(t, readBody(t, resp), "whole")
 		assert.Assert(t, most < before+stepBytes, "%d bytes are live above %d", most-before, before)
 		assert.Equal(t, (<-b.observer.outcomes).BytesIn, int64(largeBytes))
 	})
 }
 
-// liveHeap returns the bytes on the heap that are in use.
+// liveHeap returns the size of the live heap.
 func liveHeap() uint64 {
 	var stats runtime.MemStats
 	runtime.GC()
@@ -79,7 +79,7 @@
 }
 
 func TestTrailersPassThrough(t *testing.T) {
-	b := start(t, Config{}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+	b := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		resp := &http.Response{StatusCode: 200, ContentLength: -1, Trailer: http.Header{"X-Sum": nil}}
 		resp.Body = &endBody{data: "whole", atEnd: func() {
 			resp.Trailer["X-Sum"] = []string{"42"}
@@ -89,18 +89,19 @@
 		}}
 		return CopyAnswer(w, resp)
 	})
-	onBoth(t, func(t *testing.T, c *http.Client) {
+	onBothVersions(t, func(t *testing.T, c *http.Client) {
 		resp := do(t, c, "GET", b.url+"/announced", nil)
 		assert.Equal(t, len(resp.Trailer), 1)
-		assert.Equal(t, text(t, resp), "whole")
+		assert.Equal(t, readBody(t, resp), "whole")
 		assert.DeepEqual(t, resp.Trailer, http.Header{"X-Sum": {"42"}})
 		resp = do(t, c, "GET", b.url+"/more", nil)
-		assert.Equal(t, text(t, resp), "whole")
+		assert.Equal(t, readBody(t, resp), "whole")
 		assert.DeepEqual(t, resp.Trailer, http.Header{"X-Sum": {"42"}, "X-Late": {"late"}})
 	})
 }
 
-// endBody is a body that calls atEnd before its clean end, or fails with err.
+// endBody is a body that ends with err if it is not nil, and otherwise calls atEnd before it
+// returns io.EOF.
 type endBody struct {
 	data  string
 	atEnd func()
@@ -126,12 +127,12 @@
 
 func TestCancellationReachesTheForwarder(t *testing.T) {
 	entered := make(chan struct{}, 1)
-	b := start(t, Config{}, func(_ http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+	b := startServer(t, Config{}, func(_ http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		entered <- struct{}{}
 		<-r.Context().Done()
 		return fault.Wrap(fault.CallerGone, r.Context().Err(), "")
 	})
-	onBoth(t, func(t *testing.T, c *http.Client) {
+	onBothVersions(t, func(t *testing.T, c *http.Client) {
 		ctx, cancel := context.WithCancel(context.Background())
 		r, err := http.NewRequestWithContext(ctx, "POST", b.url+"/x", nil)
 		assert.NilError(t, err)
@@ -148,13 +149,11 @@
 	})
 }
 
-// Symptom: a caller whose deadline passed is told that it went away itself, and
-// gets no answer.
-// Sequence: the deadline ends the context; the forwarder, or a context derived
-// from it, only sees a cancellation and blames the caller.
-// Cause: the two ends of the context look alike from inside.
+// Guards against a caller whose deadline passed and that gets no answer because it is taken
+// for disconnected. The forwarder, or a context derived from the request's, only sees a
+// cancellation and reports CallerGone, since both ends of the context look alike to it.
 func TestDeadlineIsAnswered(t *testing.T) {
-	b := start(t, Config{}, func(_ http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+	b := startServer(t, Config{}, func(_ http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		ctx, cancel := context.WithCancel(r.Context())
 		defer cancel()
 		<-ctx.Done()
@@ -162,7 +161,7 @@
 		f.Ran = fault.NotRun
 		return f
 	})
-	onBoth(t, func(t *testing.T, c *http.Client) {
+	onBothVersions(t, func(t *testing.T, c *http.Client) {
 		resp := do(t, c, "GET", b.url+"/faq/k", nil, "X-Deadline", "20")
 		assert.Equal(t, resp.StatusCode, 504)
 		assert.Equal(t, resp.Header.Get("Tarragon-Error"), "deadline_exceeded")
--- a/caller/truncate_test.go
+++ b/caller/truncate_test.go
@@ -17,12 +17,12 @@
 	"tarragongw/internal/faulttest"
 )
 
-// overlong declares fewer bytes than come.
+// overlong is a query for an answer with more bytes than it declares.
 const overlong = "?length=5&clean"
 
-// cutAnswer copies an answer of which only a part comes; "?length=n" declares a
-// length and "?clean" ends the part cleanly.
-func cutAnswer(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+// forwardTruncated copies a truncated answer; "?length=n" declares a length and "?clean" ends
+// the part without an error.
+func forwardTruncated(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 	query := r.URL.Query()
 	resp := &http.Response{StatusCode: 200, ContentLength: -1, Header: http.Header{}, Request: r}
 	if length := query.Get("length"); length != "" {
@@ -37,18 +37,18 @@
 	return CopyAnswer(w, resp)
 }
 
-// Symptom: a buyer sees a part of a manifest and takes it for the whole.
-// Sequence: the target's connection breaks in the middle of its answer.
-// Cause: the router ends its own answer cleanly all the same.
+// Guards against a caller that takes a truncated answer for the whole one. If the target's
+// connection breaks in the middle of its answer, the router must not end its own answer
+// cleanly.
 func TestTruncatedAnswerIsSeenAsBroken(t *testing.T) {
-	b := start(t, Config{}, cutAnswer)
-	onBoth(t, func(t *testing.T, c *http.Client) {
+	b := startServer(t, Config{}, forwardTruncated)
+	onBothVersions(t, func(t *testing.T, c *http.Client) {
 		for _, query := range []string{"", "?length=100", "?length=100&clean", overlong} {
 			r, err := http.NewRequest("POST", b.url+"/x"+query, nil)
 			assert.NilError(t, err)
 			resp, err := c.Do(r)
 			if query != overlong {
-				assert.NilError(t, err, "the part was thrown away")
+				assert.NilError(t, err, "the part was discarded")
 			}
 			if err == nil {
 				body, err := io.ReadAll(resp.Body)
@@ -63,11 +63,10 @@
 	})
 }
 
-// Symptom: an HTTP/1.0 caller takes a part of an answer for the whole.
-// Sequence: as above; the answer has no length.
-// Cause: such an answer ends with its connection, so a plain close is a clean end.
+// Guards against an HTTP/1.0 caller that takes a truncated answer for the whole one. An answer
+// without a length ends with its connection, so a normal close would be a clean end.
 func TestTruncatedAnswerResetsHTTP10(t *testing.T) {
-	b := start(t, Config{}, cutAnswer)
+	b := startServer(t, Config{}, forwardTruncated)
 	conn, reader := dial(t, b)
 	_, err := fmt.Fprint(conn, "GET /x HTTP/1.0\r\n\r\n")
 	assert.NilError(t, err)
@@ -75,18 +74,18 @@
 	assert.Assert(t, errors.Is(err, syscall.ECONNRESET), "%v", err)
 }
 
-// Symptom: a caller gets an empty or short answer that looks whole.
-// Sequence: the forwarder reports success without having written it all.
-// Cause: net/http fills in a status, and HTTP/2 ends a short answer cleanly.
-func TestSuccessIsHeldAgainstWhatWasWritten(t *testing.T) {
-	b := start(t, Config{}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+// Guards against an empty or short answer that looks complete. If the forwarder reports
+// success without having written everything, net/http fills in a status, and HTTP/2 ends a
+// short answer cleanly.
+func TestIncompleteSuccessIsFault(t *testing.T) {
+	b := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		if r.URL.Path == "/short" {
 			w.Header().Set("Content-Length", "10")
 			_, _ = io.WriteString(w, "short")
 		}
 		return nil
 	})
-	onBoth(t, func(t *testing.T, c *http.Client) {
+	onBothVersions(t, func(t *testing.T, c *http.Client) {
 		resp := do(t, c, "GET", b.url+"/none", nil)
 		assert.Equal(t, resp.Header.Get("Tarragon-Error"), "internal")
 		assert.Equal(t, (<-b.observer.outcomes).Fault.Kind, fault.Internal)
@@ -103,9 +102,9 @@
 	})
 }
 
-// The copy itself is checked too, since the router also copies where no caller's
-// handler stands behind it.
-func TestCopyTellsHowAnAnswerEnded(t *testing.T) {
+// CopyAnswer is also checked directly, since the router also uses it without an exchange
+// around it.
+func TestCopyAnswerReportsHowTheAnswerEnded(t *testing.T) {
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
 	for _, example := range []struct {
@@ -130,7 +129,7 @@
 		}
 		r, err := http.NewRequestWithContext(example.ctx, example.method, "http://h/", nil)
 		assert.NilError(t, err)
-		f := CopyAnswer(&sink{header: http.Header{}}, &http.Response{StatusCode: 200, ContentLength: example.length,
+		f := CopyAnswer(&discardWriter{header: http.Header{}}, &http.Response{StatusCode: 200, ContentLength: example.length,
 			Request: r, Body: &endBody{data: "whole", err: example.err}})
 		assert.Equal(t, f == nil, example.whole, example.name)
 		if f != nil {
@@ -139,15 +138,15 @@
 	}
 }
 
-func TestFaultAfterTheBeginAborts(t *testing.T) {
-	b := start(t, Config{}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+func TestFaultAfterAnswerBeganAborts(t *testing.T) {
+	b := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		w.(http.Flusher).Flush()
 		if r.URL.Path == "/panic" {
 			panic("defect")
 		}
 		return fault.New(fault.QueueFull, "")
 	})
-	onBoth(t, func(t *testing.T, c *http.Client) {
+	onBothVersions(t, func(t *testing.T, c *http.Client) {
 		for _, path := range []string{"/fault", "/panic"} {
 			resp := do(t, c, "GET", b.url+path, nil)
 			_, err := io.ReadAll(resp.Body)
@@ -159,24 +158,24 @@
 }
 
 func TestPanicIsAnswered(t *testing.T) {
-	b := start(t, Config{}, func(http.ResponseWriter, *http.Request, *request.Meta) *fault.Fault { panic("defect") })
-	onBoth(t, func(t *testing.T, c *http.Client) {
+	b := startServer(t, Config{}, func(http.ResponseWriter, *http.Request, *request.Meta) *fault.Fault { panic("defect") })
+	onBothVersions(t, func(t *testing.T, c *http.Client) {
 		resp := do(t, c, "GET", b.url+"/x", nil)
 		assert.Equal(t, resp.Header.Get("Tarragon-Error"), "internal")
 		assert.Equal(t, resp.Header.Get("Tarragon-Ran"), "unknown")
 	})
 }
 
-func TestCopyDropsWhatIsNotTheCallers(t *testing.T) {
-	b := start(t, Config{}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+func TestCopyAnswerDropsHopByHopAndRouterHeaders(t *testing.T) {
+	b := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		return CopyAnswer(w, &http.Response{StatusCode: 200, ContentLength: 5, Body: &endBody{data: "whole"}, Header: http.Header{
 			"Tarragon-Error": {"queue_full"}, "Connection": {"X-Hop"}, "X-Hop": {"1"}, "X-Plain": {"a", "b"},
 			"X-Request-Id": {"the target's"}, "Keep-Alive": {"5"},
 		}})
 	})
-	onBoth(t, func(t *testing.T, c *http.Client) {
+	onBothVersions(t, func(t *testing.T, c *http.Client) {
 		resp := do(t, c, "GET", b.url+"/x", nil, "X-Request-Id", "mine")
-		assert.Equal(t, text(t, resp), "whole")
+		assert.Equal(t, readBody(t, resp), "whole")
 		resp.Header.Del("Date")
 		assert.DeepEqual(t, resp.Header, http.Header{
 			"X-Plain": {"a", "b"}, "X-Request-Id": {"mine"}, "Content-Length": {"5"},
--- a/reqctx/reqctx.go
+++ b/reqctx/reqctx.go
@@ -1,6 +1,6 @@
-// Package reqctx has the context of one request, at a third of the allocations that
-// the standard library's contexts of the same effect take: it stands on the path of
-// every request.
+// Package reqctx provides the context of a request. It needs a third of the allocations of the
+// equivalent contexts of the standard library, which matters because one is created for every
+// request.
 package reqctx
 
 import (
@@ -9,30 +9,31 @@
 	"time"
 )
 
-// roomForListeners is how many listeners need no allocation; a request has one, that
+// inlineListeners is how many listeners need no allocation; a request normally has one, that
 // of its attempt.
-const roomForListeners = 2
+const inlineListeners = 2
 
-// Context ends with its parent, by Cancel, or at its limit unless the answer began
-// before. The limit bounds the wait for the answer; a plain context deadline would
-// also cut a long export or event stream that is well under way.
+// Context ends with its parent, by Cancel, or at its answer deadline unless the answer began
+// before. The answer deadline only bounds the wait for the beginning of the answer; a plain
+// context deadline would also cut off a long export or event stream that is being sent.
 //
-// Only what is asked for is made: no channel unless somebody calls Done. A Context is
-// safe for concurrent use.
+// The channel of Done is only created when it is asked for. A Context is safe for concurrent
+// use.
 type Context struct {
 	parent context.Context
-	// unwatch ends the watch on the parent.
-	unwatch func() bool
-
-	mu    sync.Mutex
-	limit time.Time
-	timer *time.Timer
-	begun bool
-	err   error
-	done  chan struct{}
-	// listeners are called at the end, each in a goroutine of its own.
+	// stopParentWatch unregisters the callback on the parent.
+	stopParentWatch func() bool
+
+	mu             sync.Mutex
+	answerDeadline time.Time
+	timer          *time.Timer
+	answerBegan    bool
+	err            error
+	done           chan struct{}
+	// listeners are called when the context ends, each in a goroutine of its own. inline is
+	// their initial storage.
 	listeners []listener
-	room      [roomForListeners]listener
+	inline    [inlineListeners]listener
 	lastID    int
 }
 
@@ -41,23 +42,23 @@
 	call func()
 }
 
-// New returns a context without a limit. End must be called.
+// New returns a context without an answer deadline. End must be called.
 func New(parent context.Context) *Context {
 	c := &Context{parent: parent}
-	c.unwatch = context.AfterFunc(parent, c.follow)
+	c.stopParentWatch = context.AfterFunc(parent, c.parentEnded)
 	return c
 }
 
-// NewDetached returns a context without a limit that has its parent's values and does
-// not end with it: the owner of the connection learns of its end by itself and calls
-// Cancel. It saves the watch on the parent, a quarter of what New costs in
-// allocations. End must be called.
+// NewDetached returns a context without an answer deadline that has the values of its parent
+// but does not end with it: the owner of the connection detects the end of the connection
+// itself and calls Cancel. This saves the callback on the parent, a quarter of the allocations
+// of New. End must be called.
 func NewDetached(parent context.Context) *Context {
-	return &Context{parent: parent, unwatch: never}
+	return &Context{parent: parent, stopParentWatch: never}
 }
 
-// follow ends the context because its parent ended.
-func (c *Context) follow() {
+// parentEnded ends the context because its parent ended.
+func (c *Context) parentEnded() {
 	if context.Cause(c.parent) == context.DeadlineExceeded {
 		c.cancel(context.DeadlineExceeded)
 		return
@@ -65,33 +66,33 @@
 	c.cancel(c.parent.Err())
 }
 
-// Limit sets when the context ends, with context.DeadlineExceeded, unless Begin is
-// called before; left is the time until then. It may be called once.
+// Limit sets the answer deadline, at which the context ends with context.DeadlineExceeded
+// unless Begin is called before; left is the time until then. It may be called once.
 func (c *Context) Limit(limit time.Time, left time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.begun || c.err != nil {
+	if c.answerBegan || c.err != nil {
 		return
 	}
-	c.limit = limit
+	c.answerDeadline = limit
 	c.timer = time.AfterFunc(left, c.Expire)
 }
 
-// Expire ends the context as its limit does, unless the answer began.
+// Expire ends the context as its answer deadline does, unless the answer began.
 func (c *Context) Expire() {
 	c.mu.Lock()
-	begun := c.begun
+	begun := c.answerBegan
 	c.mu.Unlock()
 	if !begun {
 		c.cancel(context.DeadlineExceeded)
 	}
 }
 
-// Begin lifts the limit because the answer began.
+// Begin removes the answer deadline because the answer began.
 func (c *Context) Begin() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.begun = true
+	c.answerBegan = true
 	if c.timer != nil {
 		c.timer.Stop()
 	}
@@ -100,13 +101,13 @@
 // Cancel ends the context with context.Canceled.
 func (c *Context) Cancel() { c.cancel(context.Canceled) }
 
-// End releases what the context holds.
+// End releases the resources of the context.
 func (c *Context) End() {
-	c.unwatch()
+	c.stopParentWatch()
 	c.cancel(context.Canceled)
 }
 
-// Expired reports whether the limit ended the context.
+// Expired reports whether the context ended with context.DeadlineExceeded.
 func (c *Context) Expired() bool { return c.Err() == context.DeadlineExceeded }
 
 func (c *Context) cancel(err error) {
@@ -130,9 +131,9 @@
 	}
 }
 
-// AfterFunc calls f in a goroutine of its own once the context has ended; stop
-// prevents that and reports whether it did. The standard library's context.AfterFunc
-// and derived contexts use it.
+// AfterFunc calls f in a goroutine of its own once the context has ended; stop prevents that
+// and reports whether it did. context.AfterFunc and derived contexts of the standard library
+// use it.
 func (c *Context) AfterFunc(f func()) (stop func() bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,13 +144,13 @@
 	c.lastID++
 	id := c.lastID
 	if c.listeners == nil {
-		c.listeners = c.room[:0]
+		c.listeners = c.inline[:0]
 	}
 	c.listeners = append(c.listeners, listener{id, f})
-	return func() bool { return c.forget(id) }
+	return func() bool { return c.removeListener(id) }
 }
 
-func (c *Context) forget(id int) bool {
+func (c *Context) removeListener(id int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i := range c.listeners {
@@ -181,11 +182,12 @@
 	return c.err
 }
 
-// Deadline implements context.Context. There is none once the answer began.
+// Deadline implements context.Context. The answer deadline no longer counts once the answer
+// began.
 func (c *Context) Deadline() (time.Time, bool) {
 	c.mu.Lock()
-	limited := c.timer != nil && !c.begun
-	limit := c.limit
+	limited := c.timer != nil && !c.answerBegan
+	limit := c.answerDeadline
 	c.mu.Unlock()
 	if limited {
 		return limit, true
@@ -196,16 +198,16 @@
 // Value implements context.Context.
 func (c *Context) Value(key any) any { return c.parent.Value(key) }
 
-// afterFuncer is a context that calls back by itself.
-type afterFuncer interface {
+// afterFuncContext is a context with an AfterFunc method of its own.
+type afterFuncContext interface {
 	AfterFunc(f func()) (stop func() bool)
 }
 
-// AfterFunc is context.AfterFunc, which makes a context and a channel of its own for
-// each call, without them where ctx calls back by itself. For a context that never
-// ends it does nothing.
+// AfterFunc is like context.AfterFunc, but avoids the context and the channel that
+// context.AfterFunc allocates for each call if ctx has an AfterFunc method. For a context that
+// never ends it does nothing.
 func AfterFunc(ctx context.Context, f func()) (stop func() bool) {
-	if a, ok := ctx.(afterFuncer); ok {
+	if a, ok := ctx.(afterFuncContext); ok {
 		return a.AfterFunc(f)
 	}
 	if ctx.Done() == nil {
--- a/reqctx/reqctx_test.go
+++ b/reqctx/reqctx_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func limited(left time.Duration) (*Context, time.Time) {
+func newWithDeadline(left time.Duration) (*Context, time.Time) {
 	c := New(context.Background())
 	limit := time.Now().Add(left)
 	c.Limit(limit, left)
@@ -16,7 +16,7 @@
 }
 
 func TestContextEndsAtDeadline(t *testing.T) {
-	c, deadline := limited(time.Hour)
+	c, deadline := newWithDeadline(time.Hour)
 	defer c.End()
 	child, cancel := context.WithCancel(c)
 	defer cancel()
@@ -32,17 +32,17 @@
 }
 
 func TestContextEndsByItsTimer(t *testing.T) {
-	c, _ := limited(time.Nanosecond)
+	c, _ := newWithDeadline(time.Nanosecond)
 	defer c.End()
 	<-c.Done()
 	assert.Assert(t, c.Expired())
 }
 
-// Symptom: a nightly export breaks off after the service's timeout.
-// Sequence: the answer begins in time and streams for longer than the timeout.
-// Cause: the deadline for the answer's begin also ends the answer.
-func TestDeadlineIsLiftedOnceTheAnswerBegan(t *testing.T) {
-	c, _ := limited(time.Hour)
+// Guards against a long export that breaks off after the service's timeout: the deadline for
+// the beginning of the answer must not end an answer that began in time and streams for
+// longer.
+func TestAnswerDeadlineIsRemovedOnceTheAnswerBegan(t *testing.T) {
+	c, _ := newWithDeadline(time.Hour)
 	defer c.End()
 	c.Begin()
 	c.Expire()
@@ -51,7 +51,7 @@
 	assert.Assert(t, !ok)
 }
 
-func TestContextFollowsItsParent(t *testing.T) {
+func TestContextEndsWithItsParent(t *testing.T) {
 	parent, cancel := context.WithCancel(context.Background())
 	c := New(parent)
 	defer c.End()
@@ -61,7 +61,7 @@
 	assert.Assert(t, !c.Expired())
 }
 
-func TestContextPassesValuesOn(t *testing.T) {
+func TestContextReturnsValuesOfItsParent(t *testing.T) {
 	type key struct{}
 	c := New(context.WithValue(context.Background(), key{}, 1))
 	defer c.End()
@@ -99,7 +99,7 @@
 	<-c.Done()
 }
 
-func TestDerivedContextLeavesNothingBehind(t *testing.T) {
+func TestCancelledChildContextIsUnregistered(t *testing.T) {
 	c := New(context.Background())
 	defer c.End()
 	for range 10 {
