--- a/caller/body.go
+++ b/caller/body.go
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// windowLeft returns what is windowLeft of the window.
+// windowLeft returns the wait that is left in the current window.
 func (b *requestBody) windowLeft() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/caller/config.go
+++ b/caller/config.go
@@ -26,8 +26,7 @@
 	BodyWindow time.Duration
 	// BodyWindowBytes is the minimum progress per window. Default 4 KiB.
 	BodyWindowBytes int64
-	// AnswerWindow is how long a write of the answer may block because the caller reads
-	// nothing. Default 30 s.
+	// AnswerWindow is how long the caller may take no byte of its answer. Default 30 s.
 	AnswerWindow time.Duration
 	// DrainBytes and DrainTimeout bound how much of a request's body is read and discarded
 	// after the answer was sent, so that a caller that is still sending gets to read the
@@ -51,8 +50,8 @@
 	// RequestIDHeader is the header that carries the request ID chosen by the caller, in
 	// canonical form. Default X-Request-Id.
 	RequestIDHeader string
-	// Untraced turns off the headers that the router adds to a forwarded request: Traceparent
-	// and X-Forwarded-For.
+	// Untraced turns off the headers Traceparent and X-Forwarded-For, which the router
+	// otherwise adds to a forwarded request.
 	Untraced bool
 	// FractionalWaits makes Retry-After a decimal fraction of seconds, for callers that accept
 	// it; whole seconds are too coarse where a delay of 100 ms is enough.
--- a/caller/conns.go
+++ b/caller/conns.go
@@ -20,8 +20,8 @@
 	net.Conn
 	limits *connLimits
 	ip     string
-	// receivedBytes is set once a byte was read, ended once a read failed with an error other
-	// than a timeout.
+	// receivedBytes is set once a byte was read. ended is set once the connection was closed
+	// or a read failed with an error other than a timeout.
 	receivedBytes, ended atomic.Bool
 	// served counts the requests whose turn has come; http2 means that they are HTTP/2
 	// streams.
@@ -36,8 +36,8 @@
 	requestCtx  atomic.Pointer[reqctx.Context]
 	closeOnce   sync.Once
 	certificate certificateState
-	// pipeline starts pipelined requests before their turn; nil if the look-ahead is turned
-	// off.
+	// pipeline starts pipelined requests before their turn; nil if Config.LookAhead is zero or
+	// the connection uses TLS.
 	pipeline *pipeline
 }
 
@@ -119,8 +119,7 @@
 // Its lock is taken when a connection opens or closes, not for each request.
 type connLimits struct {
 	maxConns, maxPerIP int
-	// newPipeline returns the pipeline of a connection; it is nil if the look-ahead is turned
-	// off.
+	// newPipeline creates the pipeline of a connection; nil if no requests are started early.
 	newPipeline func(c *callerConn) *pipeline
 	refused     atomic.Int64
 	// recheckRound counts the calls of Server.Recheck. It starts at one, so that the
--- a/caller/handler.go
+++ b/caller/handler.go
@@ -47,7 +47,7 @@
 	x := &exchange{
 		handler: h, w: w, r: r, ctl: *http.NewResponseController(w), declared: -1, began: time.Now(),
 	}
-	if e := takePipelined(r); e != nil && e.deliver(x) {
+	if a := takePipelined(r); a != nil && a.deliver(x) {
 		return
 	}
 	x.requestNumber = countRequest(r)
--- a/caller/pipeline.go
+++ b/caller/pipeline.go
@@ -63,8 +63,8 @@
 	handedOut []*pipelinedAnswer
 }
 
-func newPipeline(c *callerConn, base context.Context, most int, begin func(context.Context, *http.Request) *pipelinedAnswer) *pipeline {
-	p := &pipeline{conn: c, start: begin, maxStarted: most}
+func newPipeline(c *callerConn, base context.Context, maxStarted int, start func(context.Context, *http.Request) *pipelinedAnswer) *pipeline {
+	p := &pipeline{conn: c, start: start, maxStarted: maxStarted}
 	p.ctx, p.cancel = context.WithCancel(base)
 	return p
 }
@@ -109,12 +109,12 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var turn *pipelinedAnswer
+	var answer *pipelinedAnswer
 	if len(p.started) > 0 {
-		turn, p.started = p.started[0], p.started[1:]
+		answer, p.started = p.started[0], p.started[1:]
 		p.scanned -= p.currentLeft
 	}
-	p.handedOut = append(p.handedOut, turn)
+	p.handedOut = append(p.handedOut, answer)
 	p.blocked = false
 	return nil
 }
@@ -135,7 +135,7 @@
 	for {
 		p.startBuffered()
 		if len(p.buffered) >= pipelineBufferBytes {
-			return p.readCurrent(dst) // ends the server's read; it starts none before the end of the request
+			return p.readCurrent(dst) // the server does not read again before the end of the request
 		}
 		if err := p.readMore(); err != nil {
 			if !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -187,8 +187,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := len(p.started)
-	for _, turn := range p.handedOut {
-		if turn != nil {
+	for _, answer := range p.handedOut {
+		if answer != nil {
 			n++
 		}
 	}
@@ -202,12 +202,12 @@
 	if len(p.handedOut) == 0 {
 		return nil
 	}
-	turn := p.handedOut[0]
+	answer := p.handedOut[0]
 	p.handedOut = p.handedOut[1:]
-	if turn == nil || turn.matches(r) {
-		return turn
+	if answer == nil || answer.matches(r) {
+		return answer
 	}
-	turn.cancelRequest()
+	answer.cancelRequest()
 	return nil
 }
 
@@ -241,8 +241,8 @@
 		return 0
 	}
 	lower := bytes.ToLower(whole)
-	for _, word := range excludedHeaders {
-		if bytes.Contains(lower, word) {
+	for _, header := range excludedHeaders {
+		if bytes.Contains(lower, header) {
 			return 0
 		}
 	}
--- a/caller/pipelined.go
+++ b/caller/pipelined.go
@@ -53,16 +53,16 @@
 		return nil
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	e := &pipelinedAnswer{
+	a := &pipelinedAnswer{
 		method: r.Method, uri: r.RequestURI, idHeader: h.cfg.RequestIDHeader, id: r.Header.Get(h.cfg.RequestIDHeader),
 		cancel: cancel, header: http.Header{},
 	}
-	e.changed = sync.NewCond(&e.mu)
+	a.changed = sync.NewCond(&a.mu)
 	// Without this, a write that blocks for buffer space would block for ever after the caller
 	// closed the connection.
-	context.AfterFunc(ctx, func() { e.abandon(context.Cause(ctx) == context.DeadlineExceeded) })
-	go e.serve(h, r.WithContext(ctx))
-	return e
+	context.AfterFunc(ctx, func() { a.abandon(context.Cause(ctx) == context.DeadlineExceeded) })
+	go a.serve(h, r.WithContext(ctx))
+	return a
 }
 
 // repeatable reports whether the request may run more than once.
@@ -79,92 +79,92 @@
 	return f == nil && repeatable
 }
 
-func (e *pipelinedAnswer) serve(h *Handler, r *http.Request) {
+func (a *pipelinedAnswer) serve(h *Handler, r *http.Request) {
 	defer func() {
 		// The handler aborts an answer by a panic, as any handler does; other panics were
 		// recovered and logged in exchange.forward.
 		cause := recover()
-		e.mu.Lock()
-		defer e.mu.Unlock()
-		e.ended, e.aborted = true, cause != nil
-		e.changed.Broadcast()
+		a.mu.Lock()
+		defer a.mu.Unlock()
+		a.ended, a.aborted = true, cause != nil
+		a.changed.Broadcast()
 	}()
-	h.ServeHTTP(e, r)
+	h.ServeHTTP(a, r)
 }
 
 // matches reports whether r is the request that was started.
-func (e *pipelinedAnswer) matches(r *http.Request) bool {
-	return e.method == r.Method && e.uri == r.RequestURI && e.id == r.Header.Get(e.idHeader)
+func (a *pipelinedAnswer) matches(r *http.Request) bool {
+	return a.method == r.Method && a.uri == r.RequestURI && a.id == r.Header.Get(a.idHeader)
 }
 
 // cancelRequest cancels the request, whose answer is no longer wanted.
-func (e *pipelinedAnswer) cancelRequest() { e.cancel() }
+func (a *pipelinedAnswer) cancelRequest() { a.cancel() }
 
 // abandon makes further writes fail. If the request has expired, writes still succeed while
 // there is buffer space, so that the caller can get the timeout answer.
-func (e *pipelinedAnswer) abandon(expired bool) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.expired, e.abandoned = expired, !expired
-	e.changed.Broadcast()
+func (a *pipelinedAnswer) abandon(expired bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.expired, a.abandoned = expired, !expired
+	a.changed.Broadcast()
 }
 
 // Header implements http.ResponseWriter.
-func (e *pipelinedAnswer) Header() http.Header { return e.header }
+func (a *pipelinedAnswer) Header() http.Header { return a.header }
 
 // WriteHeader implements http.ResponseWriter. Interim answers are dropped.
-func (e *pipelinedAnswer) WriteHeader(status int) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if status < http.StatusOK || e.status != 0 {
+func (a *pipelinedAnswer) WriteHeader(status int) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if status < http.StatusOK || a.status != 0 {
 		return
 	}
-	e.status, e.sentHeader = status, maps.Clone(e.header)
-	e.changed.Broadcast()
+	a.status, a.sentHeader = status, maps.Clone(a.header)
+	a.changed.Broadcast()
 }
 
 // Write implements http.ResponseWriter.
-func (e *pipelinedAnswer) Write(p []byte) (int, error) {
-	e.WriteHeader(http.StatusOK)
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	for len(e.body) >= maxPipelinedBytes && !e.abandoned && !e.expired {
-		e.changed.Wait()
-	}
-	if e.abandoned || len(e.body) >= maxPipelinedBytes {
+func (a *pipelinedAnswer) Write(p []byte) (int, error) {
+	a.WriteHeader(http.StatusOK)
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for len(a.body) >= maxPipelinedBytes && !a.abandoned && !a.expired {
+		a.changed.Wait()
+	}
+	if a.abandoned || len(a.body) >= maxPipelinedBytes {
 		return 0, errAnswerAbandoned
 	}
-	e.body = append(e.body, p...)
-	e.changed.Broadcast()
+	a.body = append(a.body, p...)
+	a.changed.Broadcast()
 	return len(p), nil
 }
 
 // Flush does nothing. Like SetReadDeadline and SetWriteDeadline it is called by an exchange,
 // but the connection must not be touched before the turn of the answer.
-func (e *pipelinedAnswer) Flush() {}
+func (a *pipelinedAnswer) Flush() {}
 
 // SetReadDeadline does nothing.
-func (e *pipelinedAnswer) SetReadDeadline(time.Time) error { return nil }
+func (a *pipelinedAnswer) SetReadDeadline(time.Time) error { return nil }
 
 // SetWriteDeadline does nothing.
-func (e *pipelinedAnswer) SetWriteDeadline(time.Time) error { return nil }
+func (a *pipelinedAnswer) SetWriteDeadline(time.Time) error { return nil }
 
 // deliver writes the answer, whose turn has come, to the caller while it is still being
 // produced. It returns false if the request has to be served now instead.
-func (e *pipelinedAnswer) deliver(x *exchange) bool {
-	defer e.cancelRequest()
-	status := e.awaitStatus()
-	if e.refused {
+func (a *pipelinedAnswer) deliver(x *exchange) bool {
+	defer a.cancelRequest()
+	status := a.awaitStatus()
+	if a.refused {
 		return false
 	}
 	if status == 0 {
 		abort(x.r) // the caller closed the connection, or the handler wrote no answer
 	}
 	x.direct = true
-	maps.Copy(x.Header(), e.sentHeader)
+	maps.Copy(x.Header(), a.sentHeader)
 	x.WriteHeader(status)
 	for {
-		part, last := e.nextPart()
+		part, last := a.nextPart()
 		if _, err := x.Write(part); err != nil && err != http.ErrBodyNotAllowed {
 			abort(x.r)
 		}
@@ -172,11 +172,11 @@
 			break
 		}
 	}
-	if e.aborted {
+	if a.aborted {
 		x.flushPartial()
 		abort(x.r)
 	}
-	maps.Copy(x.Header(), e.header) // trailers come after the body
+	maps.Copy(x.Header(), a.header) // trailers come after the body
 	x.writeTimeout.close()
 	x.boundFinalFlush()
 	return true
@@ -187,39 +187,39 @@
 // there may be room. It does not apply to a request of which an attempt was already sent to a
 // target, since serving it again would treat it as new.
 func (x *exchange) deferRefusal(f *fault.Fault) bool {
-	e, pipelined := x.w.(*pipelinedAnswer)
+	a, pipelined := x.w.(*pipelinedAnswer)
 	if !pipelined || f.Ran != fault.NotRun || f.Kind.Row().Status != http.StatusServiceUnavailable || len(x.meta.Attempts) > 0 {
 		return false
 	}
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.refused = true
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.refused = true
 	return true
 }
 
 // awaitStatus waits until the answer's status is known and returns it, or zero if there is no
 // answer.
-func (e *pipelinedAnswer) awaitStatus() int {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	for e.status == 0 && !e.ended {
-		e.changed.Wait()
+func (a *pipelinedAnswer) awaitStatus() int {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for a.status == 0 && !a.ended {
+		a.changed.Wait()
 	}
-	return e.status
+	return a.status
 }
 
 // nextPart waits for and returns the next buffered part of the body, and reports whether it is
 // the last.
-func (e *pipelinedAnswer) nextPart() ([]byte, bool) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	for len(e.body) == 0 && !e.ended {
-		e.changed.Wait()
-	}
-	part := e.body
-	e.body = nil
-	e.changed.Broadcast()
-	return part, e.ended
+func (a *pipelinedAnswer) nextPart() ([]byte, bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for len(a.body) == 0 && !a.ended {
+		a.changed.Wait()
+	}
+	part := a.body
+	a.body = nil
+	a.changed.Broadcast()
+	return part, a.ended
 }
 
 // takePipelined returns the answer to r if it was started before its turn, or nil.
--- a/caller/shutdown.go
+++ b/caller/shutdown.go
@@ -16,16 +16,21 @@
 	// the connection is reset, and the reset may destroy an answer that the caller has not
 	// read yet.
 	idleGrace = 100 * time.Millisecond
-	// finalAnswersGrace is how long a stopping server that cuts requests off has to tell their callers.
-	// Without it a caller finds its connection reset and knows nothing.
+	// finalAnswersGrace is how long a server that cuts requests off takes to answer their
+	// callers. Without it a caller finds its connection reset and cannot tell what happened to
+	// its request.
 	finalAnswersGrace = 300 * time.Millisecond
 	// pipelinedPoll is the interval at which a server that shuts down checks for answers that
 	// wait for their turn and for connections that have become idle.
 	pipelinedPoll = 10 * time.Millisecond
 )
 
-// finalAnswersGrace is how long a server that cuts requests off takes to answer their callers.
-// Without it a caller finds its connection reset and cannot tell what happened to its request.
+// Shutdown stops accepting connections and requests and waits for the requests in flight;
+// HTTP/1.1 answers carry "Connection: close" from now on, and HTTP/2 connections get GOAWAY.
+// When ctx ends first, requests that still wait for their answer fail as if their deadline had
+// passed, the requests pipelined behind them get the answers that are ready, and what is still
+// in flight after finalAnswersGrace is cut off. It returns the number of requests that were in
+// flight when ctx ended.
 func (s *Server) Shutdown(ctx context.Context) (cut int) {
 	s.stopAccepting()
 	unused := time.AfterFunc(unusedGrace, s.limits.closeUnused)
