--- a/caller/body.go
+++ b/caller/body.go
@@ -86,7 +86,7 @@
 
 // state returns the number of bytes received, whether the body was read to its end, whether
 // reading it failed, and whether it failed because of the progress timeout.
-func (b *requestBody) state() (total int64, ended, broken, stalled bool) {
+func (b *requestBody) state() (total int64, ended, failed, stalled bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.total, b.ended, b.failed, b.failed && b.timeout.timedOut()
--- a/caller/copy.go
+++ b/caller/copy.go
@@ -112,12 +112,12 @@
 	if resp.ContentLength == -1 {
 		return true
 	}
-	kind := resp.Header.Get("Content-Type")
-	if len(kind) < len(eventStream) || !strings.EqualFold(kind[:len(eventStream)], eventStream) {
+	mediaType := resp.Header.Get("Content-Type")
+	if len(mediaType) < len(eventStream) || !strings.EqualFold(mediaType[:len(eventStream)], eventStream) {
 		return false // avoids the parser and its allocation of a map for nearly all answers
 	}
-	kind, _, _ = mime.ParseMediaType(kind)
-	return kind == eventStream
+	mediaType, _, _ = mime.ParseMediaType(mediaType)
+	return mediaType == eventStream
 }
 
 // checkLength detects a body that is shorter than declared but that the transport ended
--- a/caller/deadline.go
+++ b/caller/deadline.go
@@ -16,14 +16,14 @@
 // timeLeft returns how long the request may wait for its answer to begin, at most the timeout
 // of the service. Zero means no limit.
 func (s *source) timeLeft(e *model.Extract, timeout time.Duration) (time.Duration, *fault.Fault) {
-	word, f := s.read(e)
+	value, f := s.read(e)
 	if f != nil {
 		return 0, f
 	}
-	if word == "" {
+	if value == "" {
 		return timeout, nil
 	}
-	left, ok := parseTimeLeft(word)
+	left, ok := parseTimeLeft(value)
 	if !ok {
 		return 0, errBadDeadline
 	}
@@ -39,10 +39,10 @@
 // maxMillis is the largest number of milliseconds that a time.Duration holds.
 const maxMillis = int64(1<<63-1) / int64(time.Millisecond)
 
-func parseTimeLeft(word string) (time.Duration, bool) {
-	if millis, err := strconv.ParseInt(word, 10, 64); err == nil {
+func parseTimeLeft(value string) (time.Duration, bool) {
+	if millis, err := strconv.ParseInt(value, 10, 64); err == nil {
 		return time.Duration(min(millis, maxMillis)) * time.Millisecond, millis >= -maxMillis
 	}
-	left, err := time.ParseDuration(word)
+	left, err := time.ParseDuration(value)
 	return left, err == nil
 }
--- a/caller/disconnect_test.go
+++ b/caller/disconnect_test.go
@@ -22,7 +22,7 @@
 // waits; the context of the second request must be cancelled.
 func TestClosedConnectionCancelsRequest(t *testing.T) {
 	entered := make(chan struct{}, 1)
-	b := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
+	s := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
 		if r.URL.Path == "/first" {
 			return answerWhole(w, r, m)
 		}
@@ -30,7 +30,7 @@
 		<-r.Context().Done()
 		return fault.Wrap(fault.CallerGone, r.Context().Err(), "")
 	})
-	conn, err := net.Dial("tcp", b.address)
+	conn, err := net.Dial("tcp", s.address)
 	assert.NilError(t, err)
 	reader := bufio.NewReader(conn)
 	fmt.Fprint(conn, "GET /first HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -38,12 +38,12 @@
 	assert.NilError(t, err)
 	_, err = io.Copy(io.Discard, resp.Body)
 	assert.NilError(t, err)
-	first := <-b.observer.outcomes
+	first := <-s.observer.outcomes
 	assert.Assert(t, first.Fault == nil)
 	fmt.Fprint(conn, "GET /second HTTP/1.1\r\nHost: x\r\n\r\n")
 	<-entered
 	assert.NilError(t, conn.Close())
-	second := <-b.observer.outcomes
+	second := <-s.observer.outcomes
 	assert.Equal(t, second.Fault.Kind, fault.CallerGone)
 }
 
--- a/caller/exchange.go
+++ b/caller/exchange.go
@@ -206,8 +206,8 @@
 func (x *exchange) attributeToCaller(f *fault.Fault) *fault.Fault {
 	kind := f.Kind
 	if x.body != nil {
-		_, _, broken, stalled := x.body.state()
-		if broken {
+		_, _, failed, stalled := x.body.state()
+		if failed {
 			kind = fault.CallerGone
 		}
 		if stalled {
--- a/caller/extract.go
+++ b/caller/extract.go
@@ -196,11 +196,11 @@
 }
 
 func (s *source) class(e *model.Extract) (request.Class, *fault.Fault) {
-	word, f := s.read(e)
-	if f != nil || word == "" {
+	value, f := s.read(e)
+	if f != nil || value == "" {
 		return request.Interactive, f
 	}
-	class, ok := request.ParseClass(word)
+	class, ok := request.ParseClass(value)
 	if !ok {
 		return class, errBadClass
 	}
@@ -208,14 +208,14 @@
 }
 
 func (s *source) repeatable(e *model.Extract, method string) (bool, *fault.Fault) {
-	word, f := s.read(e)
+	value, f := s.read(e)
 	if f != nil {
 		return false, f
 	}
-	if word == "" {
+	if value == "" {
 		return request.RepeatableMethod(method), nil
 	}
-	repeatable, ok := request.ParseRepeatable(word)
+	repeatable, ok := request.ParseRepeatable(value)
 	if !ok {
 		return false, errBadRepeatability
 	}
--- a/caller/extract_test.go
+++ b/caller/extract_test.go
@@ -88,7 +88,7 @@
 func TestTimeLeft(t *testing.T) {
 	rule := model.Extract{From: model.FromHeader, Name: "X-Deadline"}
 	for _, example := range []struct {
-		word    string
+		value   string
 		timeout time.Duration
 		want    time.Duration
 		f       *fault.Fault
@@ -104,10 +104,10 @@
 		{"-9223372036854775808", time.Second, 0, errBadDeadline},
 		{"soon", time.Second, 0, errBadDeadline},
 	} {
-		src := source{header: http.Header{"X-Deadline": {example.word}}}
+		src := source{header: http.Header{"X-Deadline": {example.value}}}
 		got, f := src.timeLeft(&rule, example.timeout)
-		assert.Equal(t, got, example.want, example.word)
-		assert.Equal(t, f, example.f, example.word)
+		assert.Equal(t, got, example.want, example.value)
+		assert.Equal(t, f, example.f, example.value)
 	}
 }
 
@@ -139,9 +139,9 @@
 // router would extract the key "a" and forward to its owner, which resolves the path and works
 // on "b".
 func TestDotSegmentsAreRefused(t *testing.T) {
-	b := startServer(t, Config{}, answerWhole)
+	s := startServer(t, Config{}, answerWhole)
 	for _, path := range []string{"/faq/a/../b", "/faq/./a", "/faq/a/%2e%2e/b", "/faq/..", "/.."} {
-		r, err := http.NewRequest("GET", b.url, nil)
+		r, err := http.NewRequest("GET", s.url, nil)
 		assert.NilError(t, err)
 		r.URL.Opaque = path
 		resp, err := newClient(t, 1).Do(r)
@@ -149,12 +149,13 @@
 		defer resp.Body.Close()
 		assert.Equal(t, resp.Header.Get("Tarragon-Error"), "bad_request", path)
 	}
-	resp := do(t, newClient(t, 1), "GET", b.url+"/faq/..a/.b/c..", nil)
+	resp := do(t, newClient(t, 1), "GET", s.url+"/faq/..a/.b/c..", nil)
 	assert.Equal(t, resp.StatusCode, 200)
 }
 
-// FuzzExtract checks that any request is either refused or yields a key that is fit for
-// records and logs, and that strip does not panic.
+// FuzzExtract checks that any request is either refused or yields a key and a caller's name
+// that are fit for records and logs and a time left within the service's timeout, and that
+// strip handles its path.
 func FuzzExtract(f *testing.F) {
 	f.Add("/faq/stall-7?repeat=true", "ramen-kai", "250")
 	f.Add("/faq/a%2Fb/../c", "", "1s")
@@ -176,9 +177,9 @@
 		if rule.identify(&src, "GET", 64, &m) != nil {
 			return
 		}
-		for _, word := range []string{m.Key, m.Caller} {
-			if len(word) > 64 || !utf8.ValidString(word) || strings.ContainsAny(word, "\x00\r\n\t\x7f") {
-				t.Fatalf("%q passed", word)
+		for _, name := range []string{m.Key, m.Caller} {
+			if len(name) > 64 || !utf8.ValidString(name) || strings.ContainsAny(name, "\x00\r\n\t\x7f") {
+				t.Fatalf("%q was accepted", name)
 			}
 		}
 		if m.Caller == "" || m.Service == "faq-viewer" && m.Key == "" {
--- a/caller/handler.go
+++ b/caller/handler.go
@@ -127,8 +127,8 @@
 	if f != nil {
 		return nil, f
 	}
-	if before := x.handler.cfg.AnswerBefore; left > 2*before {
-		left -= before
+	if margin := x.handler.cfg.AnswerBefore; left > 2*margin {
+		left -= margin
 	}
 	if left > 0 {
 		x.meta.Deadline = x.began.Add(left)
--- a/caller/handler_test.go
+++ b/caller/handler_test.go
@@ -16,17 +16,17 @@
 func TestExtractedFieldsAreForwarded(t *testing.T) {
 	var got request.Meta
 	var path string
-	b := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
+	s := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
 		got, path = *m, r.URL.Path
 		return answerWhole(w, r, m)
 	})
 	onBothVersions(t, func(t *testing.T, c *http.Client) {
-		resp := do(t, c, "POST", b.url+"/faq/stall-7/answers?repeat=true", nil,
+		resp := do(t, c, "POST", s.url+"/faq/stall-7/answers?repeat=true", nil,
 			"X-Caller", "ramen-kai", "X-Class", "batch", "X-Deadline", "1500", "X-Request-Id", "id-1")
 		assert.Equal(t, readBody(t, resp), "whole")
 		assert.Equal(t, resp.Header.Get("X-Request-Id"), "id-1")
 		assert.Equal(t, path, "/stall-7/answers")
-		outcome := <-b.observer.outcomes
+		outcome := <-s.observer.outcomes
 		assert.Equal(t, got.Deadline, outcome.Began.Add(1500*time.Millisecond))
 		got.Deadline = time.Time{}
 		assert.DeepEqual(t, got, request.Meta{
@@ -41,7 +41,7 @@
 
 func TestFaultsAreAnsweredFromTheTable(t *testing.T) {
 	var next *fault.Fault
-	b := startServer(t, Config{}, func(w http.ResponseWriter, _ *http.Request, _ *request.Meta) *fault.Fault {
+	s := startServer(t, Config{}, func(w http.ResponseWriter, _ *http.Request, _ *request.Meta) *fault.Fault {
 		w.Header().Set("X-Left-Over", "1")
 		return next
 	})
@@ -52,7 +52,7 @@
 			}
 			next = fault.New(kind, "because")
 			row := kind.Row()
-			resp := do(t, c, "GET", b.url+"/x", nil, "X-Request-Id", "id-2")
+			resp := do(t, c, "GET", s.url+"/x", nil, "X-Request-Id", "id-2")
 			assert.Equal(t, resp.StatusCode, row.Status)
 			assert.Equal(t, resp.Header.Get("Tarragon-Error"), row.Code)
 			assert.Equal(t, resp.Header.Get("Tarragon-Ran"), row.Ran.String())
@@ -64,7 +64,7 @@
 			answer.RetryAfterMillis = 0
 			assert.DeepEqual(t, answer, Answer{Code: row.Code, Ran: row.Ran.String(), Detail: "because", RequestID: "id-2"})
 			assert.Equal(t, resp.Header.Get("Retry-After") != "", row.RetryAfter > 0)
-			outcome := <-b.observer.outcomes
+			outcome := <-s.observer.outcomes
 			assert.Equal(t, outcome.Fault.Kind, kind)
 		}
 	})
@@ -74,7 +74,7 @@
 // all get the same retry delay, they all return at the same moment.
 func TestRetryAfterIsRoundedUpAndSpread(t *testing.T) {
 	wait := fault.New(fault.QueueFull, "")
-	b := startServer(t, Config{}, func(http.ResponseWriter, *http.Request, *request.Meta) *fault.Fault { return wait })
+	s := startServer(t, Config{}, func(http.ResponseWriter, *http.Request, *request.Meta) *fault.Fault { return wait })
 	c := newClient(t, 1)
 	for _, example := range []struct {
 		wait            time.Duration
@@ -87,8 +87,8 @@
 		wait.RetryAfter = example.wait
 		seen := map[int]bool{}
 		for range 64 {
-			resp := do(t, c, "GET", b.url+"/x", nil)
-			<-b.observer.outcomes
+			resp := do(t, c, "GET", s.url+"/x", nil)
+			<-s.observer.outcomes
 			seconds, err := strconv.Atoi(resp.Header.Get("Retry-After"))
 			assert.NilError(t, err)
 			millis, err := strconv.Atoi(resp.Header.Get("Retry-After-Ms"))
@@ -103,20 +103,20 @@
 }
 
 func TestHeadHasNoBody(t *testing.T) {
-	b := startServer(t, Config{}, func(http.ResponseWriter, *http.Request, *request.Meta) *fault.Fault {
+	s := startServer(t, Config{}, func(http.ResponseWriter, *http.Request, *request.Meta) *fault.Fault {
 		return fault.New(fault.NoOwner, "")
 	})
 	onBothVersions(t, func(t *testing.T, c *http.Client) {
-		resp := do(t, c, "HEAD", b.url+"/x", nil)
+		resp := do(t, c, "HEAD", s.url+"/x", nil)
 		assert.Equal(t, resp.StatusCode, 503)
 		assert.Equal(t, readBody(t, resp), "")
 	})
 }
 
 func TestNotReadyWithoutModel(t *testing.T) {
-	b := startServer(t, Config{}, answerWhole)
-	b.server.rules.Store(nil)
-	resp := do(t, newClient(t, 1), "GET", b.url+"/x", nil)
+	s := startServer(t, Config{}, answerWhole)
+	s.server.rules.Store(nil)
+	resp := do(t, newClient(t, 1), "GET", s.url+"/x", nil)
 	assert.Equal(t, resp.Header.Get("Tarragon-Error"), "not_ready")
 	assert.Equal(t, resp.Header.Get("Tarragon-Ran"), "not-run")
 }
--- a/caller/headers.go
+++ b/caller/headers.go
@@ -67,10 +67,10 @@
 func hasToken(lines []string, token string) bool {
 	for _, line := range lines {
 		for line != "" {
-			var word string
-			word, line, _ = strings.Cut(line, ",")
-			word, _, _ = strings.Cut(word, ";")
-			if strings.EqualFold(strings.TrimSpace(word), token) {
+			var item string
+			item, line, _ = strings.Cut(line, ",")
+			item, _, _ = strings.Cut(item, ";")
+			if strings.EqualFold(strings.TrimSpace(item), token) {
 				return true
 			}
 		}
--- a/caller/headers_test.go
+++ b/caller/headers_test.go
@@ -18,7 +18,7 @@
 // headers, sent as headers or as a trailer, would make a target work under a wrong token.
 func TestForgedHeadersAreStripped(t *testing.T) {
 	var header, trailer http.Header
-	b := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
+	s := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
 		buffer := make([]byte, 16)
 		for err := error(nil); err == nil; {
 			_, err = r.Body.Read(buffer)
@@ -27,7 +27,7 @@
 		return answerWhole(w, r, m)
 	})
 	onBothVersions(t, func(t *testing.T, c *http.Client) {
-		r, err := http.NewRequest("POST", b.url+"/x", struct{ *strings.Reader }{strings.NewReader("body")})
+		r, err := http.NewRequest("POST", s.url+"/x", struct{ *strings.Reader }{strings.NewReader("body")})
 		assert.NilError(t, err)
 		r.Trailer = http.Header{"Tarragon-Token": {"9"}, "X-Sum": {"42"}}
 		for name, value := range map[string]string{
@@ -54,11 +54,11 @@
 
 func TestHeadersListedInConnectionAreStripped(t *testing.T) {
 	var header http.Header
-	b := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
+	s := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
 		header = r.Header.Clone()
 		return answerWhole(w, r, m)
 	})
-	do(t, newClient(t, 1), "GET", b.url+"/x", nil, "Connection", "x-one, keep-alive", "X-One", "1", "Keep-Alive", "5",
+	do(t, newClient(t, 1), "GET", s.url+"/x", nil, "Connection", "x-one, keep-alive", "X-One", "1", "Keep-Alive", "5",
 		"X-Two", "2", "X-Request-Id", "bad id")
 	assert.Equal(t, header.Get("X-One"), "")
 	assert.Equal(t, header.Get("Keep-Alive"), "")
@@ -74,35 +74,35 @@
 // closes its pooled connection.
 func TestConnectionCloseIsNotForwarded(t *testing.T) {
 	var passedOn bool
-	b := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
+	s := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
 		passedOn = r.Close
 		return answerWhole(w, r, m)
 	})
-	resp := do(t, newClient(t, 1), "GET", b.url+"/x", nil, "Connection", "close")
+	resp := do(t, newClient(t, 1), "GET", s.url+"/x", nil, "Connection", "close")
 	assert.Equal(t, readBody(t, resp), "whole")
 	assert.Assert(t, resp.Close, "the caller's own connection ends as it asked")
 	assert.Assert(t, !passedOn)
 }
 
 func TestTunnelsAreRefused(t *testing.T) {
-	b := startServer(t, Config{}, answerWhole)
+	s := startServer(t, Config{}, answerWhole)
 	for _, head := range []string{
 		"GET /x HTTP/1.1\r\nHost: h\r\nConnection: Upgrade\r\nUpgrade: websocket\r\n\r\n",
 		"CONNECT h:80 HTTP/1.1\r\nHost: h:80\r\n\r\n",
 	} {
-		resp := sendRaw(t, b, head)
+		resp := sendRaw(t, s, head)
 		assert.Equal(t, resp.StatusCode, 501)
 		assert.Equal(t, resp.Header.Get("Tarragon-Error"), "unsupported")
 		assert.Equal(t, resp.Header.Get("Tarragon-Ran"), "not-run")
 	}
-	resp := sendRaw(t, b, "GET /x HTTP/1.1\r\nHost: h\r\nConnection: Upgrade, HTTP2-Settings\r\nUpgrade: h2c\r\nHTTP2-Settings: \r\n\r\n")
+	resp := sendRaw(t, s, "GET /x HTTP/1.1\r\nHost: h\r\nConnection: Upgrade, HTTP2-Settings\r\nUpgrade: h2c\r\nHTTP2-Settings: \r\n\r\n")
 	assert.Equal(t, resp.StatusCode, 200)
 }
 
 // sendRaw sends bytes on a new connection and reads one answer.
-func sendRaw(t *testing.T, b *testServer, head string) *http.Response {
+func sendRaw(t *testing.T, s *testServer, head string) *http.Response {
 	t.Helper()
-	conn, reader := dial(t, b)
+	conn, reader := dial(t, s)
 	return exchangeRaw(t, conn, reader, head)
 }
 
@@ -116,9 +116,9 @@
 	return resp
 }
 
-func dial(t *testing.T, b *testServer) (net.Conn, *bufio.Reader) {
+func dial(t *testing.T, s *testServer) (net.Conn, *bufio.Reader) {
 	t.Helper()
-	conn, err := net.Dial("tcp", b.address)
+	conn, err := net.Dial("tcp", s.address)
 	assert.NilError(t, err)
 	t.Cleanup(func() { conn.Close() })
 	return conn, bufio.NewReader(conn)
--- a/caller/heldanswer.go
+++ b/caller/heldanswer.go
@@ -44,9 +44,9 @@
 	}
 	x.status, x.direct = 0, true
 	if f.Kind == fault.AnswerTruncated && x.ctx != nil && x.ctx.Expired() {
-		late := *f
-		late.Kind = fault.DeadlineExceeded
-		return &late
+		timedOut := *f
+		timedOut.Kind = fault.DeadlineExceeded
+		return &timedOut
 	}
 	return f
 }
--- a/caller/helpers_test.go
+++ b/caller/helpers_test.go
@@ -68,32 +68,32 @@
 // startTLSServer starts a server with the test certificate of net/http/httptest.
 func startTLSServer(t testing.TB, f forwardFunc) *testServer {
 	t.Helper()
-	donor := httptest.NewUnstartedServer(nil)
-	donor.StartTLS()
-	t.Cleanup(donor.Close)
-	b := startServerWith(t, Config{}, f, &tls.Config{Certificates: donor.TLS.Certificates})
-	b.url = "https://" + b.address
-	return b
+	certServer := httptest.NewUnstartedServer(nil)
+	certServer.StartTLS()
+	t.Cleanup(certServer.Close)
+	s := startServerWith(t, Config{}, f, &tls.Config{Certificates: certServer.TLS.Certificates})
+	s.url = "https://" + s.address
+	return s
 }
 
-func startServerWith(t testing.TB, cfg Config, f forwardFunc, secure *tls.Config) *testServer {
+func startServerWith(t testing.TB, cfg Config, f forwardFunc, tlsConfig *tls.Config) *testServer {
 	t.Helper()
 	observer := newRecorder()
 	handler := NewHandler(cfg, f, observer)
 	handler.SetModel(testModel())
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	b := &testServer{server: NewServer(handler, secure), observer: observer, address: listener.Addr().String()}
-	b.url = "http://" + b.address
+	s := &testServer{server: NewServer(handler, tlsConfig), observer: observer, address: listener.Addr().String()}
+	s.url = "http://" + s.address
 	served := make(chan error, 1)
-	go func() { served <- b.server.Serve(listener) }()
+	go func() { served <- s.server.Serve(listener) }()
 	t.Cleanup(func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		b.server.Shutdown(ctx)
+		s.server.Shutdown(ctx)
 		assert.NilError(t, <-served)
 	})
-	return b
+	return s
 }
 
 // newClient returns a client for HTTP/1.1 (major 1) or clear-text HTTP/2 (major 2).
--- a/caller/iotimeout.go
+++ b/caller/iotimeout.go
@@ -25,56 +25,56 @@
 }
 
 // start begins an operation that may take the given time. It returns false after close.
-func (w *ioTimeout) start(now time.Time, left time.Duration) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.closed {
+func (t *ioTimeout) start(now time.Time, left time.Duration) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.closed {
 		return false
 	}
-	w.due, w.waiting = now.Add(left), true
-	if w.timer == nil {
-		w.timer = time.AfterFunc(left, w.expire)
+	t.due, t.waiting = now.Add(left), true
+	if t.timer == nil {
+		t.timer = time.AfterFunc(left, t.expire)
 	} else {
-		w.timer.Reset(left)
+		t.timer.Reset(left)
 	}
 	return true
 }
 
 // stop ends the current operation.
-func (w *ioTimeout) stop() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.waiting = false
-	w.timer.Stop()
+func (t *ioTimeout) stop() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.waiting = false
+	t.timer.Stop()
 }
 
 // close prevents any further use of the connection, which may soon serve the next request.
-func (w *ioTimeout) close() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.closed = true
-	if w.timer != nil {
-		w.timer.Stop()
+func (t *ioTimeout) close() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.closed = true
+	if t.timer != nil {
+		t.timer.Stop()
 	}
 }
 
 // timedOut reports whether an operation was interrupted.
-func (w *ioTimeout) timedOut() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.fired
+func (t *ioTimeout) timedOut() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.fired
 }
 
-func (w *ioTimeout) expire() { w.expireAt(time.Now()) }
+func (t *ioTimeout) expire() { t.expireAt(time.Now()) }
 
 // expireAt interrupts the operation if it is overdue at now. A timer that fires after its
 // operation has ended has no effect.
-func (w *ioTimeout) expireAt(now time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if !w.waiting || w.closed || now.Before(w.due) {
+func (t *ioTimeout) expireAt(now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if !t.waiting || t.closed || now.Before(t.due) {
 		return
 	}
-	w.fired = true
-	_ = w.setDeadline(now.Add(-time.Second))
+	t.fired = true
+	_ = t.setDeadline(now.Add(-time.Second))
 }
--- a/caller/pipeline_test.go
+++ b/caller/pipeline_test.go
@@ -25,8 +25,8 @@
 	in   *bufio.Reader
 }
 
-func dialPipelining(t *testing.T, b *testServer) *pipeliningClient {
-	conn, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
+func dialPipelining(t *testing.T, s *testServer) *pipeliningClient {
+	conn, err := net.Dial("tcp", strings.TrimPrefix(s.url, "http://"))
 	assert.NilError(t, err)
 	t.Cleanup(func() { conn.Close() })
 	assert.NilError(t, conn.SetDeadline(time.Now().Add(20*time.Second)))
@@ -198,7 +198,7 @@
 func TestClosedConnectionUnblocksBufferedAnswer(t *testing.T) {
 	ended := make(chan struct{})
 	full := make(chan struct{})
-	b := startServer(t, Config{LookAhead: 3}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+	s := startServer(t, Config{LookAhead: 3}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		if strings.HasSuffix(r.URL.Path, "a") {
 			<-r.Context().Done()
 			return fault.New(fault.CallerGone, "")
@@ -212,7 +212,7 @@
 		}
 		return fault.New(fault.CallerGone, "")
 	})
-	p := dialPipelining(t, b)
+	p := dialPipelining(t, s)
 	p.get("a", "b")
 	<-full
 	p.conn.Close()
@@ -229,7 +229,7 @@
 // deadline.
 func TestTimeoutIsAnsweredBeforeTheCallersDeadline(t *testing.T) {
 	const deadline = 400 * time.Millisecond
-	b := startServer(t, Config{LookAhead: 3, AnswerBefore: deadline / 4}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+	s := startServer(t, Config{LookAhead: 3, AnswerBefore: deadline / 4}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		if strings.HasSuffix(r.URL.Path, "a") {
 			<-r.Context().Done()
 			return fault.New(fault.DeadlineExceeded, "")
@@ -237,7 +237,7 @@
 		_, _ = io.WriteString(w, "whole")
 		return nil
 	})
-	p := dialPipelining(t, b)
+	p := dialPipelining(t, s)
 	sent := time.Now()
 	p.send(fmt.Sprintf("GET /faq/k/a HTTP/1.1\r\nHost: h\r\nX-Deadline: %d\r\n\r\n", deadline.Milliseconds()))
 	p.get("b")
@@ -254,7 +254,7 @@
 func TestShutdownAnswersStartedPipelinedRequests(t *testing.T) {
 	f := newGatedForwarder()
 	stopping := make(chan struct{})
-	b := startServer(t, Config{LookAhead: 3, ClosesAfter: func() bool {
+	s := startServer(t, Config{LookAhead: 3, ClosesAfter: func() bool {
 		select {
 		case <-stopping:
 			return true
@@ -262,12 +262,12 @@
 			return false
 		}
 	}}, f.forward)
-	p := dialPipelining(t, b)
+	p := dialPipelining(t, s)
 	p.get("a", "b", "c")
 	waittest.Until(t, "all three are in flight", func() bool { return len(f.names(&f.started)) == len("a b c") })
 	close(stopping)
 	done := make(chan int, 1)
-	go func() { done <- b.server.Shutdown(t.Context()) }()
+	go func() { done <- s.server.Shutdown(t.Context()) }()
 	p.get("d")
 	for _, name := range []string{"a", "b", "c"} {
 		close(f.gate(name))
@@ -289,7 +289,7 @@
 	gate := make(chan struct{})
 	var mu sync.Mutex
 	tries := map[string]int{}
-	b := startServer(t, Config{LookAhead: 3}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
+	s := startServer(t, Config{LookAhead: 3}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
 		mu.Lock()
 		tries[m.ID]++
 		first := tries[m.ID] == 1
@@ -306,7 +306,7 @@
 		_, _ = io.WriteString(w, "whole")
 		return nil
 	})
-	p := dialPipelining(t, b)
+	p := dialPipelining(t, s)
 	p.get("a", "b", "c")
 	waittest.Until(t, "all have started", func() bool {
 		mu.Lock()
@@ -324,7 +324,7 @@
 // or not, and an answer larger than the buffer must arrive complete.
 func TestPipelinedAnswersStayComplete(t *testing.T) {
 	large := strings.Repeat("0123456789abcdef", 3*maxPipelinedBytes/16)
-	b := startServer(t, Config{LookAhead: 3}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+	s := startServer(t, Config{LookAhead: 3}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		switch {
 		case strings.HasSuffix(r.URL.Path, "a"):
 			time.Sleep(30 * time.Millisecond)
@@ -340,7 +340,7 @@
 		_, _ = io.WriteString(w, "half")
 		return fault.New(fault.AnswerTruncated, "")
 	})
-	p := dialPipelining(t, b)
+	p := dialPipelining(t, s)
 	p.get("a", "b", "c", "d")
 	_, body := p.answer()
 	assert.Equal(t, body, "first")
@@ -367,7 +367,7 @@
 	for _, broken := range []string{"a", "b"} {
 		t.Run(broken, func(t *testing.T) {
 			f := newGatedForwarder()
-			b := startServer(t, Config{LookAhead: 3}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
+			s := startServer(t, Config{LookAhead: 3}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
 				if !strings.HasSuffix(r.URL.Path, broken) {
 					return f.forward(w, r, m)
 				}
@@ -376,7 +376,7 @@
 				_, _ = io.WriteString(w, "half")
 				return fault.New(fault.AnswerTruncated, "")
 			})
-			p := dialPipelining(t, b)
+			p := dialPipelining(t, s)
 			p.get("a", "b", "c")
 			waittest.Until(t, "the others are in flight", func() bool { return len(f.names(&f.started)) == len("a c") })
 			for _, name := range []string{"a", "b", "c"} {
@@ -397,7 +397,7 @@
 // An answer that is held back and takes longer than its deadline is answered with a timeout in
 // time, and the requests behind it are answered.
 func TestHeldAnswerTimesOut(t *testing.T) {
-	b := startServer(t, Config{LookAhead: 3}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+	s := startServer(t, Config{LookAhead: 3}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		if !strings.HasSuffix(r.URL.Path, "a") {
 			_, _ = io.WriteString(w, "whole")
 			return nil
@@ -408,7 +408,7 @@
 		<-r.Context().Done()
 		return fault.New(fault.AnswerTruncated, "")
 	})
-	p := dialPipelining(t, b)
+	p := dialPipelining(t, s)
 	p.send("GET /faq/k/a HTTP/1.1\r\nHost: h\r\nX-Deadline: 300\r\n\r\n")
 	p.get("b")
 	status, _ := p.answer()
--- a/caller/recheck.go
+++ b/caller/recheck.go
@@ -50,11 +50,11 @@
 // checkCertificate verifies the certificate once per round and closes the connection if the
 // certificate is rejected and the connection idle.
 func (s *Server) checkCertificate(c *callerConn) {
-	t := &c.certificate
-	if round := s.limits.recheckRound.Load(); t.round.Swap(round) != round {
-		s.verifyCertificate(t)
+	cert := &c.certificate
+	if round := s.limits.recheckRound.Load(); cert.round.Swap(round) != round {
+		s.verifyCertificate(cert)
 	}
-	if t.rejected.Load() && c.idleSince.Load() != 0 {
+	if cert.rejected.Load() && c.idleSince.Load() != 0 {
 		c.closeIfStillIdle()
 	}
 }
@@ -75,14 +75,14 @@
 	})
 }
 
-func (s *Server) verifyCertificate(t *certificateState) {
-	state := t.tlsConn.Load().ConnectionState()
+func (s *Server) verifyCertificate(cert *certificateState) {
+	state := cert.tlsConn.Load().ConnectionState()
 	if len(state.PeerCertificates) == 0 {
 		return
 	}
-	t.notAfter.Store(&state.PeerCertificates[0].NotAfter)
+	cert.notAfter.Store(&state.PeerCertificates[0].NotAfter)
 	if s.cfg.Accepts(&state) != nil {
-		t.rejected.Store(true)
+		cert.rejected.Store(true)
 	}
 }
 
@@ -93,11 +93,11 @@
 	if c == nil {
 		return nil
 	}
-	t := &c.certificate
-	if ends := t.notAfter.Load(); ends != nil && x.handler.cfg.Now().After(*ends) {
-		t.rejected.Store(true)
+	cert := &c.certificate
+	if notAfter := cert.notAfter.Load(); notAfter != nil && x.handler.cfg.Now().After(*notAfter) {
+		cert.rejected.Store(true)
 	}
-	if !t.rejected.Load() {
+	if !cert.rejected.Load() {
 		return nil
 	}
 	x.certificateRejected = true
--- a/caller/server.go
+++ b/caller/server.go
@@ -44,8 +44,8 @@
 	protocols.SetHTTP1(true)
 	protocols.SetHTTP2(tlsConfig != nil)
 	protocols.SetUnencryptedHTTP2(tlsConfig == nil)
-	base, expire := context.WithCancelCause(context.Background())
-	s.cancelBase = expire
+	base, cancelBase := context.WithCancelCause(context.Background())
+	s.cancelBase = cancelBase
 	if cfg.LookAhead > 0 && tlsConfig == nil {
 		s.limits.newPipeline = func(c *callerConn) *pipeline { return newPipeline(c, base, cfg.LookAhead, handler.startPipelined) }
 	}
--- a/caller/server_test.go
+++ b/caller/server_test.go
@@ -13,11 +13,11 @@
 
 // startShutdown starts a shutdown and returns once no connection is accepted. The channel
 // receives the result of Shutdown.
-func startShutdown(b *testServer, ctx context.Context) chan int {
+func startShutdown(s *testServer, ctx context.Context) chan int {
 	cut := make(chan int, 1)
-	go func() { cut <- b.server.Shutdown(ctx) }()
+	go func() { cut <- s.server.Shutdown(ctx) }()
 	for {
-		conn, err := net.Dial("tcp", b.address)
+		conn, err := net.Dial("tcp", s.address)
 		if err != nil {
 			return cut
 		}
@@ -47,18 +47,18 @@
 func TestShutdownCompletesRequestsInFlight(t *testing.T) {
 	onBothVersions(t, func(t *testing.T, c *http.Client) {
 		g := newGate()
-		b := startServer(t, Config{}, g.forward)
-		done := asyncGet(c, b.url+"/x")
+		s := startServer(t, Config{}, g.forward)
+		done := asyncGet(c, s.url+"/x")
 		<-g.entered
-		cut := startShutdown(b, context.Background())
-		assert.Equal(t, b.server.InFlight(), int64(1))
+		cut := startShutdown(s, context.Background())
+		assert.Equal(t, s.server.InFlight(), int64(1))
 		g.open()
 		got := <-done
 		assert.NilError(t, got.err)
 		assert.Equal(t, string(got.body), "whole")
 		assert.Equal(t, got.resp.Close, got.resp.ProtoMajor == 1)
 		assert.Equal(t, <-cut, 0)
-		open, _ := b.server.Conns()
+		open, _ := s.server.Conns()
 		assert.Equal(t, open, 0)
 	})
 }
@@ -66,12 +66,12 @@
 func TestShutdownReturnsNumberOfCutRequests(t *testing.T) {
 	onBothVersions(t, func(t *testing.T, c *http.Client) {
 		g := newGate()
-		b := startServer(t, Config{}, g.forward)
+		s := startServer(t, Config{}, g.forward)
 		t.Cleanup(g.open)
-		done := asyncGet(c, b.url+"/x")
+		done := asyncGet(c, s.url+"/x")
 		<-g.entered
 		ctx, cancel := context.WithCancel(context.Background())
-		cut := startShutdown(b, ctx)
+		cut := startShutdown(s, ctx)
 		cancel()
 		assert.Equal(t, <-cut, 1)
 		assert.Assert(t, (<-done).err != nil)
@@ -82,19 +82,19 @@
 // keeps connections open on which no request has come yet, and net/http waits for the first
 // request on a new connection.
 func TestShutdownClosesUnusedConnections(t *testing.T) {
-	b := startServer(t, Config{}, answerWhole)
-	_, reader := dial(t, b)
-	awaitOpenConns(b, 1)
+	s := startServer(t, Config{}, answerWhole)
+	_, reader := dial(t, s)
+	awaitOpenConns(s, 1)
 	began := time.Now()
-	assert.Equal(t, b.server.Shutdown(context.Background()), 0)
+	assert.Equal(t, s.server.Shutdown(context.Background()), 0)
 	_, err := reader.ReadByte()
 	assert.Equal(t, err, io.EOF)
 	assert.Assert(t, time.Since(began) < 4*time.Second)
 }
 
-func awaitOpenConns(b *testServer, want int) {
+func awaitOpenConns(s *testServer, want int) {
 	for {
-		if open, _ := b.server.Conns(); open == want {
+		if open, _ := s.server.Conns(); open == want {
 			return
 		}
 		time.Sleep(time.Millisecond)
@@ -102,30 +102,30 @@
 }
 
 func TestConnectionsPerAddressAreBounded(t *testing.T) {
-	b := startServer(t, Config{MaxConnsPerAddress: 1}, answerWhole)
-	first, _ := dial(t, b)
-	awaitOpenConns(b, 1)
-	_, refused := dial(t, b)
+	s := startServer(t, Config{MaxConnsPerAddress: 1}, answerWhole)
+	first, _ := dial(t, s)
+	awaitOpenConns(s, 1)
+	_, refused := dial(t, s)
 	_, err := refused.ReadByte()
 	assert.Assert(t, err != nil)
-	_, count := b.server.Conns()
+	_, count := s.server.Conns()
 	assert.Equal(t, count, int64(1))
 	first.Close()
-	awaitOpenConns(b, 0)
-	third, reader := dial(t, b)
+	awaitOpenConns(s, 0)
+	third, reader := dial(t, s)
 	resp := exchangeRaw(t, third, reader, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n")
 	assert.Equal(t, readBody(t, resp), "whole")
 }
 
 func TestTLSServesHTTP1AndHTTP2(t *testing.T) {
-	b := startTLSServer(t, answerWhole)
+	s := startTLSServer(t, answerWhole)
 	for _, major := range []int{1, 2} {
 		c := newClient(t, 1)
 		transport := c.Transport.(*http.Transport)
 		transport.Protocols.SetHTTP1(major == 1)
 		transport.Protocols.SetHTTP2(major == 2)
 		transport.TLSClientConfig.InsecureSkipVerify = true
-		resp := do(t, c, "GET", b.url+"/x", nil)
+		resp := do(t, c, "GET", s.url+"/x", nil)
 		assert.Equal(t, resp.ProtoMajor, major)
 		assert.Equal(t, readBody(t, resp), "whole")
 	}
--- a/caller/shutdown.go
+++ b/caller/shutdown.go
@@ -45,10 +45,10 @@
 	cut = int(s.InFlight())
 	s.limits.expireRequests()
 	s.cancelBase(context.DeadlineExceeded)
-	last, cancel := context.WithTimeout(context.Background(), finalAnswersGrace)
+	grace, cancel := context.WithTimeout(context.Background(), finalAnswersGrace)
 	defer cancel()
-	s.awaitPipelined(last)
-	if s.http.Shutdown(last) != nil {
+	s.awaitPipelined(grace)
+	if s.http.Shutdown(grace) != nil {
 		_ = s.http.Close()
 	}
 	return cut
--- a/caller/shutdown_test.go
+++ b/caller/shutdown_test.go
@@ -28,23 +28,23 @@
 // meanwhile; if they are forwarded, they are cut off at the end of the grace period. In the
 // log this shows as "no more requests accepted" with before_their_turn above zero, "closing
 // connections" up to two seconds later, and between them "request" lines with
-// code=deadline_exceeded.
+// code=deadline_exceeded for requests that began in that time.
 func TestShutdownRefusesNewRequestsWhilePipelinedAnswersWait(t *testing.T) {
 	f := newGatedForwarder()
-	b, closing := startClosable(t, f)
-	idle := dialPipelining(t, b)
+	s, closing := startClosable(t, f)
+	idle := dialPipelining(t, s)
 	idle.get("before")
 	close(f.gate("before"))
 	_, body := idle.answer()
 	assert.Equal(t, body, "answer to before")
-	busy := dialPipelining(t, b)
+	busy := dialPipelining(t, s)
 	busy.get("a", "b")
 	waittest.Until(t, "both are in flight", func() bool { return len(f.names(&f.started)) == len("before a b") })
 
 	closing.Store(true)
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	stopped := startShutdown(b, ctx)
+	stopped := startShutdown(s, ctx)
 	if _, err := io.WriteString(idle.conn, "GET /x/late HTTP/1.1\r\nHost: h\r\n\r\n"); err == nil {
 		resp, err := http.ReadResponse(idle.in, nil)
 		assert.Assert(t, err != nil || resp.StatusCode == http.StatusServiceUnavailable && resp.Close, "%+v", resp)
@@ -62,16 +62,16 @@
 // the end of the connection could be announced in it.
 func TestShutdownClosesConnectionsThatBecomeIdle(t *testing.T) {
 	f := newGatedForwarder()
-	b, closing := startClosable(t, f)
-	busy := dialPipelining(t, b)
+	s, closing := startClosable(t, f)
+	busy := dialPipelining(t, s)
 	busy.get("a", "b")
 	waittest.Until(t, "both are in flight", func() bool { return len(f.names(&f.started)) == len("a b") })
-	late := dialPipelining(t, b)
+	late := dialPipelining(t, s)
 	late.get("c")
 	waittest.Until(t, "the third is in flight", func() bool { return len(f.names(&f.started)) == len("a b c") })
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	stopped := startShutdown(b, ctx)
+	stopped := startShutdown(s, ctx)
 	// The end of the connection isn't announced, as in an answer that began before the stop.
 	assert.Assert(t, !closing.Load())
 	close(f.gate("c"))
@@ -92,26 +92,26 @@
 func TestShutdownRefusesRequestsOnOpenConnections(t *testing.T) {
 	onBothVersions(t, func(t *testing.T, c *http.Client) {
 		f := newGatedForwarder()
-		b, _ := startClosable(t, f)
-		busy := dialPipelining(t, b)
+		s, _ := startClosable(t, f)
+		busy := dialPipelining(t, s)
 		busy.get("a", "b")
 		waittest.Until(t, "both are in flight", func() bool { return len(f.names(&f.started)) == len("a b") })
 		// The connection is open and unused, so the stop does not close it at once.
-		conn, err := net.Dial("tcp", b.address)
+		conn, err := net.Dial("tcp", s.address)
 		assert.NilError(t, err)
 		defer conn.Close()
 		c.Transport.(*http.Transport).DialContext = func(context.Context, string, string) (net.Conn, error) { return conn, nil }
-		awaitOpenConns(b, 2)
+		awaitOpenConns(s, 2)
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
-		stopped := startShutdown(b, ctx)
-		resp, err := c.Get(b.url + "/x/late")
+		stopped := startShutdown(s, ctx)
+		resp, err := c.Get(s.url + "/x/late")
 		assert.NilError(t, err)
 		resp.Body.Close()
 		assert.Equal(t, resp.StatusCode, http.StatusServiceUnavailable)
 		assert.Equal(t, resp.Header.Get(HeaderRan), "not-run")
 		assert.Assert(t, resp.Header.Get("Retry-After") != "")
-		awaitOpenConns(b, 1) // the connection of the refused request is closed, that of the two reads is not
+		awaitOpenConns(s, 1) // the connection of the refused request is closed, that of the two reads is not
 		for _, name := range []string{"a", "b"} {
 			close(f.gate(name))
 			_, body := busy.answer()
@@ -130,8 +130,8 @@
 // SIGTERM, at the end of the grace period.
 func TestShutdownDeliversReadyPipelinedAnswers(t *testing.T) {
 	f := newGatedForwarder()
-	b, closing := startClosable(t, f)
-	p := dialPipelining(t, b)
+	s, closing := startClosable(t, f)
+	p := dialPipelining(t, s)
 	p.get("a", "b", "c", "d")
 	waittest.Until(t, "all are in flight", func() bool { return len(f.names(&f.started)) == len("a b c d") })
 	close(f.gate("b"))
@@ -139,7 +139,7 @@
 	closing.Store(true)
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
-	assert.Equal(t, b.server.Shutdown(ctx), 2, "the first and the third are cut")
+	assert.Equal(t, s.server.Shutdown(ctx), 2, "the first and the third are cut")
 	for _, c := range []struct {
 		status int
 		body   string
--- a/caller/slow_test.go
+++ b/caller/slow_test.go
@@ -27,16 +27,16 @@
 // upload and then one byte now and then. Neither may single bytes count as progress, nor may
 // the wait for the body be unbounded.
 func TestStalledBodyIsCut(t *testing.T) {
-	b := startServer(t, Config{BodyWindow: 100 * time.Millisecond}, consumeBody)
+	s := startServer(t, Config{BodyWindow: 100 * time.Millisecond}, consumeBody)
 	onBothVersions(t, func(t *testing.T, c *http.Client) {
 		for _, pause := range []time.Duration{time.Hour, 5 * time.Millisecond} {
 			body := &trickle{pause: pause, stop: make(chan struct{})}
-			resp := do(t, c, "POST", b.url+"/x", body)
+			resp := do(t, c, "POST", s.url+"/x", body)
 			assert.Equal(t, resp.StatusCode, 408)
 			assert.Equal(t, resp.Header.Get("Tarragon-Error"), "body_stalled")
 			assert.Equal(t, resp.Header.Get("Tarragon-Ran"), "unknown")
 			close(body.stop)
-			assert.Equal(t, (<-b.observer.outcomes).Fault.Kind, fault.BodyStalled)
+			assert.Equal(t, (<-s.observer.outcomes).Fault.Kind, fault.BodyStalled)
 		}
 	})
 }
@@ -121,13 +121,13 @@
 func TestUnreadAnswerIsCut(t *testing.T) {
 	// With a shorter window, a pause of the test itself before the header is sent would fail
 	// the write too.
-	b := startServer(t, Config{AnswerWindow: time.Second}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+	s := startServer(t, Config{AnswerWindow: time.Second}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		body := io.NopCloser(io.LimitReader(zeros{}, largeBytes))
 		return CopyAnswer(w, &http.Response{StatusCode: 200, ContentLength: largeBytes, Body: body})
 	})
 	onBothVersions(t, func(t *testing.T, c *http.Client) {
-		do(t, c, "GET", b.url+"/x", nil)
-		outcome := <-b.observer.outcomes
+		do(t, c, "GET", s.url+"/x", nil)
+		outcome := <-s.observer.outcomes
 		assert.Equal(t, outcome.Fault.Kind, fault.CallerGone)
 		assert.Assert(t, outcome.Aborted && outcome.BytesOut < largeBytes)
 	})
@@ -137,14 +137,14 @@
 // request and reads none of the answers, each of which is small enough for the server to send
 // it after the handler returned, so bounding the writes of the handler is not sufficient.
 func TestUnreadSmallAnswersAreCut(t *testing.T) {
-	b := startServer(t, Config{AnswerWindow: 100 * time.Millisecond}, answerWhole)
-	b.server.observer = noObserver{}
-	conn, _ := dial(t, b)
-	awaitOpenConns(b, 1)
+	s := startServer(t, Config{AnswerWindow: 100 * time.Millisecond}, answerWhole)
+	s.server.observer = noObserver{}
+	conn, _ := dial(t, s)
+	awaitOpenConns(s, 1)
 	for err := error(nil); err == nil; {
 		_, err = fmt.Fprint(conn, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n")
 	}
-	awaitOpenConns(b, 0)
+	awaitOpenConns(s, 0)
 }
 
 // An HTTP/2 stream is reset by a write deadline that passes while nothing is written, so an
@@ -153,7 +153,7 @@
 	t.Parallel()
 	const window = 500 * time.Millisecond
 	const burst = 64 * kibibyte
-	b := startServer(t, Config{AnswerWindow: window}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+	s := startServer(t, Config{AnswerWindow: window}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		for range 3 {
 			_, _ = io.WriteString(w, strings.Repeat("x", burst))
 			w.(http.Flusher).Flush()
@@ -162,13 +162,13 @@
 		return nil
 	})
 	onBothVersions(t, func(t *testing.T, c *http.Client) {
-		assert.Equal(t, len(readBody(t, do(t, c, "GET", b.url+"/x", nil))), 3*burst)
+		assert.Equal(t, len(readBody(t, do(t, c, "GET", s.url+"/x", nil))), 3*burst)
 	})
 }
 
 func TestSlowHeaderIsCut(t *testing.T) {
-	b := startServer(t, Config{ReadHeaderTimeout: 50 * time.Millisecond}, answerWhole)
-	conn, reader := dial(t, b)
+	s := startServer(t, Config{ReadHeaderTimeout: 50 * time.Millisecond}, answerWhole)
+	conn, reader := dial(t, s)
 	_, err := fmt.Fprint(conn, "GET /x HTTP/1.1\r\nHost:")
 	assert.NilError(t, err)
 	rest, err := io.ReadAll(reader)
@@ -183,8 +183,8 @@
 func TestContinueOnAnIdleConnection(t *testing.T) {
 	t.Parallel()
 	const window = 500 * time.Millisecond
-	b := startServer(t, Config{AnswerWindow: window}, consumeBody)
-	conn, reader := dial(t, b)
+	s := startServer(t, Config{AnswerWindow: window}, consumeBody)
+	conn, reader := dial(t, s)
 	for range 2 {
 		resp := exchangeRaw(t, conn, reader, "POST /x HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n")
 		assert.Equal(t, resp.StatusCode, http.StatusContinue)
--- a/caller/stream_test.go
+++ b/caller/stream_test.go
@@ -16,13 +16,13 @@
 // Each part is sent only after the echo of the previous one arrived, so the test blocks if a
 // body is buffered as a whole in either direction.
 func TestBodiesStreamBothWays(t *testing.T) {
-	b := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+	s := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		return CopyAnswer(w, &http.Response{StatusCode: 200, ContentLength: -1, Body: r.Body, Request: r})
 	})
 	onBothVersions(t, func(t *testing.T, c *http.Client) {
 		reader, writer := io.Pipe()
 		go func() { _, _ = writer.Write([]byte("part")) }()
-		resp := do(t, c, "POST", b.url+"/x", reader)
+		resp := do(t, c, "POST", s.url+"/x", reader)
 		part := make([]byte, 4)
 		for range 8 {
 			_, err := io.ReadFull(resp.Body, part)
@@ -33,7 +33,7 @@
 		assert.NilError(t, err)
 		assert.NilError(t, writer.Close())
 		assert.Equal(t, readBody(t, resp), "")
-		outcome := <-b.observer.outcomes
+		outcome := <-s.observer.outcomes
 		assert.Equal(t, outcome.BytesIn, int64(36))
 		assert.Equal(t, outcome.BytesOut, int64(36))
 	})
@@ -46,7 +46,7 @@
 
 func TestLargeUploadInBoundedMemory(t *testing.T) {
 	var most uint64
-	b := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
+	s := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
 		for err := error(nil); err == nil; {
 			_, err = io.CopyN(io.Discard, r.Body, stepBytes)
 			most = max(most, liveHeap())
@@ -56,10 +56,10 @@
 	onBothVersions(t, func(t *testing.T, c *http.Client) {
 		before := liveHeap()
 		most = 0
-		resp := do(t, c, "PUT", b.url+"/x", io.LimitReader(zeros{}, largeBytes))
+		resp := do(t, c, "PUT", s.url+"/x", io.LimitReader(zeros{}, largeBytes))
 		assert.Equal(t, readBody(t, resp), "whole")
 		assert.Assert(t, most < before+stepBytes, "%d bytes are live above %d", most-before, before)
-		assert.Equal(t, (<-b.observer.outcomes).BytesIn, int64(largeBytes))
+		assert.Equal(t, (<-s.observer.outcomes).BytesIn, int64(largeBytes))
 	})
 }
 
@@ -79,7 +79,7 @@
 }
 
 func TestTrailersPassThrough(t *testing.T) {
-	b := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+	s := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		resp := &http.Response{StatusCode: 200, ContentLength: -1, Trailer: http.Header{"X-Sum": nil}}
 		resp.Body = &endBody{data: "whole", atEnd: func() {
 			resp.Trailer["X-Sum"] = []string{"42"}
@@ -90,11 +90,11 @@
 		return CopyAnswer(w, resp)
 	})
 	onBothVersions(t, func(t *testing.T, c *http.Client) {
-		resp := do(t, c, "GET", b.url+"/announced", nil)
+		resp := do(t, c, "GET", s.url+"/announced", nil)
 		assert.Equal(t, len(resp.Trailer), 1)
 		assert.Equal(t, readBody(t, resp), "whole")
 		assert.DeepEqual(t, resp.Trailer, http.Header{"X-Sum": {"42"}})
-		resp = do(t, c, "GET", b.url+"/more", nil)
+		resp = do(t, c, "GET", s.url+"/more", nil)
 		assert.Equal(t, readBody(t, resp), "whole")
 		assert.DeepEqual(t, resp.Trailer, http.Header{"X-Sum": {"42"}, "X-Late": {"late"}})
 	})
@@ -127,14 +127,14 @@
 
 func TestCancellationReachesTheForwarder(t *testing.T) {
 	entered := make(chan struct{}, 1)
-	b := startServer(t, Config{}, func(_ http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+	s := startServer(t, Config{}, func(_ http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		entered <- struct{}{}
 		<-r.Context().Done()
 		return fault.Wrap(fault.CallerGone, r.Context().Err(), "")
 	})
 	onBothVersions(t, func(t *testing.T, c *http.Client) {
 		ctx, cancel := context.WithCancel(context.Background())
-		r, err := http.NewRequestWithContext(ctx, "POST", b.url+"/x", nil)
+		r, err := http.NewRequestWithContext(ctx, "POST", s.url+"/x", nil)
 		assert.NilError(t, err)
 		go func() {
 			<-entered
@@ -142,7 +142,7 @@
 		}()
 		_, err = c.Do(r)
 		assert.ErrorIs(t, err, context.Canceled)
-		outcome := <-b.observer.outcomes
+		outcome := <-s.observer.outcomes
 		assert.Equal(t, outcome.Status, 499)
 		assert.Equal(t, outcome.Fault.Kind, fault.CallerGone)
 		assert.Assert(t, outcome.Aborted)
@@ -153,7 +153,7 @@
 // for disconnected. The forwarder, or a context derived from the request's, only sees a
 // cancellation and reports CallerGone, since both ends of the context look alike to it.
 func TestDeadlineIsAnswered(t *testing.T) {
-	b := startServer(t, Config{}, func(_ http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+	s := startServer(t, Config{}, func(_ http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		ctx, cancel := context.WithCancel(r.Context())
 		defer cancel()
 		<-ctx.Done()
@@ -162,7 +162,7 @@
 		return f
 	})
 	onBothVersions(t, func(t *testing.T, c *http.Client) {
-		resp := do(t, c, "GET", b.url+"/faq/k", nil, "X-Deadline", "20")
+		resp := do(t, c, "GET", s.url+"/faq/k", nil, "X-Deadline", "20")
 		assert.Equal(t, resp.StatusCode, 504)
 		assert.Equal(t, resp.Header.Get("Tarragon-Error"), "deadline_exceeded")
 		assert.Equal(t, resp.Header.Get("Tarragon-Ran"), "not-run")
--- a/caller/truncate_test.go
+++ b/caller/truncate_test.go
@@ -41,10 +41,10 @@
 // connection breaks in the middle of its answer, the router must not end its own answer
 // cleanly.
 func TestTruncatedAnswerIsSeenAsBroken(t *testing.T) {
-	b := startServer(t, Config{}, forwardTruncated)
+	s := startServer(t, Config{}, forwardTruncated)
 	onBothVersions(t, func(t *testing.T, c *http.Client) {
 		for _, query := range []string{"", "?length=100", "?length=100&clean", overlong} {
-			r, err := http.NewRequest("POST", b.url+"/x"+query, nil)
+			r, err := http.NewRequest("POST", s.url+"/x"+query, nil)
 			assert.NilError(t, err)
 			resp, err := c.Do(r)
 			if query != overlong {
@@ -55,7 +55,7 @@
 				assert.Assert(t, err != nil, "%s: %q passed for the whole answer", query, body)
 				resp.Body.Close()
 			}
-			outcome := <-b.observer.outcomes
+			outcome := <-s.observer.outcomes
 			faulttest.Is(t, outcome.Fault, fault.AnswerTruncated, fault.RanFully, query)
 			assert.Equal(t, outcome.Status, 200)
 			assert.Assert(t, outcome.Aborted)
@@ -66,8 +66,8 @@
 // Guards against an HTTP/1.0 caller that takes a truncated answer for the whole one. An answer
 // without a length ends with its connection, so a normal close would be a clean end.
 func TestTruncatedAnswerResetsHTTP10(t *testing.T) {
-	b := startServer(t, Config{}, forwardTruncated)
-	conn, reader := dial(t, b)
+	s := startServer(t, Config{}, forwardTruncated)
+	conn, reader := dial(t, s)
 	_, err := fmt.Fprint(conn, "GET /x HTTP/1.0\r\n\r\n")
 	assert.NilError(t, err)
 	_, err = io.ReadAll(reader)
@@ -78,7 +78,7 @@
 // success without having written everything, net/http fills in a status, and HTTP/2 ends a
 // short answer cleanly.
 func TestIncompleteSuccessIsFault(t *testing.T) {
-	b := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+	s := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		if r.URL.Path == "/short" {
 			w.Header().Set("Content-Length", "10")
 			_, _ = io.WriteString(w, "short")
@@ -86,17 +86,17 @@
 		return nil
 	})
 	onBothVersions(t, func(t *testing.T, c *http.Client) {
-		resp := do(t, c, "GET", b.url+"/none", nil)
+		resp := do(t, c, "GET", s.url+"/none", nil)
 		assert.Equal(t, resp.Header.Get("Tarragon-Error"), "internal")
-		assert.Equal(t, (<-b.observer.outcomes).Fault.Kind, fault.Internal)
-		r, err := http.NewRequest("GET", b.url+"/short", nil)
+		assert.Equal(t, (<-s.observer.outcomes).Fault.Kind, fault.Internal)
+		r, err := http.NewRequest("GET", s.url+"/short", nil)
 		assert.NilError(t, err)
 		if resp, err = c.Do(r); err == nil {
 			_, err = io.ReadAll(resp.Body)
 			resp.Body.Close()
 		}
 		assert.Assert(t, err != nil)
-		outcome := <-b.observer.outcomes
+		outcome := <-s.observer.outcomes
 		assert.Equal(t, outcome.Fault.Kind, fault.AnswerTruncated)
 		assert.Assert(t, outcome.Aborted)
 	})
@@ -139,7 +139,7 @@
 }
 
 func TestFaultAfterAnswerBeganAborts(t *testing.T) {
-	b := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+	s := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		w.(http.Flusher).Flush()
 		if r.URL.Path == "/panic" {
 			panic("defect")
@@ -148,33 +148,33 @@
 	})
 	onBothVersions(t, func(t *testing.T, c *http.Client) {
 		for _, path := range []string{"/fault", "/panic"} {
-			resp := do(t, c, "GET", b.url+path, nil)
+			resp := do(t, c, "GET", s.url+path, nil)
 			_, err := io.ReadAll(resp.Body)
 			assert.Assert(t, err != nil, path)
-			outcome := <-b.observer.outcomes
+			outcome := <-s.observer.outcomes
 			assert.Equal(t, outcome.Fault.Ran, fault.RanFully)
 		}
 	})
 }
 
 func TestPanicIsAnswered(t *testing.T) {
-	b := startServer(t, Config{}, func(http.ResponseWriter, *http.Request, *request.Meta) *fault.Fault { panic("defect") })
+	s := startServer(t, Config{}, func(http.ResponseWriter, *http.Request, *request.Meta) *fault.Fault { panic("defect") })
 	onBothVersions(t, func(t *testing.T, c *http.Client) {
-		resp := do(t, c, "GET", b.url+"/x", nil)
+		resp := do(t, c, "GET", s.url+"/x", nil)
 		assert.Equal(t, resp.Header.Get("Tarragon-Error"), "internal")
 		assert.Equal(t, resp.Header.Get("Tarragon-Ran"), "unknown")
 	})
 }
 
 func TestCopyAnswerDropsHopByHopAndRouterHeaders(t *testing.T) {
-	b := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+	s := startServer(t, Config{}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		return CopyAnswer(w, &http.Response{StatusCode: 200, ContentLength: 5, Body: &endBody{data: "whole"}, Header: http.Header{
 			"Tarragon-Error": {"queue_full"}, "Connection": {"X-Hop"}, "X-Hop": {"1"}, "X-Plain": {"a", "b"},
 			"X-Request-Id": {"the target's"}, "Keep-Alive": {"5"},
 		}})
 	})
 	onBothVersions(t, func(t *testing.T, c *http.Client) {
-		resp := do(t, c, "GET", b.url+"/x", nil, "X-Request-Id", "mine")
+		resp := do(t, c, "GET", s.url+"/x", nil, "X-Request-Id", "mine")
 		assert.Equal(t, readBody(t, resp), "whole")
 		resp.Header.Del("Date")
 		assert.DeepEqual(t, resp.Header, http.Header{
