--- a/reqctx/reqctx.go
+++ b/reqctx/reqctx.go
@@ -68,13 +68,13 @@
 
 // Limit sets the answer deadline, at which the context ends with context.DeadlineExceeded
 // unless Begin is called before; left is the time until then. It may be called once.
-func (c *Context) Limit(limit time.Time, left time.Duration) {
+func (c *Context) Limit(deadline time.Time, left time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.answerBegan || c.err != nil {
 		return
 	}
-	c.answerDeadline = limit
+	c.answerDeadline = deadline
 	c.timer = time.AfterFunc(left, c.Expire)
 }
 
@@ -123,10 +123,10 @@
 	if c.done != nil {
 		close(c.done)
 	}
-	called := c.listeners
+	listeners := c.listeners
 	c.listeners = nil
 	c.mu.Unlock()
-	for _, l := range called {
+	for _, l := range listeners {
 		go l.call()
 	}
 }
@@ -186,11 +186,11 @@
 // began.
 func (c *Context) Deadline() (time.Time, bool) {
 	c.mu.Lock()
-	limited := c.timer != nil && !c.answerBegan
-	limit := c.answerDeadline
+	bounded := c.timer != nil && !c.answerBegan
+	deadline := c.answerDeadline
 	c.mu.Unlock()
-	if limited {
-		return limit, true
+	if bounded {
+		return deadline, true
 	}
 	return c.parent.Deadline()
 }
--- a/reqctx/reqctx_test.go
+++ b/reqctx/reqctx_test.go
@@ -10,9 +10,9 @@
 
 func newWithDeadline(left time.Duration) (*Context, time.Time) {
 	c := New(context.Background())
-	limit := time.Now().Add(left)
-	c.Limit(limit, left)
-	return c, limit
+	deadline := time.Now().Add(left)
+	c.Limit(deadline, left)
+	return c, deadline
 }
 
 func TestContextEndsAtDeadline(t *testing.T) {
@@ -84,7 +84,7 @@
 		got[<-called]++
 	}
 	assert.DeepEqual(t, got, map[string]int{"a": 1, "c": 1, "d": 1})
-	assert.Assert(t, !stops["a"](), "it was called")
+	assert.Assert(t, !stops["a"](), "stopped after it was called")
 	c.End()
 	assert.Equal(t, len(called), 0)
 }
