--- a/caller/handler.go
+++ b/caller/handler.go
@@ -138,7 +138,7 @@
 		x.ctx.Limit(x.meta.Deadline, left)
 	}
 	out := r.WithContext(x.ctx)
-	// Whether the caller closes its own connection must not reach the target: passed on, it
+	// Whether the caller closes its own connection must not reach the target: forwarded, it
 	// cost a new connection to a target for every second request of callers that do not keep
 	// their connections open.
 	out.Close = false
--- a/caller/pipeline.go
+++ b/caller/pipeline.go
@@ -149,11 +149,11 @@
 // startBuffered starts the complete requests in the buffer.
 func (p *pipeline) startBuffered() {
 	for !p.blocked && !p.disabled {
-		whole := simpleRequestLength(p.buffered[p.scanned:])
-		if whole == 0 || p.outstanding() >= p.maxStarted {
+		length := simpleRequestLength(p.buffered[p.scanned:])
+		if length == 0 || p.outstanding() >= p.maxStarted {
 			return
 		}
-		r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(p.buffered[p.scanned : p.scanned+whole])))
+		r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(p.buffered[p.scanned : p.scanned+length])))
 		if err != nil {
 			p.blocked = true
 			return
@@ -163,7 +163,7 @@
 			p.blocked = true
 			return
 		}
-		p.scanned += whole
+		p.scanned += length
 	}
 }
 
--- a/caller/shutdown_test.go
+++ b/caller/shutdown_test.go
@@ -14,8 +14,8 @@
 	"tarragongw/internal/waittest"
 )
 
-// startClosable starts a server with look-ahead. Setting the returned flag makes it announce
-// the end of its callers' connections.
+// startClosable starts a server that starts pipelined requests early. Setting the returned
+// flag makes the server announce the end of its callers' connections.
 func startClosable(t *testing.T, f *gatedForwarder) (*testServer, *atomic.Bool) {
 	closing := &atomic.Bool{}
 	return startServer(t, Config{LookAhead: 3, ClosesAfter: closing.Load}, f.forward), closing
--- a/reqctx/reqctx.go
+++ b/reqctx/reqctx.go
@@ -81,9 +81,9 @@
 // Expire ends the context as its answer deadline does, unless the answer began.
 func (c *Context) Expire() {
 	c.mu.Lock()
-	begun := c.answerBegan
+	began := c.answerBegan
 	c.mu.Unlock()
-	if !begun {
+	if !began {
 		c.cancel(context.DeadlineExceeded)
 	}
 }
