--- a/leasewrite/leasewrite.go
+++ b/leasewrite/leasewrite.go
@@ -1,13 +1,14 @@
-// Package leasewrite writes to sockets under a right that ends at a given time.
+// Package leasewrite writes to sockets only while a lease is valid.
 //
-// Reading the clock before a write leaves a gap: a process that is suspended (SIGSTOP, a
-// frozen control group) between the two writes once it goes on, long after its right has
-// ended. Write closes that gap with a restartable sequence (rseq(2)): the kernel sends a
-// thread that it has suspended between the reading of the clock and the system call back to
-// the reading.
+// Checking the clock before a write is not enough: if the process is suspended (SIGSTOP, a
+// frozen cgroup) between the check and the system call, it writes when it resumes, possibly
+// long after the lease has expired. Write closes this gap with a restartable sequence
+// (rseq(2)): if a thread is interrupted between reading the clock and entering the system
+// call, the kernel aborts the sequence and the clock is read again.
 //
-// Where Check returns an error, Write reads the clock right before the system call instead.
-// A hypervisor that suspends the whole VM is not noticed in the gap.
+// Where Check returns an error, Write may fall back to an ordinary clock check immediately
+// before the system call. A hypervisor that suspends the whole VM within the gap is not
+// detected in either case.
 package leasewrite
 
 import (
@@ -21,28 +22,31 @@
 )
 
 var (
-	// ErrLapsed means that the right ended before all bytes were written.
-	ErrLapsed = errors.New("leasewrite: the right to write has lapsed")
-	// ErrInterrupted means that the thread was interrupted between the clock and the system
-	// call in each of many attempts.
-	ErrInterrupted = errors.New("leasewrite: interrupted in every attempt")
-	// ErrUnsupported means that this program or its kernel has no restartable sequences.
-	ErrUnsupported = errors.New("leasewrite: no restartable sequences")
+	// ErrExpired means that the lease expired before all bytes were written.
+	ErrExpired = errors.New("leasewrite: the lease has expired")
+	// ErrInterrupted means that the thread was interrupted between reading the clock and the
+	// system call in every attempt, up to a fixed limit.
+	ErrInterrupted = errors.New("leasewrite: interrupted between clock check and write in every attempt")
+	// ErrUnsupported means that this build, the C library or the kernel does not support
+	// restartable sequences.
+	ErrUnsupported = errors.New("leasewrite: restartable sequences are not supported")
 )
 
-// GaveUp reports whether Write ended with the error because it may not write any more.
-func GaveUp(err error) bool { return errors.Is(err, ErrLapsed) || errors.Is(err, ErrInterrupted) }
+// GaveUp reports whether err means that Write stopped because it could not guarantee that
+// the lease was still valid.
+func GaveUp(err error) bool { return errors.Is(err, ErrExpired) || errors.Is(err, ErrInterrupted) }
 
-// Write writes to a non-blocking stream socket as long as clock.Boot is before until. It
-// waits for room in the socket's buffer up to the socket's write deadline. It returns how
-// many bytes the kernel took, and ErrLapsed or ErrInterrupted where it gave up.
-func Write(sock syscall.RawConn, b []byte, until time.Duration) (int, error) {
-	noteSend()
+// Write writes b to a non-blocking stream socket while clock.Boot is before expiry. When the
+// socket's send buffer is full, it waits for space until the socket's write deadline. It
+// returns the number of bytes that the kernel accepted, and ErrExpired or ErrInterrupted if
+// it stopped because of the lease.
+func Write(sock syscall.RawConn, b []byte, expiry time.Duration) (int, error) {
+	publishToRaceDetector()
 	written := 0
 	var sendErr error
 	err := sock.Write(func(fd uintptr) bool {
 		for written < len(b) {
-			n, err := sendBefore(fd, b[written:], until)
+			n, err := sendBefore(fd, b[written:], expiry)
 			switch err {
 			case nil:
 				written += n
@@ -62,10 +66,11 @@
 	return written, err
 }
 
-// lookAndSend is sendBefore without a sequence.
-func lookAndSend(fd uintptr, b []byte, until time.Duration) (int, error) {
-	if (clock.Boot{}).Now() >= until {
-		return 0, ErrLapsed
+// checkAndSend is sendBefore without a restartable sequence: a suspension between the clock
+// check and the system call goes unnoticed.
+func checkAndSend(fd uintptr, b []byte, expiry time.Duration) (int, error) {
+	if (clock.Boot{}).Now() >= expiry {
+		return 0, ErrExpired
 	}
 	n, err := unix.SendmsgN(int(fd), b, nil, nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
 	return max(n, 0), err
--- a/leasewrite/leasewrite_test.go
+++ b/leasewrite/leasewrite_test.go
@@ -15,8 +15,8 @@
 	"tarragongw/clock"
 )
 
-// pair returns both ends of a connection and the socket of the first.
-func pair(t *testing.T) (near, far *net.TCPConn, sock syscall.RawConn) {
+// tcpPair returns both ends of a TCP connection and the raw socket of the near end.
+func tcpPair(t *testing.T) (near, far *net.TCPConn, sock syscall.RawConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -32,27 +32,27 @@
 	return near, far, sock
 }
 
-func in(d time.Duration) time.Duration { return clock.Boot{}.Now() + d }
+func fromNow(d time.Duration) time.Duration { return clock.Boot{}.Now() + d }
 
-// A write whose right has ended hands no byte to the kernel.
-func TestNothingIsWrittenOnceTheRightHasEnded(t *testing.T) {
-	near, far, sock := pair(t)
-	n, err := Write(sock, []byte("late"), in(0))
+// A write under an expired lease hands no byte to the kernel.
+func TestNothingIsWrittenAfterTheLeaseExpires(t *testing.T) {
+	near, far, sock := tcpPair(t)
+	n, err := Write(sock, []byte("late"), fromNow(0))
 	assert.Equal(t, n, 0)
-	assert.Assert(t, errors.Is(err, ErrLapsed) && GaveUp(err), "%v", err)
+	assert.Assert(t, errors.Is(err, ErrExpired) && GaveUp(err), "%v", err)
 	near.Close()
 	got, err := io.ReadAll(far)
 	assert.NilError(t, err)
 	assert.Equal(t, len(got), 0)
 }
 
-// A write that is larger than the socket's buffer arrives whole.
+// A write that is larger than the socket's send buffer arrives completely.
 func TestLargeWritesArriveWhole(t *testing.T) {
-	near, far, sock := pair(t)
+	near, far, sock := tcpPair(t)
 	sent := bytes.Repeat([]byte("0123456789abcdef"), 1<<20)
 	ended := make(chan error, 1)
 	go func() {
-		_, err := Write(sock, sent, in(time.Minute))
+		_, err := Write(sock, sent, fromNow(time.Minute))
 		near.Close()
 		ended <- err
 	}()
@@ -62,10 +62,11 @@
 	assert.Assert(t, bytes.Equal(got, sent))
 }
 
-// A write that waits for room goes on after its right has ended, once the peer reads.
-func TestRightThatEndsWhileAWriteWaitsForRoom(t *testing.T) {
-	near, far, sock := pair(t)
-	until := in(50 * time.Millisecond)
+// The failure: a write that waits for space in the send buffer continues after its lease has
+// expired, as soon as the peer reads.
+func TestLeaseExpiresWhileAWriteIsBlocked(t *testing.T) {
+	near, far, sock := tcpPair(t)
+	until := fromNow(50 * time.Millisecond)
 	type result struct {
 		n   int
 		err error
@@ -80,14 +81,15 @@
 	read, err := io.Copy(io.Discard, far)
 	assert.NilError(t, err)
 	r := <-ended
-	assert.Assert(t, errors.Is(r.err, ErrLapsed), "%v", r.err)
+	assert.Assert(t, errors.Is(r.err, ErrExpired), "%v", r.err)
 	assert.Equal(t, read, int64(r.n))
 }
 
-// A write that waits for room outlasts the socket's write deadline.
-func TestWriteDeadlineEndsAWriteThatWaitsForRoom(t *testing.T) {
-	near, _, sock := pair(t)
+// The failure: a write that waits for space in the send buffer ignores the socket's write
+// deadline.
+func TestWriteDeadlineEndsABlockedWrite(t *testing.T) {
+	near, _, sock := tcpPair(t)
 	assert.NilError(t, near.SetWriteDeadline(time.Now().Add(20*time.Millisecond)))
-	_, err := Write(sock, make([]byte, 64<<20), in(time.Minute))
+	_, err := Write(sock, make([]byte, 64<<20), fromNow(time.Minute))
 	assert.Assert(t, errors.Is(err, os.ErrDeadlineExceeded), "%v", err)
 }
--- a/leasewrite/norace.go
+++ b/leasewrite/norace.go
@@ -2,4 +2,4 @@
 
 package leasewrite
 
-func noteSend() {}
+func publishToRaceDetector() {}
--- a/leasewrite/race.go
+++ b/leasewrite/race.go
@@ -4,9 +4,10 @@
 
 import "syscall"
 
-// noteSend tells the race detector that what happened before now happens before what the peer
-// does once it has read. It knows that of the system calls of package syscall, this one, which
-// fails, included; it doesn't see those that are made in C.
-func noteSend() {
+// publishToRaceDetector records a happens-before edge from everything before this call to
+// whatever the peer does after it has read the data. The race detector records that edge for
+// the write calls of package syscall, even for this one, which fails, but it does not see
+// system calls that are made in C.
+func publishToRaceDetector() {
 	_, _ = syscall.Write(-1, nil)
 }
--- a/leasewrite/send_other.go
+++ b/leasewrite/send_other.go
@@ -4,10 +4,10 @@
 
 import "time"
 
-func sendBefore(fd uintptr, b []byte, until time.Duration) (int, error) {
-	return lookAndSend(fd, b, until)
+func sendBefore(fd uintptr, b []byte, expiry time.Duration) (int, error) {
+	return checkAndSend(fd, b, expiry)
 }
 
-// Check returns an error that says why a suspension may fall between the clock and the system
-// call here, or nil.
+// Check returns nil if Write is protected against a suspension between the clock check and
+// the system call, and otherwise an error that says why it is not.
 func Check() error { return ErrUnsupported }
--- a/leasewrite/sequence_linux_amd64.S
+++ b/leasewrite/sequence_linux_amd64.S
@@ -1,9 +1,10 @@
 //go:build cgo
 
-// A restartable sequence, as the kernel's include/uapi/linux/rseq.h has it. A thread that is
-// interrupted in it goes on at the abort handler; one that was interrupted since it armed the
-// sequence, but outside of it, finds the field cleared. The system call is the last
-// instruction: a thread that is interrupted right before it has not made the call.
+// A restartable sequence as defined in the kernel's include/uapi/linux/rseq.h. If a thread is
+// interrupted inside the sequence, the kernel resumes it at the abort handler. If it was
+// interrupted after arming the sequence but outside of it, the kernel clears the armed field.
+// The system call is the last instruction of the sequence: a thread that is interrupted right
+// before it has not made the call.
 
 #define SYS_SENDTO 44
 #define MSG_DONTWAIT_NOSIGNAL 0x4040
@@ -37,7 +38,7 @@
 	syscall
 .Lmade:
 	ret
-	.byte 0x0f, 0xb9, 0x3d // ud1, so that the signature is part of an instruction
+	.byte 0x0f, 0xb9, 0x3d // ud1, so that the signature decodes as part of an instruction
 	.long RSEQ_SIG
 .Labort:
 	movq $LEASEWRITE_INTERRUPTED, %rax
--- a/leasewrite/sequence_linux_amd64.c
+++ b/leasewrite/sequence_linux_amd64.c
@@ -6,26 +6,27 @@
 
 #include "sequence_linux_amd64.h"
 
-// The C library registers an area for each thread and says here where it lies. Older ones
-// have neither symbol.
+// The C library registers an rseq area for each thread and publishes its location in these
+// symbols. Older C libraries define neither.
 extern const ptrdiff_t __rseq_offset __attribute__((weak));
 extern const unsigned int __rseq_size __attribute__((weak));
 
-// rseq_area is the part of the kernel's struct rseq that is used here.
+// rseq_area is the prefix of the kernel's struct rseq that is used here.
 struct rseq_area {
 	uint32_t cpu_id_start;
 	uint32_t cpu_id;
 	uint64_t rseq_cs;
 };
 
-// maxAttempts bounds how often an interrupted sequence begins anew.
+// maxAttempts bounds how often an interrupted sequence is restarted.
 static const int maxAttempts = 1000;
 
-// In sequence_linux_amd64.S.
+// Defined in sequence_linux_amd64.S.
 extern const char leasewrite_sequence[];
 long leasewrite_send(int fd, const void *buf, size_t len, volatile uint64_t *armed);
 
-// armed_field returns the thread's field that names the sequence it is in, or NULL.
+// armed_field returns the thread's rseq_cs field, which points to the currently armed
+// sequence, or NULL if the C library has registered no rseq area.
 static volatile uint64_t *armed_field(void)
 {
 	if (&__rseq_offset == NULL || &__rseq_size == NULL || __rseq_size == 0)
@@ -33,8 +34,8 @@
 	return &((struct rseq_area *)((char *)__builtin_thread_pointer() + __rseq_offset))->rseq_cs;
 }
 
-// boot_time reads the clock in the vDSO, so that an interruption of it is one outside of the
-// sequence, for which the kernel clears the armed field.
+// boot_time reads the clock in the vDSO. That code lies outside of the sequence, so the kernel
+// clears the armed field if the thread is interrupted there.
 static int boot_time(int64_t *now)
 {
 	struct timespec ts;
