--- a/target/cut.go
+++ b/target/abort.go
@@ -11,10 +11,10 @@
 // do the same at about twice the cost, and the end would look like that of a
 // caller that went away. The zero value is ready; a Cut serves one attempt.
 type Cut struct {
-	mu     sync.Mutex
-	done   bool
-	reason *fault.Fault
-	abort  func()
+	mu      sync.Mutex
+	aborted bool
+	reason  *fault.Fault
+	abort   func()
 }
 
 // Now ends the attempt; before its connection is there it has no effect on it, and
@@ -26,8 +26,8 @@
 func (c *Cut) For(reason *fault.Fault) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.done {
-		c.done, c.reason = true, reason
+	if !c.aborted {
+		c.aborted, c.reason = true, reason
 	}
 	if c.abort != nil {
 		// Under the lock, so that a connection that unbind gave up is never hit: it may
@@ -44,7 +44,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.abort = abort
-	if c.done {
+	if c.aborted {
 		abort()
 	}
 }
@@ -57,21 +57,21 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.abort = nil
-	return !c.done
+	return !c.aborted
 }
 
-// cut reports whether the attempt was cut.
-func (c *Cut) cut() bool {
+// isAborted reports whether the attempt was cut.
+func (c *Cut) isAborted() bool {
 	if c == nil {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.done
+	return c.aborted
 }
 
-// cutDetail is what a caller is told of an attempt that was cut.
-const cutDetail = "the router cut the attempt off, because the key's owner changes"
+// abortDetail is what a caller is told of an attempt that was cut.
+const abortDetail = "the router cut the attempt off, because the key's owner changes"
 
 // fault is the end of an attempt that was cut before its answer began.
 func (c *Cut) fault(ran fault.Ran) *fault.Fault {
@@ -83,7 +83,7 @@
 		return &reason
 	}
 	if ran == fault.NotRun {
-		return fault.New(fault.StaleRoute, cutDetail)
+		return fault.New(fault.StaleRoute, abortDetail)
 	}
-	return &fault.Fault{Kind: fault.TargetLost, Ran: ran, Detail: cutDetail}
+	return &fault.Fault{Kind: fault.TargetLost, Ran: ran, Detail: abortDetail}
 }
--- a/target/cutoff_test.go
+++ b/target/abort_test.go
@@ -16,10 +16,10 @@
 // Symptom: a caller's connection breaks off without an answer when a key moves.
 // Sequence: work runs longer than a closing unit allows; the router cuts it.
 // Cause: the cut looks like a caller that went away, for whom there is no answer.
-func TestCutIsNotTakenForACallerThatLeft(t *testing.T) {
+func TestAbortIsNotReportedAsCallerGone(t *testing.T) {
 	t.Run("while the target is at work", func(t *testing.T) {
 		var cut Cut
-		s := play(t, func(_ net.Conn, br *bufio.Reader) {
+		s := startTarget(t, func(_ net.Conn, br *bufio.Reader) {
 			_, _ = http.ReadRequest(br)
 			cut.Now()
 		})
@@ -29,7 +29,7 @@
 	})
 	t.Run("before a byte was written", func(t *testing.T) {
 		var cut Cut
-		s := play(t, always(okAnswer))
+		s := startTarget(t, respondAlways(okResponse))
 		p := newPool(t, s.addr(), nil)
 		cut.Now()
 		_, f := p.AttemptOn(background, newRequest(t, "GET", nil), Terms{Cut: &cut})
@@ -41,9 +41,9 @@
 // Sequence: an exchange ends and its connection serves the next; then the first
 // one is cut.
 // Cause: the cut still holds on to the connection.
-func TestCutAfterTheEndHarmsNobody(t *testing.T) {
+func TestAbortAfterTheEndDoesNotAffectTheNextExchange(t *testing.T) {
 	var cut Cut
-	s := play(t, always(okAnswer))
+	s := startTarget(t, respondAlways(okResponse))
 	p := newPool(t, s.addr(), nil)
 	resp, f := p.AttemptOn(background, newRequest(t, "GET", nil), Terms{Cut: &cut})
 	assert.Assert(t, f == nil)
@@ -60,7 +60,7 @@
 // Sequence: a grant lapses because its renewal comes late; a request comes first.
 // Cause: the refusal looks like that of a target that does not want the work, which
 // is not waited for.
-func TestGrantThatDoesNotFitIsNotARefusalOfTheWork(t *testing.T) {
+func TestGrantMismatchIsAStaleRoute(t *testing.T) {
 	for cause, want := range map[string]fault.Kind{
 		CauseUnit:    fault.StaleRoute,
 		CauseToken:   fault.StaleRoute,
@@ -69,7 +69,7 @@
 		"overload":   fault.TargetRefused,
 		"draining":   fault.TargetRefused,
 	} {
-		s := play(t, always("HTTP/1.1 503 No\r\nTarragon-Not-Run: "+cause+"\r\nContent-Length: 0\r\n\r\n"))
+		s := startTarget(t, respondAlways("HTTP/1.1 503 No\r\nTarragon-Not-Run: "+cause+"\r\nContent-Length: 0\r\n\r\n"))
 		_, f := newPool(t, s.addr(), nil).Attempt(background, newRequest(t, "GET", nil))
 		assert.Equal(t, f.Kind, want, cause)
 		assert.Equal(t, f.Ran, fault.NotRun)
--- a/target/acquire.go
+++ b/target/acquire.go
@@ -21,15 +21,15 @@
 			p.mu.Unlock()
 			return nil, notRun(fault.TargetUnreachable, nil, "the pool is closed")
 		}
-		if c := p.pop(); c != nil {
+		if c := p.popIdle(); c != nil {
 			p.mu.Unlock()
-			if p.usable(c) {
+			if p.checkReuse(c) {
 				return c, nil
 			}
 			continue
 		}
-		if p.open < p.max {
-			cause := p.opening()
+		if p.open < p.maxWorkConns {
+			cause := p.openCause()
 			p.open++
 			p.inUse++
 			p.mu.Unlock()
@@ -52,28 +52,28 @@
 			return nil, f
 		case dial:
 			return p.dial(ctx)
-		case c != nil && p.usable(c):
+		case c != nil && p.checkReuse(c):
 			return c, nil
 		}
 	}
 }
 
-// opening says why a connection has to be opened now; the lock is held.
-func (p *Pool) opening() OpenCause {
+// openCause says why a connection has to be opened now; the lock is held.
+func (p *Pool) openCause() OpenCause {
 	switch {
 	case p.inUse > 0:
 		return OpenedBeside
 	case p.counts.Dials == 0:
 		return OpenedFirst
-	case p.lost == "":
+	case p.lastCloseCause == "":
 		return OpenedBroken // the one before could not be opened
 	default:
-		return p.lost
+		return p.lastCloseCause
 	}
 }
 
-// pop takes the connection that rested last and counts it in use.
-func (p *Pool) pop() *conn {
+// popIdle takes the connection that rested last and counts it in use.
+func (p *Pool) popIdle() *conn {
 	n := len(p.idle)
 	if n == 0 {
 		return nil
@@ -85,15 +85,15 @@
 	return c
 }
 
-// usable counts the reuse of a connection that is in use now, or drops it.
-func (p *Pool) usable(c *conn) bool {
+// checkReuse counts the reuse of a connection that is in use now, or drops it.
+func (p *Pool) checkReuse(c *conn) bool {
 	now := p.cfg.Now()
 	switch {
 	case p.expired(c, now):
-		p.drop(c, &p.counts.Aged, OpenedRested)
+		p.closeInUse(c, &p.counts.Aged, OpenedIdle)
 		return false
-	case !c.alive():
-		p.drop(c, &p.counts.Stale, OpenedStale)
+	case !c.reusable():
+		p.closeInUse(c, &p.counts.Stale, OpenedStale)
 		return false
 	}
 	p.mu.Lock()
@@ -103,16 +103,16 @@
 }
 
 func (p *Pool) expired(c *conn, now time.Time) bool {
-	return now.Sub(c.born) >= p.cfg.MaxAge || now.Sub(c.rested) >= p.maxIdle() || !p.trusts(c, now)
+	return now.Sub(c.opened) >= p.cfg.MaxAge || now.Sub(c.idleSince) >= p.maxIdle() || !p.certAccepted(c, now)
 }
 
-// restMargin is the part, one in so many, by which a connection is closed before the
+// idleTimeoutMargin is the part, one in so many, by which a connection is closed before the
 // target would: a request on its way just then would be lost, and could not be repeated.
-const restMargin = 5
+const idleTimeoutMargin = 5
 
 // maxIdle is how long a connection may have rested.
 func (p *Pool) maxIdle() time.Duration {
-	if rest := time.Duration(p.rest.Load()); rest > 0 && rest < p.cfg.MaxIdle {
+	if rest := time.Duration(p.targetIdleTimeout.Load()); rest > 0 && rest < p.cfg.MaxIdle {
 		return rest
 	}
 	return p.cfg.MaxIdle
@@ -131,16 +131,16 @@
 	case c, ok := <-w.ready:
 		return c, ok && c == nil, nil
 	case <-ctx.Done():
-		f = ctxFault(ctx, fault.NotRun)
+		f = contextFault(ctx, fault.NotRun)
 	case <-late:
 		f = notRun(fault.QueueFull, nil, "no connection of the target came free in time")
 	}
-	p.leave(w, f.Kind == fault.QueueFull)
+	p.abandonWait(w, f.Kind == fault.QueueFull)
 	return nil, false, f
 }
 
-// leave takes a waiter out of the queue, or hands on what it was just given.
-func (p *Pool) leave(w *waiter, full bool) {
+// abandonWait takes a waiter out of the queue, or hands on what it was just given.
+func (p *Pool) abandonWait(w *waiter, full bool) {
 	p.mu.Lock()
 	if full {
 		p.counts.Full++
@@ -157,7 +157,7 @@
 	switch {
 	case !ok:
 	case c == nil:
-		p.vacate(nil)
+		p.freeSlot(nil)
 	default:
 		p.release(c)
 	}
@@ -177,9 +177,9 @@
 	if err == nil {
 		return c, nil
 	}
-	p.vacate(nil)
+	p.freeSlot(nil)
 	if ctx.Err() != nil {
-		return nil, ctxFault(ctx, fault.NotRun)
+		return nil, contextFault(ctx, fault.NotRun)
 	}
 	return nil, notRun(fault.TargetUnreachable, err, "opening a connection failed")
 }
@@ -189,7 +189,7 @@
 	if err != nil {
 		return nil, err
 	}
-	round := p.round.Load()
+	round := p.rechecks.Load()
 	c := newConn(raw, p.cfg.ProgressTimeout, p.cfg.Now())
 	if p.cfg.TLS == nil {
 		return c, nil
@@ -199,6 +199,6 @@
 		raw.Close()
 		return nil, err
 	}
-	c.trust = trustOf(secure.ConnectionState(), round)
+	c.cert = newPeerCert(secure.ConnectionState(), round)
 	return c, nil
 }
--- a/target/attempt.go
+++ b/target/attempt.go
@@ -20,36 +20,36 @@
 
 var (
 	errTooManyInformational = errors.New("target: too many informational answers")
-	errSwitched             = errors.New("target: the target switched protocols unasked")
-	errUnasked              = errors.New("target: an answer came before the request")
+	errSwitchedProtocols    = errors.New("target: the target switched protocols unasked")
+	errEarlyResponse        = errors.New("target: an answer came before the request")
 )
 
 // exchange is one request and its answer on one connection. It is the answer's
 // body as well.
 type exchange struct {
-	pool   *Pool
-	conn   *conn
-	ctx    context.Context
-	stop   func() bool
-	cut    *Cut
-	upload *upload
-	body   io.ReadCloser
+	pool             *Pool
+	conn             *conn
+	ctx              context.Context
+	stopContextWatch func() bool
+	cut              *Cut
+	upload           *upload
+	body             io.ReadCloser
 
 	sentBefore int64
 	malformed  bool
 	unframed   bool
-	// overdue says that an answer to an earlier request came first: the target's count of
+	// staleResponse says that an answer to an earlier request came first: the target's count of
 	// answers is off, so that the connection is not used again.
-	overdue bool
-	// keep says that the connection may be used again after the whole answer.
-	keep  bool
-	ended atomic.Bool
+	staleResponse bool
+	// keepConn says that the connection may be used again after the whole answer.
+	keepConn bool
+	ended    atomic.Bool
 	// closing says that Close has closed the connection.
 	closing atomic.Bool
-	// reading is held by Read and by Close once it has closed the connection, so that
+	// readMu is held by Read and by Close once it has closed the connection, so that
 	// the buffers aren't lent on while a Read is still in them.
-	reading sync.Mutex
-	err     error
+	readMu  sync.Mutex
+	readErr error
 }
 
 // Attempt implements Attempter. The request is written as it is, so the caller
@@ -96,7 +96,7 @@
 // AttemptOn is Attempt under terms.
 func (p *Pool) AttemptOn(ctx context.Context, r *http.Request, terms Terms) (*http.Response, *fault.Fault) {
 	if ctx.Err() != nil {
-		return nil, ctxFault(ctx, fault.NotRun)
+		return nil, contextFault(ctx, fault.NotRun)
 	}
 	c, f := p.acquire(ctx)
 	if f != nil {
@@ -108,57 +108,57 @@
 			return nil, f
 		}
 	}
-	c.attach()
-	c.begin(terms)
+	c.attachBuffers()
+	c.setOptions(terms)
 	x := &exchange{pool: p, conn: c, ctx: ctx, cut: terms.Cut, sentBefore: c.sent.Load()}
 	x.watch()
-	resp, err := x.run(r)
+	resp, err := x.roundTrip(r)
 	if err != nil {
 		return nil, x.fail(err)
 	}
 	p.observe(resp)
 	if f := p.cfg.Dialect.refusal(resp); f != nil {
-		x.refuse(resp)
+		x.finishRefused(resp)
 		return nil, f
 	}
 	if err := p.cfg.Dialect.check(resp); err != nil {
-		return nil, x.spoilt(err)
+		return nil, x.failInvalid(err)
 	}
-	x.begin(r, resp)
+	x.startBody(r, resp)
 	return resp, nil
 }
 
 // observe notes what an answer's header says of its target.
 func (p *Pool) observe(resp *http.Response) {
-	if rest := restOf(resp.Header); rest > 0 {
-		p.rest.Store(int64(rest - rest/restMargin))
+	if rest := keepAliveTimeout(resp.Header); rest > 0 {
+		p.targetIdleTimeout.Store(int64(rest - rest/idleTimeoutMargin))
 	}
 	if p.cfg.Dialect.Observe != nil {
 		p.cfg.Dialect.Observe(resp.Header)
 	}
 }
 
-// spoilt ends an exchange whose answer can't be the target's.
-func (x *exchange) spoilt(err error) *fault.Fault {
+// failInvalid ends an exchange whose answer can't be the target's.
+func (x *exchange) failInvalid(err error) *fault.Fault {
 	f := x.fail(err)
 	f.Kind, f.Ran, f.Cause = fault.AnswerInvalid, fault.RanUnknown, err
 	return f
 }
 
-func (x *exchange) run(r *http.Request) (*http.Response, error) {
-	if hasBody(r) && !(x.pool.short && atHand(r)) {
+func (x *exchange) roundTrip(r *http.Request) (*http.Response, error) {
+	if hasBody(r) && !(x.pool.inlineSmallBodies && inlineBody(r)) {
 		x.upload = startUpload(x.conn, r)
-		return x.readHeader(r)
+		return x.readResponse(r)
 	}
-	if err := x.writeHeader(r); err != nil {
+	if err := x.writeRequest(r); err != nil {
 		return nil, err
 	}
-	return x.readHeader(r)
+	return x.readResponse(r)
 }
 
-// writeHeader writes a request without a body, or with one that is at hand, in the
+// writeRequest writes a request without a body, or with one that is at hand, in the
 // caller's goroutine.
-func (x *exchange) writeHeader(r *http.Request) error {
+func (x *exchange) writeRequest(r *http.Request) error {
 	err := r.Write(x.conn.bw)
 	if err == nil {
 		err = x.conn.bw.Flush()
@@ -167,8 +167,8 @@
 	return err
 }
 
-// readHeader reads up to the end of the final answer's header.
-func (x *exchange) readHeader(r *http.Request) (*http.Response, error) {
+// readResponse reads up to the end of the final answer's header.
+func (x *exchange) readResponse(r *http.Request) (*http.Response, error) {
 	x.conn.headerLeft = x.pool.cfg.MaxHeaderBytes
 	defer func() { x.conn.headerLeft = -1 }()
 	overdue := 0
@@ -178,34 +178,34 @@
 			return nil, err
 		}
 		if !x.conn.wrote(x.sentBefore) {
-			return nil, errUnasked
+			return nil, errEarlyResponse
 		}
 		switch {
-		case resp.StatusCode >= http.StatusOK && x.pool.cfg.Dialect.foreign(r, resp):
-			if overdue++; overdue > maxOverdue || !passOver(resp) {
-				return nil, errOverdue
+		case resp.StatusCode >= http.StatusOK && x.pool.cfg.Dialect.forOtherRequest(r, resp):
+			if overdue++; overdue > maxStaleResponses || !skipResponse(resp) {
+				return nil, errStaleResponse
 			}
-			x.overdue = true
+			x.staleResponse = true
 			x.conn.headerLeft = x.pool.cfg.MaxHeaderBytes
 			continue
 		case resp.StatusCode >= http.StatusOK:
-			x.upload.answered()
+			x.upload.responseReceived()
 			return resp, nil
 		case resp.StatusCode == http.StatusSwitchingProtocols:
-			return nil, errSwitched
+			return nil, errSwitchedProtocols
 		case resp.StatusCode == http.StatusContinue:
-			x.upload.goOn()
+			x.upload.continueBody()
 		}
-		if err := x.inform(resp); err != nil {
+		if err := x.trace1xx(resp); err != nil {
 			return nil, err
 		}
 	}
 	return nil, errTooManyInformational
 }
 
-// passOver reads an answer that belongs to an earlier request to its end, after which the
+// skipResponse reads an answer that belongs to an earlier request to its end, after which the
 // one that is waited for comes; without a length it has no end that could be known.
-func passOver(resp *http.Response) bool {
+func skipResponse(resp *http.Response) bool {
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
 		return false
 	}
@@ -213,8 +213,8 @@
 	return err == nil
 }
 
-// inform hands an informational answer to who asked for it.
-func (x *exchange) inform(resp *http.Response) error {
+// trace1xx hands an informational answer to who asked for it.
+func (x *exchange) trace1xx(resp *http.Response) error {
 	trace := httptrace.ContextClientTrace(x.ctx)
 	if trace == nil || trace.Got1xxResponse == nil {
 		return nil
@@ -224,32 +224,32 @@
 
 // fail ends an exchange whose answer did not begin.
 func (x *exchange) fail(err error) *fault.Fault {
-	x.conn.seal()
-	x.upload.end()
-	f := x.faultOf(err)
-	x.cancelWatch()
-	x.discard(f.Kind)
+	x.conn.closeAndWait()
+	x.upload.stop()
+	f := x.requestFault(err)
+	x.stopWatch()
+	x.freeConn(f.Kind)
 	return f
 }
 
-// refuse ends an exchange that the target did not run. The connection is kept
+// finishRefused ends an exchange that the target did not run. The connection is kept
 // where the rest of the answer is here already.
-func (x *exchange) refuse(resp *http.Response) {
+func (x *exchange) finishRefused(resp *http.Response) {
 	p := x.pool
 	p.mu.Lock()
 	p.counts.Refused++
 	p.mu.Unlock()
-	x.keep = reusable(resp) && !x.overdue && resp.ContentLength >= 0 && int64(x.conn.br.Buffered()) >= resp.ContentLength
-	if x.keep {
+	x.keepConn = allowsReuse(resp) && !x.staleResponse && resp.ContentLength >= 0 && int64(x.conn.br.Buffered()) >= resp.ContentLength
+	if x.keepConn {
 		_, err := io.Copy(io.Discard, resp.Body)
-		x.keep = err == nil
+		x.keepConn = err == nil
 	}
 	x.finish(fault.TargetRefused)
 }
 
-// begin makes the exchange the answer's body, or ends it where there is none.
-func (x *exchange) begin(r *http.Request, resp *http.Response) {
-	x.keep = reusable(resp) && !r.Close && !x.overdue
+// startBody makes the exchange the answer's body, or ends it where there is none.
+func (x *exchange) startBody(r *http.Request, resp *http.Response) {
+	x.keepConn = allowsReuse(resp) && !r.Close && !x.staleResponse
 	if resp.Body == http.NoBody {
 		x.finish(fault.Internal)
 		return
@@ -259,8 +259,8 @@
 	resp.Body = x
 }
 
-// reusable reports whether the header allows another request on the connection.
-func reusable(resp *http.Response) bool {
+// allowsReuse reports whether the header allows another request on the connection.
+func allowsReuse(resp *http.Response) bool {
 	if resp.Close {
 		return false
 	}
@@ -271,10 +271,10 @@
 // Read implements io.Reader for the answer's body. An answer that breaks off ends
 // with a *fault.Fault that wraps io.ErrUnexpectedEOF, never with io.EOF.
 func (x *exchange) Read(b []byte) (int, error) {
-	x.reading.Lock()
-	defer x.reading.Unlock()
-	if x.err != nil {
-		return 0, x.err
+	x.readMu.Lock()
+	defer x.readMu.Unlock()
+	if x.readErr != nil {
+		return 0, x.readErr
 	}
 	if x.ended.Load() {
 		return 0, http.ErrBodyReadAfterClose
@@ -283,13 +283,13 @@
 	if err == nil {
 		return n, nil
 	}
-	x.err = x.endOf(err)
-	return n, x.err
+	x.readErr = x.finishRead(err)
+	return n, x.readErr
 }
 
-// endOf ends the exchange at an error or the end of the answer's body and returns
+// finishRead ends the exchange at an error or the end of the answer's body and returns
 // what the reader is told.
-func (x *exchange) endOf(err error) error {
+func (x *exchange) finishRead(err error) error {
 	if err == io.EOF && x.unframed && x.pool.cfg.RequireFraming {
 		err = errUnframed
 	}
@@ -297,8 +297,8 @@
 		x.finish(fault.Internal)
 		return io.EOF
 	}
-	f := x.cutShort(err)
-	x.keep = false
+	f := x.bodyFault(err)
+	x.keepConn = false
 	x.finish(f.Kind)
 	return f
 }
@@ -311,8 +311,8 @@
 	}
 	x.closing.Store(true)
 	x.conn.abort()
-	x.reading.Lock()
-	defer x.reading.Unlock()
+	x.readMu.Lock()
+	defer x.readMu.Unlock()
 	x.finish(fault.CallerGone)
 	return nil
 }
@@ -322,45 +322,45 @@
 	if !x.ended.CompareAndSwap(false, true) {
 		return
 	}
-	whole := x.cancelWatch() && x.keep && !x.closing.Load() && x.upload.sent()
+	whole := x.stopWatch() && x.keepConn && !x.closing.Load() && x.upload.waitSent()
 	if !whole || x.conn.br.Buffered() > 0 {
 		x.conn.abort()
-		x.upload.end()
-		x.discard(kind)
+		x.upload.stop()
+		x.freeConn(kind)
 		return
 	}
-	x.conn.detach()
+	x.conn.releaseBuffers()
 	x.pool.release(x.conn)
 }
 
 // watch ends the exchange with its context or its Cut.
 func (x *exchange) watch() {
-	x.stop = reqctx.AfterFunc(x.ctx, x.conn.abort)
+	x.stopContextWatch = reqctx.AfterFunc(x.ctx, x.conn.abort)
 	x.cut.bind(x.conn.abort)
 }
 
-// cancelWatch stops watching; false means that the context or the Cut has ended the
+// stopWatch stops watching; false means that the context or the Cut has ended the
 // exchange and the connection is being closed.
-func (x *exchange) cancelWatch() bool {
+func (x *exchange) stopWatch() bool {
 	unharmed := x.cut.unbind()
-	return x.stop() && unharmed
+	return x.stopContextWatch() && unharmed
 }
 
-// discard frees the place of a closed connection and counts why.
-func (x *exchange) discard(kind fault.Kind) {
+// freeConn frees the place of a closed connection and counts why.
+func (x *exchange) freeConn(kind fault.Kind) {
 	p := x.pool
 	count, cause := &p.counts.Broken, OpenedBroken
 	switch {
-	case x.conn.silent.Load():
+	case x.conn.timedOut.Load():
 		count = &p.counts.Silent
 	case kind == fault.CallerGone || kind == fault.DeadlineExceeded:
 		count, cause = &p.counts.Cancelled, OpenedCancelled
 	case kind == fault.TargetRefused || kind == fault.Internal:
 		count, cause = nil, OpenedEnded
 	}
-	p.lose(cause)
-	if x.upload.done() {
-		x.conn.detach()
+	p.recordClose(cause)
+	if x.upload.writerDone() {
+		x.conn.releaseBuffers()
 	}
-	p.vacate(count)
+	p.freeSlot(count)
 }
--- a/target/attempt_test.go
+++ b/target/attempt_test.go
@@ -21,8 +21,8 @@
 
 var background = context.Background()
 
-// get sends a GET and returns the answer with its whole body, or the error of either.
-func get(t *testing.T, p *Pool, ctx context.Context) (*http.Response, string, error) {
+// sendGet sends a GET and returns the answer with its whole body, or the error of either.
+func sendGet(t *testing.T, p *Pool, ctx context.Context) (*http.Response, string, error) {
 	t.Helper()
 	resp, f := p.Attempt(ctx, newRequest(t, "GET", nil))
 	if f != nil {
@@ -33,7 +33,7 @@
 	return resp, string(body), err
 }
 
-func TestWhichAnswersLeaveTheConnectionUsable(t *testing.T) {
+func TestResponsesThatLeaveTheConnectionReusable(t *testing.T) {
 	cases := []struct {
 		name, method, answer, body string
 		idle                       int
@@ -54,7 +54,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := play(t, always(c.answer))
+			s := startTarget(t, respondAlways(c.answer))
 			p := newPool(t, s.addr(), nil)
 			resp, f := p.Attempt(background, newRequest(t, c.method, nil))
 			if c.body == "refused" {
@@ -85,12 +85,12 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := play(t, func(conn net.Conn, br *bufio.Reader) {
+			s := startTarget(t, func(conn net.Conn, br *bufio.Reader) {
 				_, _ = http.ReadRequest(br)
 				io.WriteString(conn, c.answer)
 			})
 			p := newPool(t, s.addr(), func(cfg *PoolConfig) { cfg.RequireFraming = true })
-			_, body, err := get(t, p, background)
+			_, body, err := sendGet(t, p, background)
 			assert.Equal(t, body, "ok")
 			assert.Assert(t, errors.Is(err, io.ErrUnexpectedEOF))
 			assert.Assert(t, !errors.Is(err, io.EOF))
@@ -102,20 +102,20 @@
 	}
 }
 
-func TestUnframedAnswerPassesWhereAllowed(t *testing.T) {
-	s := play(t, func(conn net.Conn, br *bufio.Reader) {
+func TestUnframedResponseIsAcceptedByDefault(t *testing.T) {
+	s := startTarget(t, func(conn net.Conn, br *bufio.Reader) {
 		_, _ = http.ReadRequest(br)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\nok")
 	})
 	p := newPool(t, s.addr(), nil)
-	_, body, err := get(t, p, background)
+	_, body, err := sendGet(t, p, background)
 	assert.NilError(t, err)
 	assert.Equal(t, body, "ok")
 	assert.Equal(t, p.Stats().Open, 0)
 }
 
-func TestTrailersBothWays(t *testing.T) {
-	inBubble(t, nil, func(conn net.Conn, br *bufio.Reader) {
+func TestTrailersAreForwardedInBothDirections(t *testing.T) {
+	withFakeTime(t, nil, func(conn net.Conn, br *bufio.Reader) {
 		r, err := http.ReadRequest(br)
 		if err != nil {
 			return
@@ -126,7 +126,7 @@
 	}, func(t *testing.T, p *Pool) {
 		r := newRequest(t, "POST", io.NopCloser(strings.NewReader("body+")))
 		r.Trailer = http.Header{"Sum": nil}
-		r.Body = &trailing{Reader: strings.NewReader("body+"), r: r}
+		r.Body = &trailerBody{Reader: strings.NewReader("body+"), r: r}
 		resp := attempt(t, p, background, r)
 		assert.DeepEqual(t, resp.Trailer, http.Header{"Sum": nil})
 		_, err := io.ReadAll(resp.Body)
@@ -136,13 +136,13 @@
 	})
 }
 
-// trailing is a body that sets its request's trailer at its end, as net/http's server does.
-type trailing struct {
+// trailerBody is a body that sets its request's trailer at its end, as net/http's server does.
+type trailerBody struct {
 	io.Reader
 	r *http.Request
 }
 
-func (b *trailing) Read(p []byte) (int, error) {
+func (b *trailerBody) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
 	if err == io.EOF {
 		b.r.Trailer.Set("Sum", "trailer")
@@ -150,10 +150,10 @@
 	return n, err
 }
 
-func (b *trailing) Close() error { return nil }
+func (b *trailerBody) Close() error { return nil }
 
-func TestInformationalAnswersGoToTheTrace(t *testing.T) {
-	s := play(t, always("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
+func TestInformationalResponsesGoToTheTrace(t *testing.T) {
+	s := startTarget(t, respondAlways("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 	p := newPool(t, s.addr(), nil)
 	var hints []string
 	ctx := httptrace.WithClientTrace(background, &httptrace.ClientTrace{
@@ -161,13 +161,13 @@
 			hints = append(hints, h.Get("Link"))
 			return nil
 		}})
-	resp, _, err := get(t, p, ctx)
+	resp, _, err := sendGet(t, p, ctx)
 	assert.NilError(t, err)
 	assert.Equal(t, resp.StatusCode, 200)
 	assert.DeepEqual(t, hints, []string{"</a>"})
 }
 
-func TestAnswersThatAreNoAnswer(t *testing.T) {
+func TestInvalidResponsesAreTargetLost(t *testing.T) {
 	cases := []struct{ name, answer string }{
 		{"endless informational", strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInformational+1)},
 		{"switched", "HTTP/1.1 101 Switching Protocols\r\n\r\n"},
@@ -176,9 +176,9 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := play(t, always(c.answer))
+			s := startTarget(t, respondAlways(c.answer))
 			p := newPool(t, s.addr(), func(cfg *PoolConfig) { cfg.MaxHeaderBytes = 4096 })
-			_, _, err := get(t, p, background)
+			_, _, err := sendGet(t, p, background)
 			f := err.(*fault.Fault)
 			faulttest.Is(t, f, fault.TargetLost, fault.RanUnknown)
 			assert.Equal(t, p.Stats().Open, 0)
@@ -187,7 +187,7 @@
 }
 
 func TestRequestThatCannotBeWrittenIsNotRun(t *testing.T) {
-	s := play(t, always(""))
+	s := startTarget(t, respondAlways(""))
 	p := newPool(t, s.addr(), nil)
 	for _, body := range []io.Reader{nil, strings.NewReader("x")} {
 		r := newRequest(t, "PUT", body)
@@ -207,17 +207,17 @@
 // Sequence: a caller cancels, the connection goes back to the pool, the late answer
 // arrives and is taken for that of the next request.
 // Cause: a connection kept after a cancelled exchange.
-func TestCancelledExchangeTakesItsConnectionAlong(t *testing.T) {
+func TestCancelledExchangeClosesItsConnection(t *testing.T) {
 	for _, inBody := range []bool{false, true} {
 		arrived := make(chan struct{}, 1)
 		closed := make(chan struct{})
-		s := play(t, func(conn net.Conn, br *bufio.Reader) {
+		s := startTarget(t, func(conn net.Conn, br *bufio.Reader) {
 			_, _ = http.ReadRequest(br)
 			if inBody {
 				io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok")
 			}
 			arrived <- struct{}{}
-			untilClosed(br, closed)
+			readUntilClosed(br, closed)
 		})
 		p := newPool(t, s.addr(), nil)
 		ctx, cancel := context.WithCancel(background)
@@ -225,7 +225,7 @@
 			<-arrived
 			cancel()
 		}()
-		_, _, err := get(t, p, ctx)
+		_, _, err := sendGet(t, p, ctx)
 		f := err.(*fault.Fault)
 		assert.Equal(t, f.Kind, fault.CallerGone)
 		<-closed
@@ -234,25 +234,25 @@
 	}
 }
 
-func TestDeadlineIsToldFromCancellation(t *testing.T) {
-	inBubble(t, nil, func(_ net.Conn, br *bufio.Reader) { io.Copy(io.Discard, br) }, func(t *testing.T, p *Pool) {
+func TestDeadlineIsDistinguishedFromCancellation(t *testing.T) {
+	withFakeTime(t, nil, func(_ net.Conn, br *bufio.Reader) { io.Copy(io.Discard, br) }, func(t *testing.T, p *Pool) {
 		ctx, cancel := context.WithTimeout(background, 20*time.Millisecond)
 		defer cancel()
-		_, _, err := get(t, p, ctx)
+		_, _, err := sendGet(t, p, ctx)
 		assert.Equal(t, err.(*fault.Fault).Kind, fault.DeadlineExceeded)
 		assert.Equal(t, err.(*fault.Fault).Ran, fault.RanUnknown)
-		_, _, err = get(t, p, ctx)
+		_, _, err = sendGet(t, p, ctx)
 		assert.Equal(t, err.(*fault.Fault).Kind, fault.DeadlineExceeded)
 		assert.Equal(t, err.(*fault.Fault).Ran, fault.NotRun)
 		byCause, cancelCause := context.WithCancelCause(background)
 		cancelCause(context.DeadlineExceeded)
-		_, _, err = get(t, p, byCause)
+		_, _, err = sendGet(t, p, byCause)
 		assert.Equal(t, err.(*fault.Fault).Kind, fault.DeadlineExceeded)
 	})
 }
 
-func TestUnreadAnswerClosesItsConnection(t *testing.T) {
-	s := play(t, always("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
+func TestClosingAnUnreadResponseClosesItsConnection(t *testing.T) {
+	s := startTarget(t, respondAlways("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 	p := newPool(t, s.addr(), nil)
 	resp := attempt(t, p, background, newRequest(t, "GET", nil))
 	resp.Body.Close()
@@ -263,7 +263,7 @@
 }
 
 func TestCloseEndsAReadInProgress(t *testing.T) {
-	s := play(t, func(conn net.Conn, br *bufio.Reader) {
+	s := startTarget(t, func(conn net.Conn, br *bufio.Reader) {
 		_, _ = http.ReadRequest(br)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n")
 		io.Copy(io.Discard, br)
--- a/target/bench_unix_test.go
+++ b/target/bench_unix_test.go
@@ -18,8 +18,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// sender sends one request and reads its answer to the end.
-type sender func(r *http.Request) error
+// sendFunc sends one request and reads its answer to the end.
+type sendFunc func(r *http.Request) error
 
 func benchServer(b *testing.B) string {
 	answer := []byte(strings.Repeat("x", 512))
@@ -31,11 +31,11 @@
 	return server.Listener.Addr().String()
 }
 
-func poolSender(b *testing.B, address string) sender {
+func poolSender(b *testing.B, address string) sendFunc {
 	return newPoolSender(b, PoolConfig{Address: address, MaxConns: 130, Wait: -1})
 }
 
-func newPoolSender(b *testing.B, cfg PoolConfig) sender {
+func newPoolSender(b *testing.B, cfg PoolConfig) sendFunc {
 	p, err := New(cfg)
 	assert.NilError(b, err)
 	b.Cleanup(p.Close)
@@ -52,11 +52,11 @@
 	}
 }
 
-func transportSender(b *testing.B, _ string) sender {
+func transportSender(b *testing.B, _ string) sendFunc {
 	return newTransportSender(b, 128)
 }
 
-func newTransportSender(b *testing.B, conns int) sender {
+func newTransportSender(b *testing.B, conns int) sendFunc {
 	t := &http.Transport{MaxConnsPerHost: conns, MaxIdleConnsPerHost: conns, DisableCompression: true}
 	b.Cleanup(t.CloseIdleConnections)
 	return func(r *http.Request) error {
@@ -77,7 +77,7 @@
 func BenchmarkExchange(b *testing.B) {
 	kinds := []struct {
 		name string
-		make func(*testing.B, string) sender
+		make func(*testing.B, string) sendFunc
 	}{{"pool", poolSender}, {"transport", transportSender}}
 	bodies := []struct {
 		name string
@@ -135,7 +135,7 @@
 	const conns = 500
 	kinds := []struct {
 		name string
-		make func(*testing.B, string) sender
+		make func(*testing.B, string) sendFunc
 	}{{"raw", rawSender}, {"pool", wideSender}, {"transport", wideTransport}}
 	for _, kind := range kinds {
 		b.Run(kind.name, func(b *testing.B) {
@@ -147,7 +147,7 @@
 }
 
 // idleBytes returns what open connections at rest take beyond what was there before.
-func idleBytes(b *testing.B, make func(*testing.B, string) sender, conns int) float64 {
+func idleBytes(b *testing.B, make func(*testing.B, string) sendFunc, conns int) float64 {
 	var arrived, done sync.WaitGroup
 	arrived.Add(conns)
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -180,7 +180,7 @@
 	return m.HeapAlloc + m.StackInuse
 }
 
-func rawSender(b *testing.B, address string) sender {
+func rawSender(b *testing.B, address string) sendFunc {
 	return func(r *http.Request) error {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
@@ -195,10 +195,10 @@
 	}
 }
 
-func wideSender(b *testing.B, address string) sender {
+func wideSender(b *testing.B, address string) sendFunc {
 	return newPoolSender(b, PoolConfig{Address: address, MaxConns: 1000, Wait: -1})
 }
 
-func wideTransport(b *testing.B, _ string) sender {
+func wideTransport(b *testing.B, _ string) sendFunc {
 	return newTransportSender(b, 1000)
 }
--- a/target/cut_test.go
+++ b/target/broken_conn_test.go
@@ -19,14 +19,14 @@
 	"tarragongw/internal/faulttest"
 )
 
-// counter is a target that counts how often each request id ran. It runs a
+// countingTarget is a target that counts how often each request id ran. It runs a
 // request once it has the whole body.
-type counter struct {
+type countingTarget struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-func (c *counter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *countingTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -37,14 +37,14 @@
 	fmt.Fprintf(w, "got %d bytes", len(body))
 }
 
-func (c *counter) of(id string) int {
+func (c *countingTarget) runsOf(id string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.runs[id]
 }
 
-// cutter is a connection that breaks after a number of bytes; negative means never.
-type cutter struct {
+// breakingConn is a connection that breaks after a number of bytes; negative means never.
+type breakingConn struct {
 	net.Conn
 	mu        sync.Mutex
 	writeLeft int
@@ -53,14 +53,14 @@
 	read      int
 }
 
-func (c *cutter) arm(writeLeft, readLeft int) {
+func (c *breakingConn) breakAfter(writeLeft, readLeft int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.writeLeft, c.readLeft = writeLeft, readLeft
 	c.written, c.read = 0, 0
 }
 
-func (c *cutter) Write(b []byte) (int, error) {
+func (c *breakingConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	allowed := len(b)
@@ -84,7 +84,7 @@
 	return n, err
 }
 
-func (c *cutter) Read(b []byte) (int, error) {
+func (c *breakingConn) Read(b []byte) (int, error) {
 	c.mu.Lock()
 	left := c.readLeft
 	c.mu.Unlock()
@@ -107,46 +107,46 @@
 	return n, err
 }
 
-// cutBench is a target with a pool whose connections can be cut.
-type cutBench struct {
-	*counter
-	pool   *Pool
-	server *http.Server
-	served chan struct{}
-	last   *cutter
-	refuse error
+// breakHarness is a target with a pool whose connections can be cut.
+type breakHarness struct {
+	*countingTarget
+	pool      *Pool
+	server    *http.Server
+	served    chan struct{}
+	last      *breakingConn
+	dialError error
 	// body is that of each request; "" means none.
 	body string
 }
 
-func newCutBench(t *testing.T) *cutBench {
+func newBreakHarness(t *testing.T) *breakHarness {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	b := &cutBench{counter: &counter{runs: map[string]int{}}, served: make(chan struct{}), body: "a payout of 300"}
-	b.server = &http.Server{Handler: b.counter}
+	b := &breakHarness{countingTarget: &countingTarget{runs: map[string]int{}}, served: make(chan struct{}), body: "a payout of 300"}
+	b.server = &http.Server{Handler: b.countingTarget}
 	go func() {
 		defer close(b.served)
 		_ = b.server.Serve(listener)
 	}()
-	t.Cleanup(b.settle)
+	t.Cleanup(b.shutDown)
 	b.pool = newPool(t, listener.Addr().String(), func(c *PoolConfig) {
 		c.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
-			if b.refuse != nil {
-				return nil, b.refuse
+			if b.dialError != nil {
+				return nil, b.dialError
 			}
 			raw, err := new(net.Dialer).DialContext(ctx, network, address)
 			if err != nil {
 				return nil, err
 			}
-			b.last = &cutter{Conn: raw, writeLeft: -1, readLeft: -1}
+			b.last = &breakingConn{Conn: raw, writeLeft: -1, readLeft: -1}
 			return b.last, nil
 		}
 	})
 	return b
 }
 
-// settle waits until the target has ended all it was sent, so that no count can grow.
-func (b *cutBench) settle() {
+// shutDown waits until the target has ended all it was sent, so that no count can grow.
+func (b *breakHarness) shutDown() {
 	b.pool.CloseIdle()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -166,7 +166,7 @@
 }
 
 // send sends one at-most-once write and reads the answer to its end.
-func (b *cutBench) send(t *testing.T, id string) outcome {
+func (b *breakHarness) send(t *testing.T, id string) outcome {
 	r := newRequest(t, "POST", strings.NewReader(b.body))
 	r.Header.Set(HeaderRequestID, id)
 	// With this field, or with GET, net/http's Transport would feel free to replay.
@@ -187,24 +187,24 @@
 	return outcome{id: id, kind: f.Kind, ran: f.Ran}
 }
 
-// reused brings a connection to rest in the pool, so that the next request reuses it.
+// warmConnection brings a connection to rest in the pool, so that the next request reuses it.
 // One whose answer came before its writer had ended is closed and not rested; then
 // the next request would go over a new connection, which nobody cuts.
-func (b *cutBench) reused(t *testing.T, id string) {
+func (b *breakHarness) warmConnection(t *testing.T, id string) {
 	for try := 0; try == 0 || b.pool.Stats().Idle == 0; try++ {
-		assert.Assert(t, try < maxWarming, "no connection came to rest")
+		assert.Assert(t, try < maxWarmUpRequests, "no connection came to rest")
 		o := b.send(t, fmt.Sprintf("%s.%02d", id, try))
 		assert.Assert(t, o.answered, "%+v", o)
 	}
 }
 
-// maxWarming bounds the requests that it takes to bring a connection to rest.
-const maxWarming = 50
+// maxWarmUpRequests bounds the requests that it takes to bring a connection to rest.
+const maxWarmUpRequests = 50
 
-// check holds the outcome against the count: this is what must always hold.
-func (b *cutBench) check(t *testing.T, o outcome) {
+// checkRuns holds the outcome against the count: this is what must always hold.
+func (b *breakHarness) checkRuns(t *testing.T, o outcome) {
 	t.Helper()
-	runs := b.of(o.id)
+	runs := b.runsOf(o.id)
 	switch {
 	case runs > 1:
 		t.Errorf("%s ran %d times", o.id, runs)
@@ -220,30 +220,30 @@
 // or of the answer.
 // Cause: a client that sends the request again by itself, or that takes a broken
 // connection for a proof that the target did nothing.
-func TestCutAfterEveryByteOfAReusedConnection(t *testing.T) {
+func TestReusedConnectionThatBreaksAfterAnyByte(t *testing.T) {
 	for _, body := range []string{"a payout of 300", ""} {
 		t.Run(fmt.Sprintf("body of %d", len(body)), func(t *testing.T) {
-			b := newCutBench(t)
+			b := newBreakHarness(t)
 			b.body = body
-			cutEverywhere(t, b)
+			breakAfterEveryByte(t, b)
 		})
 	}
 }
 
-func cutEverywhere(t *testing.T, b *cutBench) {
+func breakAfterEveryByte(t *testing.T, b *breakHarness) {
 	// All ids have one length, so that all requests have.
-	b.reused(t, "warm-a-0000")
-	b.last.arm(-1, -1)
-	b.reused(t, "warm-a-0001")
+	b.warmConnection(t, "warm-a-0000")
+	b.last.breakAfter(-1, -1)
+	b.warmConnection(t, "warm-a-0001")
 	requestBytes, answerBytes := b.last.written, b.last.read
 	assert.Assert(t, requestBytes > 140 && answerBytes > 100)
 
 	var outcomes []outcome
 	for n := range requestBytes + 1 {
-		b.reused(t, fmt.Sprintf("warm-w-%04d", n))
-		b.last.arm(n, -1)
+		b.warmConnection(t, fmt.Sprintf("warm-w-%04d", n))
+		b.last.breakAfter(n, -1)
 		o := b.send(t, fmt.Sprintf("cut--w-%04d.00", n))
-		b.last.arm(-1, -1)
+		b.last.breakAfter(-1, -1)
 		outcomes = append(outcomes, o)
 		switch {
 		case n == 0:
@@ -258,10 +258,10 @@
 	}
 	headerEnd := 0
 	for n := range answerBytes + 1 {
-		b.reused(t, fmt.Sprintf("warm-r-%04d", n))
-		b.last.arm(-1, n)
+		b.warmConnection(t, fmt.Sprintf("warm-r-%04d", n))
+		b.last.breakAfter(-1, n)
 		o := b.send(t, fmt.Sprintf("cut--r-%04d.00", n))
-		b.last.arm(-1, -1)
+		b.last.breakAfter(-1, -1)
 		outcomes = append(outcomes, o)
 		switch {
 		case n == answerBytes:
@@ -275,36 +275,36 @@
 		}
 	}
 	assert.Equal(t, answerBytes-headerEnd, len(fmt.Sprintf("got %d bytes", len(b.body))))
-	b.settle()
+	b.shutDown()
 	for _, o := range outcomes {
-		b.check(t, o)
+		b.checkRuns(t, o)
 	}
 	for n := range answerBytes + 1 {
-		assert.Equal(t, b.of(fmt.Sprintf("cut--r-%04d.00", n)), 1, "answer cut after %d bytes", n)
+		assert.Equal(t, b.runsOf(fmt.Sprintf("cut--r-%04d.00", n)), 1, "answer cut after %d bytes", n)
 	}
 }
 
 func TestFaultBeforeTheFirstByteIsNotRun(t *testing.T) {
-	b := newCutBench(t)
-	b.refuse = syscall.ECONNREFUSED
+	b := newBreakHarness(t)
+	b.dialError = syscall.ECONNREFUSED
 	o := b.send(t, "before dial")
 	assert.Equal(t, o.kind, fault.TargetUnreachable)
 	assert.Equal(t, o.ran, fault.NotRun)
 
-	b.refuse = nil
-	b.reused(t, "warm")
-	b.last.arm(0, -1)
+	b.dialError = nil
+	b.warmConnection(t, "warm")
+	b.last.breakAfter(0, -1)
 	o2 := b.send(t, "dialled, nothing written")
 	assert.Equal(t, o2.ran, fault.NotRun)
-	b.settle()
-	b.check(t, o)
-	b.check(t, o2)
+	b.shutDown()
+	b.checkRuns(t, o)
+	b.checkRuns(t, o2)
 	assert.Equal(t, b.pool.Stats().DialErrors, uint64(1))
 }
 
-// lossy is a target that reads each request, counts it, and from the second of a
+// startLossyTarget is a target that reads each request, counts it, and from the second of a
 // connection on closes without an answer.
-func lossy(t *testing.T) (address string, seen func() int) {
+func startLossyTarget(t *testing.T) (address string, seen func() int) {
 	var mu sync.Mutex
 	count := 0
 	answered := map[string]bool{}
@@ -351,7 +351,7 @@
 		return r
 	}
 	t.Run("net/http", func(t *testing.T) {
-		address, seen := lossy(t)
+		address, seen := startLossyTarget(t)
 		transport := &http.Transport{}
 		defer transport.CloseIdleConnections()
 		for range 2 {
@@ -363,7 +363,7 @@
 		assert.Equal(t, seen(), 3) // two requests
 	})
 	t.Run("pool", func(t *testing.T) {
-		address, seen := lossy(t)
+		address, seen := startLossyTarget(t)
 		p := newPool(t, address, nil)
 		resp := attempt(t, p, context.Background(), request(address))
 		io.Copy(io.Discard, resp.Body)
--- a/target/conn.go
+++ b/target/conn.go
@@ -17,66 +17,66 @@
 )
 
 var (
-	errSealed         = errors.New("target: connection sealed")
-	errLapsed         = errors.New("target: the right to send has lapsed")
+	errWritesClosed   = errors.New("target: connection sealed")
+	errLeaseExpired   = errors.New("target: the right to send has lapsed")
 	errHeaderTooLarge = errors.New("target: header of the answer is too large")
 )
 
-// rearmShare is the part of the progress timeout by which a deadline is set
+// deadlineSlack is the part of the progress timeout by which a deadline is set
 // further than needed, so that most reads and writes needn't set a new one.
-const rearmShare = 4
+const deadlineSlack = 4
 
 // conn is one connection. Its Read and Write work on the raw connection, below
 // TLS, and roll the progress deadlines; work goes through stream.
 type conn struct {
-	raw    net.Conn
-	stream net.Conn
-	sock   syscall.RawConn
-	peek   func(fd uintptr)
-	peeked bool
-
-	trust  trust
-	born   time.Time
-	rested time.Time
-
-	progress   time.Duration
-	readUntil  time.Time
-	writeUntil time.Time
+	raw           net.Conn
+	stream        net.Conn
+	sock          syscall.RawConn
+	inspectSocket func(fd uintptr)
+	socketClean   bool
+
+	cert      peerCert
+	opened    time.Time
+	idleSince time.Time
+
+	progressTimeout time.Duration
+	readUntil       time.Time
+	writeUntil      time.Time
 	// received and sent count raw bytes; a change excuses the other direction's silence.
 	received atomic.Int64
 	sent     atomic.Int64
-	// paused says that the request's body waits for the caller, not for the target.
-	paused atomic.Bool
-	// silent is set when the progress timeout ended a read or write.
-	silent atomic.Bool
+	// timeoutPaused says that the request's body waits for the caller, not for the target.
+	timeoutPaused atomic.Bool
+	// timedOut is set when the progress timeout ended a read or write.
+	timedOut atomic.Bool
 	// writeFailed is set when a write on the raw connection failed.
 	writeFailed atomic.Bool
 
 	// headerLeft bounds what may be read while the header is awaited; negative means no bound.
-	headerLeft int64
-	probing    bool
+	headerLeft  int64
+	skipRawRead bool
 
-	writeMu sync.Mutex
-	sealed  bool
-	// terms are those of the exchange, begun says that bytes of it have been written, and
+	writeMu      sync.Mutex
+	writesClosed bool
+	// opts are those of the exchange, begun says that bytes of it have been written, and
 	// refused is why no more may be. All are guarded by writeMu.
-	terms   Terms
-	begun   bool
-	refused *fault.Fault
-	abort   func()
+	opts       Terms
+	started    bool
+	writeFault *fault.Fault
+	abort      func()
 
 	br *bufio.Reader
 	bw *bufio.Writer
 }
 
 func newConn(raw net.Conn, progress time.Duration, now time.Time) *conn {
-	c := &conn{raw: raw, progress: progress, born: now, headerLeft: -1}
+	c := &conn{raw: raw, progressTimeout: progress, opened: now, headerLeft: -1}
 	c.stream = c
 	c.abort = func() { raw.Close() }
 	if sc, ok := raw.(syscall.Conn); ok {
 		if sock, err := sc.SyscallConn(); err == nil {
 			c.sock = sock
-			c.peek = func(fd uintptr) { c.peeked = quiet(fd) }
+			c.inspectSocket = func(fd uintptr) { c.socketClean = openAndEmpty(fd) }
 		}
 	}
 	return c
@@ -84,7 +84,7 @@
 
 // Read implements net.Conn on the raw connection.
 func (c *conn) Read(b []byte) (int, error) {
-	if c.probing {
+	if c.skipRawRead {
 		return 0, os.ErrDeadlineExceeded
 	}
 	if c.headerLeft == 0 {
@@ -95,7 +95,7 @@
 	}
 	for {
 		sent := c.sent.Load()
-		c.rearm(&c.readUntil, c.raw.SetReadDeadline)
+		c.extendDeadline(&c.readUntil, c.raw.SetReadDeadline)
 		n, err := c.raw.Read(b)
 		if n > 0 {
 			c.received.Add(int64(n))
@@ -106,10 +106,10 @@
 		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return n, err
 		}
-		if c.paused.Load() || c.sent.Load() != sent {
+		if c.timeoutPaused.Load() || c.sent.Load() != sent {
 			continue
 		}
-		c.silent.Store(true)
+		c.timedOut.Store(true)
 		return 0, err
 	}
 }
@@ -119,26 +119,26 @@
 func (c *conn) Write(b []byte) (int, error) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
-	if c.sealed {
-		return 0, errSealed
+	if c.writesClosed {
+		return 0, errWritesClosed
 	}
 	total := 0
 	for {
 		received := c.received.Load()
-		c.rearm(&c.writeUntil, c.raw.SetWriteDeadline)
-		if !c.mayWrite() { // last, so that as little as can be lies between the look and the bytes
-			return total, errLapsed
+		c.extendDeadline(&c.writeUntil, c.raw.SetWriteDeadline)
+		if !c.checkWrite() { // last, so that as little as can be lies between the look and the bytes
+			return total, errLeaseExpired
 		}
 		n, err := c.writeRaw(b[total:])
 		total += n
 		c.sent.Add(int64(n))
-		c.begun = c.begun || n > 0
+		c.started = c.started || n > 0
 		if err == nil {
 			return total, nil
 		}
 		if leasewrite.GaveUp(err) {
-			c.refuse(fault.Wrap(fault.StaleRoute, err, "the right to send has lapsed"))
-			return total, errLapsed
+			c.stopWrites(fault.Wrap(fault.StaleRoute, err, "the right to send has lapsed"))
+			return total, errLeaseExpired
 		}
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			c.writeFailed.Store(true)
@@ -147,7 +147,7 @@
 		if n > 0 || c.received.Load() != received {
 			continue
 		}
-		c.silent.Store(true)
+		c.timedOut.Store(true)
 		c.writeFailed.Store(true)
 		return total, err
 	}
@@ -155,70 +155,70 @@
 
 // writeRaw writes without a look at the terms other than until when the right to send lasts.
 func (c *conn) writeRaw(b []byte) (int, error) {
-	if c.terms.Until == nil || c.sock == nil {
+	if c.opts.Until == nil || c.sock == nil {
 		return c.raw.Write(b)
 	}
-	return leasewrite.Write(c.sock, b, c.terms.Until(c.begun))
+	return leasewrite.Write(c.sock, b, c.opts.Until(c.started))
 }
 
-// begin sets the terms of an exchange.
-func (c *conn) begin(terms Terms) {
+// setOptions sets the terms of an exchange.
+func (c *conn) setOptions(terms Terms) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
-	c.terms, c.begun = terms, false
+	c.opts, c.started = terms, false
 }
 
-// mayWrite asks whether the terms still hold. The lock is held.
-func (c *conn) mayWrite() bool {
-	if c.terms.Still == nil {
+// checkWrite asks whether the terms still hold. The lock is held.
+func (c *conn) checkWrite() bool {
+	if c.opts.Still == nil {
 		return true
 	}
-	if f := c.terms.Still(c.begun); f != nil {
-		c.refuse(f)
+	if f := c.opts.Still(c.started); f != nil {
+		c.stopWrites(f)
 		return false
 	}
 	return true
 }
 
-// refuse ends the connection before another byte is written. The lock is held.
-func (c *conn) refuse(f *fault.Fault) {
-	c.refused = f
-	c.sealed = true
+// stopWrites ends the connection before another byte is written. The lock is held.
+func (c *conn) stopWrites(f *fault.Fault) {
+	c.writeFault = f
+	c.writesClosed = true
 	c.raw.Close()
 }
 
-// refusal returns what refused a write of the exchange; nil where none was refused.
-func (c *conn) refusal() *fault.Fault {
+// refusedWrite returns what refused a write of the exchange; nil where none was refused.
+func (c *conn) refusedWrite() *fault.Fault {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
-	if c.refused != nil && c.begun {
-		return fault.Wrap(fault.TargetLost, c.refused, "the right to send lapsed before the whole request was written")
+	if c.writeFault != nil && c.started {
+		return fault.Wrap(fault.TargetLost, c.writeFault, "the right to send lapsed before the whole request was written")
 	}
-	return c.refused
+	return c.writeFault
 }
 
-func (c *conn) rearm(until *time.Time, set func(time.Time) error) {
-	if c.progress <= 0 {
+func (c *conn) extendDeadline(until *time.Time, set func(time.Time) error) {
+	if c.progressTimeout <= 0 {
 		return
 	}
 	now := time.Now()
-	if until.Sub(now) >= c.progress {
+	if until.Sub(now) >= c.progressTimeout {
 		return
 	}
-	*until = now.Add(c.progress + c.progress/rearmShare)
+	*until = now.Add(c.progressTimeout + c.progressTimeout/deadlineSlack)
 	// An error means the connection is closed, which the read or write reports.
 	_ = set(*until)
 }
 
-// seal closes the connection, waits for a write under way and lets no other
+// closeAndWait closes the connection, waits for a write under way and lets no other
 // follow. The count of sent bytes is final afterwards.
 //
 // Without it the count could be read as zero while the writer's goroutine hands the
 // header to the kernel, and a request that ran would be reported as not run.
-func (c *conn) seal() {
+func (c *conn) closeAndWait() {
 	c.raw.Close()
 	c.writeMu.Lock()
-	c.sealed = true
+	c.writesClosed = true
 	c.writeMu.Unlock()
 }
 
@@ -262,25 +262,25 @@
 
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// alive reports whether a connection that rested may be used again: neither
+// reusable reports whether a connection that rested may be used again: neither
 // closed by the target nor holding bytes that nobody asked for.
-func (c *conn) alive() bool {
+func (c *conn) reusable() bool {
 	if c.sock != nil {
-		c.peeked = false
-		if err := c.sock.Control(c.peek); err != nil || !c.peeked {
+		c.socketClean = false
+		if err := c.sock.Control(c.inspectSocket); err != nil || !c.socketClean {
 			return false
 		}
 	}
-	return c.stream == net.Conn(c) || c.nothingDecrypted()
+	return c.stream == net.Conn(c) || c.noBufferedTLSData()
 }
 
-// nothingDecrypted reports whether TLS holds no record that it read ahead. The
+// noBufferedTLSData reports whether TLS holds no record that it read ahead. The
 // raw read answers "would block" meanwhile, an error that TLS doesn't remember.
-func (c *conn) nothingDecrypted() bool {
-	c.probing = true
+func (c *conn) noBufferedTLSData() bool {
+	c.skipRawRead = true
 	var b [1]byte
 	n, err := c.stream.Read(b[:])
-	c.probing = false
+	c.skipRawRead = false
 	return n == 0 && errors.Is(err, os.ErrDeadlineExceeded)
 }
 
@@ -296,18 +296,18 @@
 	writers = sync.Pool{New: func() any { return bufio.NewWriter(nil) }}
 )
 
-// attach lends buffers to the connection for one exchange; a connection at rest
+// attachBuffers lends buffers to the connection for one exchange; a connection at rest
 // holds none, which keeps thousands of them small.
-func (c *conn) attach() {
+func (c *conn) attachBuffers() {
 	c.br = readers.Get().(*bufio.Reader)
 	c.br.Reset(c.stream)
 	c.bw = writers.Get().(*bufio.Writer)
 	c.bw.Reset(c.stream)
 }
 
-// detach gives the buffers back. It must not be called while the writer's
+// releaseBuffers gives the buffers back. It must not be called while the writer's
 // goroutine may still use them.
-func (c *conn) detach() {
+func (c *conn) releaseBuffers() {
 	c.br.Reset(eofReader{})
 	readers.Put(c.br)
 	c.bw.Reset(io.Discard)
--- a/target/conn_test.go
+++ b/target/conn_test.go
@@ -22,22 +22,22 @@
 	"tarragongw/internal/faulttest"
 )
 
-// stuck is a raw connection whose Write ends when it is closed, and has sent all
+// blockedConn is a raw connection whose Write ends when it is closed, and has sent all
 // by then.
-type stuck struct {
+type blockedConn struct {
 	net.Conn
 	writing, closed chan struct{}
 	writes          int
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
+func (s *blockedConn) Write(b []byte) (int, error) {
 	s.writes++
 	s.writing <- struct{}{}
 	<-s.closed
 	return len(b), nil
 }
 
-func (s *stuck) Close() error {
+func (s *blockedConn) Close() error {
 	close(s.closed)
 	return nil
 }
@@ -46,22 +46,22 @@
 // Sequence: the caller cancels while the writer's goroutine hands the header to the
 // kernel; the count of sent bytes is read before the write has returned.
 // Cause: a count that isn't final when it is judged.
-func TestSealWaitsForAWriteAndAllowsNoOther(t *testing.T) {
-	raw := &stuck{writing: make(chan struct{}, 2), closed: make(chan struct{})}
+func TestCloseWaitsForAWriteAndAllowsNoOther(t *testing.T) {
+	raw := &blockedConn{writing: make(chan struct{}, 2), closed: make(chan struct{})}
 	c := newConn(raw, 0, time.Now())
 	go c.Write([]byte("GET"))
 	<-raw.writing
-	c.seal()
+	c.closeAndWait()
 	assert.Equal(t, c.sent.Load(), int64(3))
 	_, err := c.Write([]byte("more"))
-	assert.Assert(t, errors.Is(err, errSealed))
+	assert.Assert(t, errors.Is(err, errWritesClosed))
 	assert.Equal(t, raw.writes, 1)
 }
 
 // Symptom: a long upload, or a long answer beside one, is cut as silent.
 // Sequence: bytes go one way only, for longer than the progress timeout.
 // Cause: each direction measured by itself.
-func TestProgressOfOneDirectionExcusesTheOther(t *testing.T) {
+func TestProgressInOneDirectionExtendsTheOthersTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
 		defer near.Close()
@@ -80,11 +80,11 @@
 			_, err := io.ReadFull(far, b)
 			assert.NilError(t, err)
 		}
-		assert.Assert(t, !c.silent.Load())
+		assert.Assert(t, !c.timedOut.Load())
 		assert.Assert(t, <-ended != nil)
-		assert.Assert(t, c.silent.Load())
+		assert.Assert(t, c.timedOut.Load())
 
-		c.silent.Store(false)
+		c.timedOut.Store(false)
 		go func() {
 			_, err := c.Write([]byte("x"))
 			ended <- err
@@ -95,31 +95,31 @@
 			_, err := c.Read(b)
 			assert.NilError(t, err)
 		}
-		assert.Assert(t, !c.silent.Load())
+		assert.Assert(t, !c.timedOut.Load())
 		assert.Assert(t, <-ended != nil)
-		assert.Assert(t, c.silent.Load())
+		assert.Assert(t, c.timedOut.Load())
 	})
 }
 
-// unwritable answers by itself and takes no byte.
-type unwritable struct {
+// unwritableConn answers by itself and takes no byte.
+type unwritableConn struct {
 	net.Conn
 	answer io.Reader
 }
 
-func (u *unwritable) Write([]byte) (int, error)  { return 0, syscall.EPIPE }
-func (u *unwritable) Read(b []byte) (int, error) { return u.answer.Read(b) }
+func (u *unwritableConn) Write([]byte) (int, error)  { return 0, syscall.EPIPE }
+func (u *unwritableConn) Read(b []byte) (int, error) { return u.answer.Read(b) }
 
 // Symptom: a caller gets the answer to another's request.
 // Sequence: a target sends an answer unasked on a connection at rest; it arrives
 // after the look at the connection and before the next request is written.
 // Cause: an answer taken for that of a request of which nothing was sent.
-func TestAnswerBeforeTheRequestIsNotItsAnswer(t *testing.T) {
-	s := play(t, always(okAnswer))
+func TestResponseBeforeTheRequestIsRejected(t *testing.T) {
+	s := startTarget(t, respondAlways(okResponse))
 	p := newPool(t, s.addr(), func(cfg *PoolConfig) {
 		cfg.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			raw, err := new(net.Dialer).DialContext(ctx, network, address)
-			return &unwritable{Conn: raw, answer: strings.NewReader(okAnswer)}, err
+			return &unwritableConn{Conn: raw, answer: strings.NewReader(okResponse)}, err
 		}
 	})
 	_, f := p.Attempt(background, newRequest(t, "PUT", strings.NewReader("body")))
@@ -127,7 +127,7 @@
 }
 
 func TestConnectionClosedByCancellationIsNotKept(t *testing.T) {
-	s := play(t, always(okAnswer))
+	s := startTarget(t, respondAlways(okResponse))
 	p := newPool(t, s.addr(), nil)
 	ctx, cancel := context.WithCancel(background)
 	resp := attempt(t, p, ctx, newRequest(t, "GET", nil))
@@ -141,16 +141,16 @@
 	assert.Equal(t, p.Stats().Open, 0)
 }
 
-// gather is a raw connection that holds writes back until it is told.
-type gather struct {
+// bufferingConn is a raw connection that holds writes back until it is told.
+type bufferingConn struct {
 	net.Conn
-	held bytes.Buffer
-	hold bool
+	buffered  bytes.Buffer
+	buffering bool
 }
 
-func (g *gather) Write(b []byte) (int, error) {
-	if g.hold {
-		return g.held.Write(b)
+func (g *bufferingConn) Write(b []byte) (int, error) {
+	if g.buffering {
+		return g.buffered.Write(b)
 	}
 	return g.Conn.Write(b)
 }
@@ -162,24 +162,24 @@
 func TestRecordReadAheadByTLSMakesAConnectionStale(t *testing.T) {
 	certificates := httptest.NewTLSServer(http.NotFoundHandler())
 	defer certificates.Close()
-	s := play(t, func(raw net.Conn, _ *bufio.Reader) {
-		g := &gather{Conn: raw}
+	s := startTarget(t, func(raw net.Conn, _ *bufio.Reader) {
+		g := &bufferingConn{Conn: raw}
 		c := tls.Server(g, &tls.Config{Certificates: certificates.TLS.Certificates})
 		br := bufio.NewReader(c)
 		if _, err := http.ReadRequest(br); err != nil {
 			return
 		}
-		g.hold = true
-		io.WriteString(c, okAnswer)
-		io.WriteString(c, okAnswer)
-		_, _ = raw.Write(g.held.Bytes())
+		g.buffering = true
+		io.WriteString(c, okResponse)
+		io.WriteString(c, okResponse)
+		_, _ = raw.Write(g.buffered.Bytes())
 		io.Copy(io.Discard, br)
 	})
 	p := newPool(t, s.addr(), func(cfg *PoolConfig) {
 		cfg.TLS = func() *tls.Config { return &tls.Config{InsecureSkipVerify: true} }
 	})
 	for range 2 {
-		_, _, err := get(t, p, background)
+		_, _, err := sendGet(t, p, background)
 		assert.NilError(t, err)
 	}
 	assert.Equal(t, p.Stats().Stale, uint64(1))
@@ -190,27 +190,27 @@
 // Sequence: an attempt gives up waiting just as it is handed a connection, or the
 // permission to open one.
 // Cause: what was handed over and nobody took.
-func TestWaiterThatGivesUpHandsOnWhatItGot(t *testing.T) {
-	s := play(t, always(okAnswer))
+func TestAbandonedWaitPassesOnItsConnection(t *testing.T) {
+	s := startTarget(t, respondAlways(okResponse))
 	p := newPool(t, s.addr(), nil)
 	c, f := p.acquire(background)
 	assert.Assert(t, f == nil)
 	w := &waiter{ready: make(chan *conn, 1)}
 	w.ready <- c
-	p.leave(w, false)
+	p.abandonWait(w, false)
 	assert.Equal(t, p.Stats().Idle, 1)
 	assert.Equal(t, p.Stats().InUse, 0)
 
 	_, f = p.acquire(background)
 	assert.Assert(t, f == nil)
 	w.ready <- nil // its place, the connection is gone
-	p.leave(w, false)
+	p.abandonWait(w, false)
 	assert.Equal(t, p.Stats().Open, 0)
 	assert.Equal(t, p.Stats().InUse, 0)
 }
 
-func TestConnectionThatRestedLastIsUsedFirst(t *testing.T) {
-	s := play(t, always(okAnswer))
+func TestMostRecentlyUsedConnectionIsReusedFirst(t *testing.T) {
+	s := startTarget(t, respondAlways(okResponse))
 	p := newPool(t, s.addr(), nil)
 	first, f := p.acquire(background)
 	assert.Assert(t, f == nil)
--- a/target/control.go
+++ b/target/control.go
@@ -49,7 +49,7 @@
 	if share == 0 {
 		return nil, errors.New("target: the pool keeps no connection for control")
 	}
-	if !work.controlled.CompareAndSwap(false, true) {
+	if !work.hasControl.CompareAndSwap(false, true) {
 		return nil, errors.New("target: the pool has a control side already")
 	}
 	cfg := work.cfg
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	pool.short = true
+	pool.inlineSmallBodies = true
 	return &Control{pool: pool, host: work.cfg.Address}, nil
 }
 
@@ -95,7 +95,7 @@
 // Close closes the control connections at rest and lets no new call in.
 func (c *Control) Close() { c.pool.Close() }
 
-var noAgent = []string{""}
+var noUserAgent = []string{""}
 
 func (c *Control) call(ctx context.Context, method, path string, body []byte, reply any) error {
 	r, err := http.NewRequest(method, "http://"+c.host+path, bytes.NewReader(body))
@@ -104,7 +104,7 @@
 	}
 	// An empty value keeps net/http from naming itself, which a renewal would repeat
 	// many times a second.
-	r.Header["User-Agent"] = noAgent
+	r.Header["User-Agent"] = noUserAgent
 	if body != nil {
 		r.Header.Set("Content-Type", "application/json")
 	}
--- a/target/control_test.go
+++ b/target/control_test.go
@@ -17,31 +17,31 @@
 )
 
 func newControl(t *testing.T, answer string) *Control {
-	s := play(t, always(answer))
+	s := startTarget(t, respondAlways(answer))
 	c, err := NewControl(newPool(t, s.addr(), nil))
 	assert.NilError(t, err)
 	t.Cleanup(c.Close)
 	return c
 }
 
-func answerOf(status, body string) string {
+func responseOf(status, body string) string {
 	return "HTTP/1.1 " + status + "\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
-func TestGrantRepliesAreTakenFromAcceptanceAndRefusal(t *testing.T) {
+func TestGrantRepliesAreDecodedWhenAcceptedOrRefused(t *testing.T) {
 	for _, status := range []string{"200 OK", "409 Conflict"} {
-		c := newControl(t, answerOf(status, `{"accepted":false,"term":9,"cause":"term"}`))
+		c := newControl(t, responseOf(status, `{"accepted":false,"term":9,"cause":"term"}`))
 		reply, err := c.Grant(background, &GrantBatch{Term: 8})
 		assert.NilError(t, err)
 		assert.DeepEqual(t, reply, &GrantReply{Term: 9, Cause: "term"})
 	}
 }
 
-func TestControlRepliesThatCannotBeTaken(t *testing.T) {
+func TestInvalidControlRepliesAreErrors(t *testing.T) {
 	for name, answer := range map[string]string{
-		"status":    answerOf("500 No", `{"ready":true}`),
-		"not JSON":  answerOf("200 OK", "ready"),
-		"too large": answerOf("200 OK", `{"ready":true}`+strings.Repeat(" ", maxControlBytes)),
+		"status":    responseOf("500 No", `{"ready":true}`),
+		"not JSON":  responseOf("200 OK", "ready"),
+		"too large": responseOf("200 OK", `{"ready":true}`+strings.Repeat(" ", maxControlBytes)),
 		"truncated": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\ne\r\n{\"ready\":true}\r\nx\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -57,8 +57,8 @@
 // Symptom: a busy target loses its grants.
 // Sequence: work takes every connection, the renewal finds none and the grants lapse.
 // Cause: control and work on one budget with no share set apart.
-func TestWorkThatFillsThePoolDoesNotHoldBackControl(t *testing.T) {
-	s := play(t, always(answerOf("200 OK", `{"ready":true}`)))
+func TestFullPoolDoesNotDelayControl(t *testing.T) {
+	s := startTarget(t, respondAlways(responseOf("200 OK", `{"ready":true}`)))
 	p := newPool(t, s.addr(), func(cfg *PoolConfig) { cfg.MaxConns = 3 })
 	c, err := NewControl(p)
 	assert.NilError(t, err)
@@ -75,7 +75,7 @@
 	p.release(held)
 }
 
-func TestOrderSurvivesItsHeader(t *testing.T) {
+func TestRequestHeadersRoundTrip(t *testing.T) {
 	h := http.Header{HeaderDeadline: {"1"}, HeaderUnit: {"forged"}}
 	sent := Order{RequestID: "a", Unit: "faq/1", Token: 1 << 63, Term: 7}
 	sent.Set(h)
@@ -92,7 +92,7 @@
 	assert.ErrorContains(t, err, HeaderToken)
 }
 
-func TestDigestIsOfTheSet(t *testing.T) {
+func TestDigestDoesNotDependOnOrder(t *testing.T) {
 	a, b := UnitGrant{Unit: "faq/1", Token: 1}, UnitGrant{Unit: "faq/2", Token: 1}
 	assert.Equal(t, Digest([]UnitGrant{a, b}), Digest([]UnitGrant{b, a}))
 	assert.Equal(t, Digest([]UnitGrant{a, b}), DigestOf(a)+DigestOf(b))
@@ -100,10 +100,10 @@
 	assert.Assert(t, DigestOf(a) != DigestOf(UnitGrant{Unit: "faq/1", Token: 256}))
 	assert.Equal(t, Digest(nil), uint64(0))
 	// FNV-1a of one zero byte and eight more, from the definition in the package.
-	assert.Equal(t, DigestOf(UnitGrant{}), fnvOfZeros(9))
+	assert.Equal(t, DigestOf(UnitGrant{}), fnvOfZeroBytes(9))
 }
 
-func fnvOfZeros(n int) uint64 {
+func fnvOfZeroBytes(n int) uint64 {
 	h := uint64(14695981039346656037)
 	for range n {
 		h *= 1099511628211
@@ -124,8 +124,8 @@
 	return c.Conn.Write(b)
 }
 
-func TestRenewalLeavesInOneWriteAndNamesNoAgent(t *testing.T) {
-	s := play(t, always(answerOf("200 OK", `{"accepted":true,"term":8}`)))
+func TestRenewalIsOneWriteWithoutUserAgent(t *testing.T) {
+	s := startTarget(t, respondAlways(responseOf("200 OK", `{"accepted":true,"term":8}`)))
 	var writes atomic.Int32
 	var sent bytes.Buffer
 	p := newPool(t, s.addr(), func(cfg *PoolConfig) {
--- a/target/dialect.go
+++ b/target/dialect.go
@@ -30,19 +30,19 @@
 	Observe func(h http.Header)
 }
 
-// maxOverdue bounds the answers to earlier requests that are passed over before one's own.
-const maxOverdue = 2
+// maxStaleResponses bounds the answers to earlier requests that are passed over before one's own.
+const maxStaleResponses = 2
 
 var (
-	errOverdue  = errors.New("target: the answer belongs to an earlier request")
-	errUnsigned = errors.New("target: a success without the target's signature")
+	errStaleResponse = errors.New("target: the answer belongs to an earlier request")
+	errUnsigned      = errors.New("target: a success without the target's signature")
 )
 
-// foreign reports whether the answer belongs to another request than r.
+// forOtherRequest reports whether the answer belongs to another request than r.
 //
 // A target that answers twice, the second time late, leaves bytes on the connection where
 // the next request's answer is due. Taken for that, one caller gets another's answer.
-func (d *Dialect) foreign(r *http.Request, resp *http.Response) bool {
+func (d *Dialect) forOtherRequest(r *http.Request, resp *http.Response) bool {
 	if d.RequestID == "" {
 		return false
 	}
@@ -73,8 +73,8 @@
 	return notRun(fault.TargetRefused, nil, "the target answered "+strconv.Itoa(resp.StatusCode))
 }
 
-// restOf reads how long the target keeps a connection at rest; zero where it doesn't say.
-func restOf(h http.Header) time.Duration {
+// keepAliveTimeout reads how long the target keeps a connection at rest; zero where it doesn't say.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for _, line := range h["Keep-Alive"] {
 		for _, part := range strings.Split(line, ",") {
 			name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/target/verdict.go
+++ b/target/faults.go
@@ -21,9 +21,9 @@
 	return &fault.Fault{Kind: kind, Ran: fault.NotRun, Detail: detail, Cause: cause}
 }
 
-// ctxFault tells a passed deadline from a caller that went away. A context
+// contextFault tells a passed deadline from a caller that went away. A context
 // cancelled with a cause that is context.DeadlineExceeded counts as a deadline.
-func ctxFault(ctx context.Context, ran fault.Ran) *fault.Fault {
+func contextFault(ctx context.Context, ran fault.Ran) *fault.Fault {
 	cause := context.Cause(ctx)
 	if errors.Is(cause, context.DeadlineExceeded) {
 		return &fault.Fault{Kind: fault.DeadlineExceeded, Ran: ran, Cause: cause}
@@ -31,28 +31,28 @@
 	return &fault.Fault{Kind: fault.CallerGone, Ran: ran, Cause: cause}
 }
 
-// faultOf turns an exchange that ended before its answer began into a fault. The
+// requestFault turns an exchange that ended before its answer began into a fault. The
 // connection is sealed, so the count of sent bytes is final.
-func (x *exchange) faultOf(err error) *fault.Fault {
+func (x *exchange) requestFault(err error) *fault.Fault {
 	c := x.conn
 	ran := fault.RanUnknown
 	if c.sent.Load() == x.sentBefore {
 		ran = fault.NotRun
 	}
-	if f := c.refusal(); f != nil {
+	if f := c.refusedWrite(); f != nil {
 		return f
 	}
-	bodyErr := x.upload.callerError()
+	bodyErr := x.upload.callerBodyError()
 	switch {
 	case x.ctx.Err() != nil:
-		return ctxFault(x.ctx, ran)
-	case x.cut.cut():
+		return contextFault(x.ctx, ran)
+	case x.cut.isAborted():
 		return x.cut.fault(ran)
 	case bodyErr != nil:
 		return &fault.Fault{Kind: fault.CallerGone, Ran: ran, Cause: bodyErr, Detail: "the request's body broke off"}
-	case c.silent.Load():
-		return &fault.Fault{Kind: fault.TargetStalled, Ran: ran, Cause: err, Detail: "no progress for " + c.progress.String()}
-	case x.malformed || x.upload.refused():
+	case c.timedOut.Load():
+		return &fault.Fault{Kind: fault.TargetStalled, Ran: ran, Cause: err, Detail: "no progress for " + c.progressTimeout.String()}
+	case x.malformed || x.upload.isMalformed():
 		return &fault.Fault{Kind: fault.BadRequest, Ran: ran, Cause: err, Detail: "the request can't be written"}
 	case ran == fault.NotRun:
 		return notRun(fault.TargetUnreachable, err, "the connection failed before a byte was written")
@@ -60,15 +60,15 @@
 	return fault.Wrap(fault.TargetLost, notEOF(err), "no whole header of an answer")
 }
 
-// cutShort turns an error while the answer's body is read into a fault that is
+// bodyFault turns an error while the answer's body is read into a fault that is
 // never io.EOF and wraps io.ErrUnexpectedEOF where the answer broke off.
-func (x *exchange) cutShort(err error) *fault.Fault {
+func (x *exchange) bodyFault(err error) *fault.Fault {
 	switch {
 	case x.ctx.Err() != nil:
-		return ctxFault(x.ctx, fault.RanFully)
-	case x.conn.silent.Load():
+		return contextFault(x.ctx, fault.RanFully)
+	case x.conn.timedOut.Load():
 		return &fault.Fault{Kind: fault.AnswerTruncated, Ran: fault.RanFully,
-			Cause: fmt.Errorf("%w: %w", io.ErrUnexpectedEOF, err), Detail: "no progress for " + x.conn.progress.String()}
+			Cause: fmt.Errorf("%w: %w", io.ErrUnexpectedEOF, err), Detail: "no progress for " + x.conn.progressTimeout.String()}
 	}
 	return fault.Wrap(fault.AnswerTruncated, fmt.Errorf("%w: %w", io.ErrUnexpectedEOF, notEOF(err)), "")
 }
--- a/target/limits_test.go
+++ b/target/limits_test.go
@@ -28,9 +28,9 @@
 	for _, unasked := range []string{"", "HTTP/1.1 408 Request Timeout\r\n\r\n"} {
 		resting := make(chan net.Conn, 1)
 		touched := make(chan struct{})
-		s := play(t, func(c net.Conn, br *bufio.Reader) {
+		s := startTarget(t, func(c net.Conn, br *bufio.Reader) {
 			_, _ = http.ReadRequest(br)
-			io.WriteString(c, okAnswer)
+			io.WriteString(c, okResponse)
 			select {
 			case resting <- c:
 				<-touched
@@ -45,30 +45,30 @@
 			io.Copy(io.Discard, br)
 		})
 		p := newPool(t, s.addr(), nil)
-		_, _, err := get(t, p, background)
+		_, _, err := sendGet(t, p, background)
 		assert.NilError(t, err)
 		<-resting
 		close(touched)
 		c := p.idle[0]
-		for c.alive() {
+		for c.reusable() {
 			time.Sleep(time.Millisecond)
 		}
-		_, _, err = get(t, p, background)
+		_, _, err = sendGet(t, p, background)
 		assert.NilError(t, err)
 		assert.Equal(t, p.Stats().Stale, uint64(1))
 		assert.Equal(t, p.Stats().Dials, uint64(2))
 	}
 }
 
-func TestAgeAndRestLimits(t *testing.T) {
-	s := play(t, always(okAnswer))
+func TestAgeAndIdleLimits(t *testing.T) {
+	s := startTarget(t, respondAlways(okResponse))
 	now := time.Now()
 	p := newPool(t, s.addr(), func(cfg *PoolConfig) {
 		cfg.MaxAge, cfg.MaxIdle = 10*time.Minute, time.Minute
 		cfg.Now = func() time.Time { return now }
 	})
 	use := func() Stats {
-		_, _, err := get(t, p, background)
+		_, _, err := sendGet(t, p, background)
 		assert.NilError(t, err)
 		return p.Stats()
 	}
@@ -98,33 +98,33 @@
 	assert.Equal(t, p.Stats().Open, 0, "it grew too old with the exchange on it")
 }
 
-// gauge counts open connections at the target and keeps the highest count.
-type gauge struct {
+// connGauge counts open connections at the target and keeps the highest count.
+type connGauge struct {
 	mu        sync.Mutex
 	now, high int
 }
 
-func (g *gauge) add(n int) {
+func (g *connGauge) add(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.now += n
 	g.high = max(g.high, g.now)
 }
 
-// gauged is a connection that leaves the gauge when it is closed.
-type gauged struct {
+// gaugedConn is a connection that leaves the gauge when it is closed.
+type gaugedConn struct {
 	net.Conn
 	once  sync.Once
-	gauge *gauge
+	gauge *connGauge
 }
 
-func (c *gauged) Close() error {
+func (c *gaugedConn) Close() error {
 	err := c.Conn.Close()
 	c.once.Do(func() { c.gauge.add(-1) })
 	return err
 }
 
-func TestBudgetHoldsUnderConcurrency(t *testing.T) {
+func TestConnectionBudgetHoldsUnderConcurrency(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.Header.Get("Cut") {
 		case "yes":
@@ -135,7 +135,7 @@
 		io.WriteString(w, `{"ready":true}`)
 	}))
 	defer server.Close()
-	g := new(gauge)
+	g := new(connGauge)
 	p := newPool(t, server.Listener.Addr().String(), func(cfg *PoolConfig) {
 		cfg.MaxConns, cfg.ControlConns, cfg.Wait = 6, 2, -1
 		cfg.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -145,7 +145,7 @@
 				g.add(-1)
 				return nil, err
 			}
-			return &gauged{Conn: raw, gauge: g}, nil
+			return &gaugedConn{Conn: raw, gauge: g}, nil
 		}
 	})
 	control, err := NewControl(p)
@@ -187,7 +187,7 @@
 	for _, wait := range []time.Duration{0, time.Millisecond, -1} {
 		var release chan struct{}
 		full := func(cfg *PoolConfig) { cfg.MaxConns, cfg.ControlConns, cfg.Wait = 1, -1, wait }
-		inBubble(t, full, func(c net.Conn, br *bufio.Reader) {
+		withFakeTime(t, full, func(c net.Conn, br *bufio.Reader) {
 			_, _ = http.ReadRequest(br)
 			<-release
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -220,8 +220,8 @@
 // Sequence: the router checks its right, opening a connection takes long, the right
 // lapses meanwhile, the request is written.
 // Cause: a check before the connection is there instead of after.
-func TestRightToSendIsAskedAfterTheDial(t *testing.T) {
-	s := play(t, always(okAnswer))
+func TestLeaseIsCheckedAfterTheDial(t *testing.T) {
+	s := startTarget(t, respondAlways(okResponse))
 	lapsed := false
 	p := newPool(t, s.addr(), func(cfg *PoolConfig) {
 		cfg.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -253,7 +253,7 @@
 // Cause: the look and the first byte are apart by the time that it takes to put the header
 // together, with a body also by the start of a goroutine, and the body is written apart
 // from the header.
-func TestRightIsLookedAtAgainBeforeBytesGoOut(t *testing.T) {
+func TestLeaseIsCheckedBeforeEveryWrite(t *testing.T) {
 	for name, c := range map[string]struct {
 		method string
 		// looks is how often the right is found in force.
@@ -266,7 +266,7 @@
 		"between the header and the body": {"POST", 2, fault.TargetLost, fault.RanUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := play(t, always(okAnswer))
+			s := startTarget(t, respondAlways(okResponse))
 			p := newPool(t, s.addr(), nil)
 			lapsed := fault.New(fault.StaleRoute, "lapsed")
 			var looks atomic.Int64
@@ -307,7 +307,7 @@
 			return nil, ctx.Err()
 		}
 	})
-	_, _, err := get(t, p, background)
+	_, _, err := sendGet(t, p, background)
 	assert.Equal(t, err.(*fault.Fault).Kind, fault.TargetUnreachable)
 	assert.Equal(t, err.(*fault.Fault).Ran, fault.NotRun)
 	assert.Equal(t, p.Stats().Open, 0)
@@ -323,22 +323,22 @@
 		cfg.TLS = func() *tls.Config { return &tls.Config{RootCAs: roots, ServerName: "example.com"} }
 	})
 	for range 3 {
-		_, body, err := get(t, p, background)
+		_, body, err := sendGet(t, p, background)
 		assert.NilError(t, err)
 		assert.Equal(t, body, "ok")
 	}
 	assert.Equal(t, p.Stats().Reuses, uint64(2))
 	server.CloseClientConnections()
-	for p.idle[0].alive() {
+	for p.idle[0].reusable() {
 		time.Sleep(time.Millisecond)
 	}
-	_, _, err := get(t, p, background)
+	_, _, err := sendGet(t, p, background)
 	assert.NilError(t, err)
 	assert.Equal(t, p.Stats().Stale, uint64(1))
 }
 
-func TestClosedPoolTakesNothingIn(t *testing.T) {
-	s := play(t, always(okAnswer))
+func TestClosedPoolRefusesAttempts(t *testing.T) {
+	s := startTarget(t, respondAlways(okResponse))
 	p := newPool(t, s.addr(), nil)
 	resp := attempt(t, p, background, newRequest(t, "GET", nil))
 	p.Close()
@@ -355,7 +355,7 @@
 	assert.Equal(t, f.Ran, fault.NotRun)
 }
 
-func TestSettingsThatCannotHold(t *testing.T) {
+func TestInvalidSettingsAreRefused(t *testing.T) {
 	_, err := New(PoolConfig{})
 	assert.ErrorContains(t, err, "Address")
 	_, err = New(PoolConfig{Address: "a:1", MaxConns: 2})
@@ -370,12 +370,12 @@
 // Symptom: one answer takes all memory although its header is bounded.
 // Sequence: a target sends a body in chunks and then trailers without an end.
 // Cause: the bound on the header does not hold for what follows the body.
-func TestTrailersOfAnAnswerAreBounded(t *testing.T) {
+func TestResponseTrailersAreBounded(t *testing.T) {
 	answer := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n2\r\nok\r\n0\r\nX-Sum: %s\r\n\r\n"
 	for length, whole := range map[int]bool{1 << 10: true, 8 << 10: false} {
-		s := play(t, always(strings.Replace(answer, "%s", strings.Repeat("x", length), 1)))
+		s := startTarget(t, respondAlways(strings.Replace(answer, "%s", strings.Repeat("x", length), 1)))
 		p := newPool(t, s.addr(), nil)
-		_, _, err := get(t, p, background)
+		_, _, err := sendGet(t, p, background)
 		assert.Equal(t, err == nil, whole, "a trailer of %d bytes: %v", length, err)
 	}
 }
--- a/target/pool.go
+++ b/target/pool.go
@@ -10,19 +10,19 @@
 // safe for concurrent use. It never repeats a request.
 type Pool struct {
 	cfg PoolConfig
-	// max is MaxConns less the share for control.
-	max int
-	// controlled says that a Control has the reserved share.
-	controlled atomic.Bool
-	// short says that bodies at hand are written together with their header.
-	short bool
+	// maxWorkConns is MaxConns less the share for control.
+	maxWorkConns int
+	// hasControl says that a Control has the reserved share.
+	hasControl atomic.Bool
+	// inlineSmallBodies says that bodies at hand are written together with their header.
+	inlineSmallBodies bool
 
-	// rest is how long the target was last heard to keep a connection at rest, less a
+	// targetIdleTimeout is how long the target was last heard to keep a connection at rest, less a
 	// margin, in nanoseconds; zero where it doesn't say.
-	rest atomic.Int64
+	targetIdleTimeout atomic.Int64
 
-	// round counts the calls of Recheck.
-	round atomic.Uint64
+	// rechecks counts the calls of Recheck.
+	rechecks atomic.Uint64
 
 	mu sync.Mutex
 	// idle is a stack: the connection that rested last is used first, so that those
@@ -35,8 +35,8 @@
 	closed  bool
 	drained chan struct{}
 	counts  Counts
-	// lost says why the last connection was closed.
-	lost OpenCause
+	// lastCloseCause says why the last connection was closed.
+	lastCloseCause OpenCause
 }
 
 // OpenCause says why a connection is opened.
@@ -50,7 +50,7 @@
 	// The others follow one that rested for too long, that the target had closed, that was
 	// closed after an answer because the target said so or had not read the request, that an
 	// exchange had broken, or on which one was cut off for its caller or its time.
-	OpenedRested    OpenCause = "rested"
+	OpenedIdle      OpenCause = "rested"
 	OpenedStale     OpenCause = "stale"
 	OpenedEnded     OpenCause = "ended"
 	OpenedBroken    OpenCause = "broken"
@@ -96,7 +96,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Pool{cfg: cfg, max: cfg.MaxConns - cfg.ControlConns, drained: make(chan struct{})}, nil
+	return &Pool{cfg: cfg, maxWorkConns: cfg.MaxConns - cfg.ControlConns, drained: make(chan struct{})}, nil
 }
 
 // Stats returns the pool's counters.
@@ -125,7 +125,7 @@
 	p.waiters = nil
 	if !p.closed {
 		p.closed = true
-		p.signalDrained()
+		p.closeDrainedLocked()
 	}
 	if p.sweeper != nil {
 		p.sweeper.Stop()
@@ -140,7 +140,7 @@
 // Drained is closed when a closed pool has no exchange in flight.
 func (p *Pool) Drained() <-chan struct{} { return p.drained }
 
-func (p *Pool) signalDrained() {
+func (p *Pool) closeDrainedLocked() {
 	if p.closed && p.inUse == 0 {
 		close(p.drained)
 	}
--- a/target/pool_test.go
+++ b/target/pool_test.go
@@ -67,7 +67,7 @@
 
 // Whoever reads the metrics can tell why connections are opened: first, beside one in use,
 // after an answer that ended one, and after an exchange that was cut off.
-func TestOpeningsTellTheirCause(t *testing.T) {
+func TestNewConnectionsReportTheirCause(t *testing.T) {
 	gate := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.Header.Get("Then") {
--- a/target/silence_test.go
+++ b/target/progress_timeout_test.go
@@ -27,23 +27,23 @@
 // Sequence: something between the ends forgets the connection; the request is
 // written, nothing comes back, no error either.
 // Cause: no limit on the silence of a connection with work on it.
-func TestSilentConnectionIsDroppedAlone(t *testing.T) {
+func TestOnlyTheSilentConnectionIsClosed(t *testing.T) {
 	var conns atomic.Int32
-	inBubble(t, progress(shortProgress), func(c net.Conn, br *bufio.Reader) {
+	withFakeTime(t, progressTimeout(shortProgress), func(c net.Conn, br *bufio.Reader) {
 		if conns.Add(1) > 1 {
-			always(okAnswer)(c, br)
+			respondAlways(okResponse)(c, br)
 			return
 		}
 		_, _ = http.ReadRequest(br)
-		io.WriteString(c, okAnswer)
+		io.WriteString(c, okResponse)
 		io.Copy(io.Discard, br)
 	}, func(t *testing.T, p *Pool) {
-		_, _, err := get(t, p, background)
+		_, _, err := sendGet(t, p, background)
 		assert.NilError(t, err)
-		_, _, err = get(t, p, background)
+		_, _, err = sendGet(t, p, background)
 		assert.Equal(t, err.(*fault.Fault).Kind, fault.TargetStalled)
 		assert.Equal(t, err.(*fault.Fault).Ran, fault.RanUnknown)
-		_, _, err = get(t, p, background)
+		_, _, err = sendGet(t, p, background)
 		assert.NilError(t, err)
 		stats := p.Stats()
 		assert.Equal(t, stats.Silent, uint64(1))
@@ -52,21 +52,21 @@
 	})
 }
 
-func TestSilenceInTheBodyTruncatesTheAnswer(t *testing.T) {
-	inBubble(t, progress(shortProgress), func(c net.Conn, br *bufio.Reader) {
+func TestSilenceInTheBodyTruncatesTheResponse(t *testing.T) {
+	withFakeTime(t, progressTimeout(shortProgress), func(c net.Conn, br *bufio.Reader) {
 		_, _ = http.ReadRequest(br)
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok")
 		io.Copy(io.Discard, br)
 	}, func(t *testing.T, p *Pool) {
-		_, body, err := get(t, p, background)
+		_, body, err := sendGet(t, p, background)
 		assert.Equal(t, body, "ok")
 		assert.Equal(t, err.(*fault.Fault).Kind, fault.AnswerTruncated)
 		assert.Equal(t, p.Stats().Silent, uint64(1))
 	})
 }
 
-func TestSlowButSteadyAnswerIsNotSilent(t *testing.T) {
-	inBubble(t, progress(steadyProgress), func(c net.Conn, br *bufio.Reader) {
+func TestSlowButSteadyResponseDoesNotTimeOut(t *testing.T) {
+	withFakeTime(t, progressTimeout(steadyProgress), func(c net.Conn, br *bufio.Reader) {
 		_, _ = http.ReadRequest(br)
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\n")
 		for range steadySteps {
@@ -74,14 +74,14 @@
 			io.WriteString(c, "x")
 		}
 	}, func(t *testing.T, p *Pool) {
-		_, body, err := get(t, p, background)
+		_, body, err := sendGet(t, p, background)
 		assert.NilError(t, err)
 		assert.Equal(t, body, strings.Repeat("x", steadySteps))
 	})
 }
 
-func TestCallerThatPausesIsNotTheTargetsSilence(t *testing.T) {
-	inBubble(t, progress(shortProgress), always(okAnswer), func(t *testing.T, p *Pool) {
+func TestPausedCallerDoesNotTimeOutTheTarget(t *testing.T) {
+	withFakeTime(t, progressTimeout(shortProgress), respondAlways(okResponse), func(t *testing.T, p *Pool) {
 		body, caller := io.Pipe()
 		go func() {
 			io.WriteString(caller, "half")
@@ -98,18 +98,18 @@
 // Symptom: an upload to a target that stopped reading never ends.
 // Sequence: the target takes the header, the buffers fill, no byte moves.
 // Cause: a limit on the silence of reads alone.
-func TestTargetThatStopsReadingIsSilent(t *testing.T) {
-	inBubble(t, progress(shortProgress), func(_ net.Conn, br *bufio.Reader) {
+func TestTargetThatStopsReadingTimesOut(t *testing.T) {
+	withFakeTime(t, progressTimeout(shortProgress), func(_ net.Conn, br *bufio.Reader) {
 		_, _ = http.ReadRequest(br)
 		time.Sleep(2 * shortProgress)
 	}, func(t *testing.T, p *Pool) {
-		r := newRequest(t, "PUT", io.LimitReader(endless{}, 1<<30))
+		r := newRequest(t, "PUT", io.LimitReader(endlessReader{}, 1<<30))
 		r.ContentLength = 1 << 30
 		_, f := p.Attempt(background, r)
 		faulttest.Is(t, f, fault.TargetStalled, fault.RanUnknown)
 	})
 }
 
-type endless struct{}
+type endlessReader struct{}
 
-func (endless) Read(p []byte) (int, error) { return len(p), nil }
+func (endlessReader) Read(p []byte) (int, error) { return len(p), nil }
--- a/target/quiet_other.go
+++ /dev/null
@@ -1,7 +0,0 @@
-//go:build !unix
-
-package target
-
-// quiet can't look into a socket on this system; a stale connection is then found
-// by the write or read that fails on it.
-func quiet(uintptr) bool { return true }
--- a/target/recheck_test.go
+++ b/target/recheck_test.go
@@ -15,7 +15,7 @@
 // Sequence: one connection rests and one has an answer under way; the certificate is
 // refused; the answer ends.
 // Cause: a connection is held against certificates when it is opened only.
-func TestRefusedCertificatesEndConnectionsAtTheirRest(t *testing.T) {
+func TestRefusedCertificateClosesConnectionsOnceIdle(t *testing.T) {
 	hold := make(chan struct{})
 	server := httptest.NewTLSServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPut {
--- a/target/rest.go
+++ b/target/release.go
@@ -5,11 +5,11 @@
 // release brings a connection in use to rest, or hands it to a waiter.
 func (p *Pool) release(c *conn) {
 	now := p.cfg.Now()
-	if now.Sub(c.born) >= p.cfg.MaxAge || !p.trusts(c, now) {
-		p.drop(c, &p.counts.Aged, OpenedRested)
+	if now.Sub(c.opened) >= p.cfg.MaxAge || !p.certAccepted(c, now) {
+		p.closeInUse(c, &p.counts.Aged, OpenedIdle)
 		return
 	}
-	c.rested = now
+	c.idleSince = now
 	p.mu.Lock()
 	if w := p.nextWaiter(); w != nil {
 		p.mu.Unlock()
@@ -19,7 +19,7 @@
 	p.inUse--
 	if p.closed {
 		p.open--
-		p.signalDrained()
+		p.closeDrainedLocked()
 		p.mu.Unlock()
 		c.raw.Close()
 		return
@@ -29,22 +29,22 @@
 	p.mu.Unlock()
 }
 
-// drop closes a connection in use, counts why and frees its place. The next one that is
+// closeInUse closes a connection in use, counts why and frees its place. The next one that is
 // opened is opened for the cause.
-func (p *Pool) drop(c *conn, count *uint64, cause OpenCause) {
+func (p *Pool) closeInUse(c *conn, count *uint64, cause OpenCause) {
 	c.raw.Close()
-	p.lose(cause)
-	p.vacate(count)
+	p.recordClose(cause)
+	p.freeSlot(count)
 }
 
-func (p *Pool) lose(cause OpenCause) {
+func (p *Pool) recordClose(cause OpenCause) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lost = cause
+	p.lastCloseCause = cause
 }
 
-// vacate gives the place of a connection in use to a waiter or back to the budget.
-func (p *Pool) vacate(count *uint64) {
+// freeSlot gives the place of a connection in use to a waiter or back to the budget.
+func (p *Pool) freeSlot(count *uint64) {
 	p.mu.Lock()
 	if count != nil {
 		*count++
@@ -56,7 +56,7 @@
 	}
 	p.inUse--
 	p.open--
-	p.signalDrained()
+	p.closeDrainedLocked()
 	p.mu.Unlock()
 }
 
@@ -104,7 +104,7 @@
 	p.open -= len(old)
 	p.counts.Aged += uint64(len(old))
 	if len(old) > 0 {
-		p.lost = OpenedRested
+		p.lastCloseCause = OpenedIdle
 	}
 	p.mu.Unlock()
 	closeAll(old)
--- a/target/order.go
+++ b/target/request_headers.go
@@ -21,15 +21,15 @@
 	Left time.Duration
 }
 
-// maxDigits is the length of the longest number of an order.
-const maxDigits = 20
+// maxNumberLength is the length of the longest number of an order.
+const maxNumberLength = 20
 
 // Set puts the order into the header of a request. Fields of the same names that
 // the caller sent are replaced or removed. The names are in canonical form, all
 // values lie in one array and the numbers' texts in one string, so that a request
 // costs two allocations for them.
 func (o *Order) Set(h http.Header) {
-	var room [3 * maxDigits]byte
+	var room [3 * maxNumberLength]byte
 	text := strconv.AppendUint(room[:0], o.Token, 10)
 	tokenEnd := len(text)
 	text = strconv.AppendUint(text, o.Term, 10)
--- a/target/script_test.go
+++ b/target/scripted_target_test.go
@@ -14,18 +14,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// script is a target played by a function, one call for each connection.
-type script struct {
+// scriptedTarget is a target played by a function, one call for each connection.
+type scriptedTarget struct {
 	listener net.Listener
 	wg       sync.WaitGroup
 	mu       sync.Mutex
 	conns    []net.Conn
 }
 
-func play(t *testing.T, each func(c net.Conn, br *bufio.Reader)) *script {
+func startTarget(t *testing.T, each func(c net.Conn, br *bufio.Reader)) *scriptedTarget {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	s := &script{listener: listener}
+	s := &scriptedTarget{listener: listener}
 	s.wg.Add(1)
 	go func() {
 		defer s.wg.Done()
@@ -42,7 +42,7 @@
 }
 
 // serve plays one connection.
-func (s *script) serve(c net.Conn, each func(c net.Conn, br *bufio.Reader)) {
+func (s *scriptedTarget) serve(c net.Conn, each func(c net.Conn, br *bufio.Reader)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns = append(s.conns, c)
@@ -52,12 +52,12 @@
 	})
 }
 
-// inBubble runs the test on a time of its own, with a pool whose target is played over
+// withFakeTime runs the test on a time of its own, with a pool whose target is played over
 // pipes in memory: their deadlines keep that time, so that no busy machine makes a step
 // look like a silence, or a writer late.
-func inBubble(t *testing.T, change func(*PoolConfig), each func(c net.Conn, br *bufio.Reader), test func(t *testing.T, p *Pool)) {
+func withFakeTime(t *testing.T, change func(*PoolConfig), each func(c net.Conn, br *bufio.Reader), test func(t *testing.T, p *Pool)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := new(script)
+		s := new(scriptedTarget)
 		t.Cleanup(s.close)
 		test(t, newPool(t, "in memory", func(cfg *PoolConfig) {
 			cfg.Dial = func(context.Context, string, string) (net.Conn, error) {
@@ -72,13 +72,13 @@
 	})
 }
 
-func progress(d time.Duration) func(*PoolConfig) {
+func progressTimeout(d time.Duration) func(*PoolConfig) {
 	return func(cfg *PoolConfig) { cfg.ProgressTimeout = d }
 }
 
-func (s *script) addr() string { return s.listener.Addr().String() }
+func (s *scriptedTarget) addr() string { return s.listener.Addr().String() }
 
-func (s *script) close() {
+func (s *scriptedTarget) close() {
 	if s.listener != nil {
 		s.listener.Close()
 	}
@@ -90,8 +90,8 @@
 	s.wg.Wait()
 }
 
-// always answers each request, read whole, with the same bytes.
-func always(answer string) func(net.Conn, *bufio.Reader) {
+// respondAlways answers each request, read whole, with the same bytes.
+func respondAlways(answer string) func(net.Conn, *bufio.Reader) {
 	return func(c net.Conn, br *bufio.Reader) {
 		for {
 			r, err := http.ReadRequest(br)
@@ -108,8 +108,8 @@
 	}
 }
 
-// untilClosed reads until the other end closes and reports whether it did.
-func untilClosed(br *bufio.Reader, closed chan<- struct{}) {
+// readUntilClosed reads until the other end closes and reports whether it did.
+func readUntilClosed(br *bufio.Reader, closed chan<- struct{}) {
 	_, _ = io.Copy(io.Discard, br)
 	close(closed)
 }
--- a/target/suspend_test.go
+++ b/target/suspend_test.go
@@ -19,15 +19,15 @@
 	"tarragongw/internal/suspendtest"
 )
 
-// headerUntil has when the right to send the request ends.
-const headerUntil = "X-Until"
+// headerLeaseEnd has when the right to send the request ends.
+const headerLeaseEnd = "X-Until"
 
 // A process that is suspended between its look at its right to send and the system call
 // writes the request when it goes on, after the right has ended.
-func TestSuspendedProcessWritesNothingAfterItsRight(t *testing.T) {
+func TestSuspendedProcessWritesNothingAfterLeaseExpiry(t *testing.T) {
 	var received suspendtest.Receiver
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		until, err := strconv.ParseInt(r.Header.Get(headerUntil), 10, 64)
+		until, err := strconv.ParseInt(r.Header.Get(headerLeaseEnd), 10, 64)
 		if _, bodyErr := io.Copy(io.Discard, r.Body); err != nil || bodyErr != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
@@ -40,7 +40,7 @@
 
 // A request is reported as not run, or as lost, by whether bytes of it left before the right to
 // send it ended.
-func TestRightThatHasEndedIsNotRunBeforeTheFirstByte(t *testing.T) {
+func TestExpiredLeaseIsNotRunBeforeTheFirstByte(t *testing.T) {
 	for name, c := range map[string]struct {
 		begun bool
 		kind  fault.Kind
@@ -50,7 +50,7 @@
 		"between the header and the body": {true, fault.TargetLost, fault.RanUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := play(t, always(okAnswer))
+			s := startTarget(t, respondAlways(okResponse))
 			p := newPool(t, s.addr(), nil)
 			r := newRequest(t, http.MethodPost, io.NopCloser(strings.NewReader("x")))
 			r.ContentLength = 1
@@ -91,7 +91,7 @@
 		if err != nil {
 			panic(err)
 		}
-		r.Header.Set(headerUntil, strconv.FormatInt(int64(until), 10))
+		r.Header.Set(headerLeaseEnd, strconv.FormatInt(int64(until), 10))
 		resp, f := p.AttemptOn(context.Background(), r, Terms{Still: func(bool) *fault.Fault {
 			if (clock.Boot{}).Now() >= until {
 				return fault.New(fault.StaleRoute, "lapsed")
--- a/target/upload.go
+++ b/target/upload.go
@@ -12,13 +12,13 @@
 const (
 	// continueTimeout is how long a body waits for "100 Continue"; a target need not send it.
 	continueTimeout = time.Second
-	// uploadGrace is how long the end of a body without a length may lag behind the end
+	// uploadFinishTimeout is how long the end of a body without a length may lag behind the end
 	// of the answer before the connection is given up.
-	uploadGrace = 5 * time.Millisecond
+	uploadFinishTimeout = 5 * time.Millisecond
 )
 
-// errUnwanted ends a body that the exchange no longer needs.
-var errUnwanted = errors.New("target: the exchange ended before the body was sent")
+// errExchangeEnded ends a body that the exchange no longer needs.
+var errExchangeEnded = errors.New("target: the exchange ended before the body was sent")
 
 type uploadState uint8
 
@@ -47,23 +47,23 @@
 	// malformed says that net/http refused to write the request.
 	malformed bool
 
-	// proceed is closed when a body held back for "100 Continue" may go on; nil where
+	// continued is closed when a body held back for "100 Continue" may go on; nil where
 	// it isn't held. released guards it, waited belongs to the writer.
-	proceed  chan struct{}
-	released sync.Once
-	waited   bool
+	continued      chan struct{}
+	continueOnce   sync.Once
+	continueWaited bool
 }
 
 func hasBody(r *http.Request) bool { return r.Body != nil && r.Body != http.NoBody }
 
-// maxAtHand bounds a body that is written in one piece with its header, in bytes.
-const maxAtHand = 2 << 10
+// maxInlineBody bounds a body that is written in one piece with its header, in bytes.
+const maxInlineBody = 2 << 10
 
-// atHand reports whether the whole body is in memory and so short that it leaves in
+// inlineBody reports whether the whole body is in memory and so short that it leaves in
 // one write with the header: an early answer waits in the connection meanwhile, and
 // nothing is gained by a goroutine to write in.
-func atHand(r *http.Request) bool {
-	return r.GetBody != nil && r.ContentLength > 0 && r.ContentLength <= maxAtHand && r.Header.Get("Expect") == ""
+func inlineBody(r *http.Request) bool {
+	return r.GetBody != nil && r.ContentLength > 0 && r.ContentLength <= maxInlineBody && r.Header.Get("Expect") == ""
 }
 
 func startUpload(c *conn, r *http.Request) *upload {
@@ -82,7 +82,7 @@
 		out.TransferEncoding = []string{"chunked"}
 	}
 	if strings.EqualFold(r.Header.Get("Expect"), "100-continue") {
-		u.proceed = make(chan struct{})
+		u.continued = make(chan struct{})
 	}
 	go u.write(&out)
 	return u
@@ -112,11 +112,11 @@
 // Read hands the caller's next bytes to the writer.
 func (u *upload) Read(b []byte) (int, error) {
 	u.awaitContinue()
-	if err := u.enter(); err != nil {
+	if err := u.beginRead(); err != nil {
 		return 0, err
 	}
 	n, err := u.body.Read(b)
-	u.leave(n, err)
+	u.endRead(n, err)
 	return n, err
 }
 
@@ -124,26 +124,26 @@
 // caller's body stays open: the caller owns it.
 func (u *upload) Close() error { return nil }
 
-func (u *upload) enter() error {
+func (u *upload) beginRead() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	switch {
 	case u.ended:
-		return errUnwanted
+		return errExchangeEnded
 	case u.left == 0:
 		return io.EOF
 	}
 	u.state = uploadReading
-	u.conn.paused.Store(true)
+	u.conn.timeoutPaused.Store(true)
 	u.changed.Broadcast()
 	return nil
 }
 
-func (u *upload) leave(n int, err error) {
+func (u *upload) endRead(n int, err error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.state = uploadWriting
-	u.conn.paused.Store(false)
+	u.conn.timeoutPaused.Store(false)
 	if u.length >= 0 {
 		u.left = max(u.left-int64(n), 0)
 	}
@@ -155,66 +155,66 @@
 // awaitContinue holds the body back until the target asks for it, answers, or
 // has had time to do either.
 func (u *upload) awaitContinue() {
-	if u.proceed == nil || u.waited {
+	if u.continued == nil || u.continueWaited {
 		return
 	}
-	u.waited = true
-	u.conn.paused.Store(true)
-	defer u.conn.paused.Store(false)
+	u.continueWaited = true
+	u.conn.timeoutPaused.Store(true)
+	defer u.conn.timeoutPaused.Store(false)
 	timer := time.NewTimer(continueTimeout)
 	defer timer.Stop()
 	select {
-	case <-u.proceed:
+	case <-u.continued:
 	case <-timer.C:
 	}
 }
 
-// goOn lets a held body go.
-func (u *upload) goOn() {
-	if u == nil || u.proceed == nil {
+// continueBody lets a held body go.
+func (u *upload) continueBody() {
+	if u == nil || u.continued == nil {
 		return
 	}
-	u.released.Do(func() { close(u.proceed) })
+	u.continueOnce.Do(func() { close(u.continued) })
 }
 
-// answered lets a body that is still held back never be sent: the target answered
+// responseReceived lets a body that is still held back never be sent: the target answered
 // without asking for it.
-func (u *upload) answered() {
-	if u == nil || u.proceed == nil {
+func (u *upload) responseReceived() {
+	if u == nil || u.continued == nil {
 		return
 	}
-	u.released.Do(func() {
+	u.continueOnce.Do(func() {
 		u.mu.Lock()
 		u.ended = true
 		u.mu.Unlock()
-		close(u.proceed)
+		close(u.continued)
 	})
 }
 
-// end lets no further byte of the caller's body be read and waits until the
+// stop lets no further byte of the caller's body be read and waits until the
 // writer is out of the request, or in a read of the body that only the caller can end.
-func (u *upload) end() {
+func (u *upload) stop() {
 	if u == nil {
 		return
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.ended = true
-	u.goOn()
+	u.continueBody()
 	for u.state == uploadWriting {
 		u.changed.Wait()
 	}
 }
 
-// sent reports whether the whole body is written, at the end of the answer.
+// waitSent reports whether the whole body is written, at the end of the answer.
 //
 // The answer may be read to its end before the writer's goroutine has noted its
 // own end. A connection given up for that would cost a new one for most uploads.
-func (u *upload) sent() bool {
+func (u *upload) waitSent() bool {
 	if u == nil {
 		return true
 	}
-	timer := time.AfterFunc(uploadGrace, func() {
+	timer := time.AfterFunc(uploadFinishTimeout, func() {
 		u.conn.abort()
 		u.mu.Lock()
 		u.ended = true
@@ -239,8 +239,8 @@
 	return false
 }
 
-// done reports whether the writer's goroutine no longer uses the connection's buffers.
-func (u *upload) done() bool {
+// writerDone reports whether the writer's goroutine no longer uses the connection's buffers.
+func (u *upload) writerDone() bool {
 	if u == nil {
 		return true
 	}
@@ -249,7 +249,7 @@
 	return u.state >= uploadSent
 }
 
-func (u *upload) callerError() error {
+func (u *upload) callerBodyError() error {
 	if u == nil {
 		return nil
 	}
@@ -258,8 +258,8 @@
 	return u.bodyErr
 }
 
-// refused reports whether net/http would not write the request.
-func (u *upload) refused() bool {
+// isMalformed reports whether net/http would not write the request.
+func (u *upload) isMalformed() bool {
 	if u == nil {
 		return false
 	}
--- a/target/upload_test.go
+++ b/target/upload_test.go
@@ -16,15 +16,15 @@
 	"tarragongw/internal/faulttest"
 )
 
-const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 // Symptom: a refused upload of a gigabyte is sent to its end before the caller
 // hears of it, or the connection breaks and the refusal is lost.
 // Sequence: the target answers after the header and stops reading.
 // Cause: a client that reads the answer only after the whole request is written.
-func TestEarlyAnswerIsReadDuringTheUpload(t *testing.T) {
+func TestEarlyResponseIsReadDuringTheUpload(t *testing.T) {
 	for _, length := range []int64{-1, 1 << 20} {
-		s := play(t, func(conn net.Conn, br *bufio.Reader) {
+		s := startTarget(t, func(conn net.Conn, br *bufio.Reader) {
 			_, _ = http.ReadRequest(br)
 			io.WriteString(conn, "HTTP/1.1 413 Too Large\r\nContent-Length: 2\r\n\r\nno")
 			_, _ = br.Peek(1 << 20) // wait for the close without reading on
@@ -44,8 +44,8 @@
 	}
 }
 
-func TestUploadAndAnswerStreamBothWays(t *testing.T) {
-	inBubble(t, nil, func(conn net.Conn, br *bufio.Reader) {
+func TestUploadAndResponseStreamConcurrently(t *testing.T) {
+	withFakeTime(t, nil, func(conn net.Conn, br *bufio.Reader) {
 		r, err := http.ReadRequest(br)
 		if err != nil {
 			return
@@ -59,7 +59,7 @@
 			io.WriteString(conn, "1\r\n"+strings.ToUpper(string(b))+"\r\n")
 		}
 		io.WriteString(conn, "0\r\n\r\n")
-		untilClosed(br, make(chan struct{}))
+		readUntilClosed(br, make(chan struct{}))
 	}, func(t *testing.T, p *Pool) {
 		body, caller := io.Pipe()
 		resp := attempt(t, p, background, newRequest(t, "POST", body))
@@ -77,9 +77,9 @@
 	})
 }
 
-func TestBodyThatTheCallerBreaksOff(t *testing.T) {
+func TestRequestBodyAbortedByTheCaller(t *testing.T) {
 	closed := make(chan struct{})
-	s := play(t, func(_ net.Conn, br *bufio.Reader) { untilClosed(br, closed) })
+	s := startTarget(t, func(_ net.Conn, br *bufio.Reader) { readUntilClosed(br, closed) })
 	p := newPool(t, s.addr(), nil)
 	body, caller := io.Pipe()
 	gone := errors.New("caller broke off")
@@ -94,33 +94,33 @@
 	assert.Equal(t, p.Stats().Open, 0)
 }
 
-// watched is a body that tells when it is read and that nobody may close.
-type watched struct {
+// watchedBody is a body that tells when it is read and that nobody may close.
+type watchedBody struct {
 	io.Reader
 	reads, closes int
 }
 
-func (w *watched) Read(p []byte) (int, error) {
+func (w *watchedBody) Read(p []byte) (int, error) {
 	w.reads++
 	return w.Reader.Read(p)
 }
 
-func (w *watched) Close() error {
+func (w *watchedBody) Close() error {
 	w.closes++
 	return nil
 }
 
-func expecting(t *testing.T, body io.Reader) *http.Request {
+func newExpectContinueRequest(t *testing.T, body io.Reader) *http.Request {
 	r := newRequest(t, "PUT", body)
 	r.ContentLength = 4
 	r.Header.Set("Expect", "100-continue")
 	return r
 }
 
-func TestExpectedContinueHoldsTheBodyBack(t *testing.T) {
-	body := func() *watched { return &watched{Reader: strings.NewReader("body")} }
+func TestExpectContinueDelaysTheBody(t *testing.T) {
+	body := func() *watchedBody { return &watchedBody{Reader: strings.NewReader("body")} }
 	t.Run("asked for", func(t *testing.T) {
-		inBubble(t, nil, func(conn net.Conn, br *bufio.Reader) {
+		withFakeTime(t, nil, func(conn net.Conn, br *bufio.Reader) {
 			r, err := http.ReadRequest(br)
 			if err != nil {
 				return
@@ -128,44 +128,44 @@
 			assert.Check(t, br.Buffered() == 0)
 			io.WriteString(conn, "HTTP/1.1 100 Continue\r\n\r\n")
 			io.Copy(io.Discard, r.Body)
-			io.WriteString(conn, okAnswer)
-			untilClosed(br, make(chan struct{}))
+			io.WriteString(conn, okResponse)
+			readUntilClosed(br, make(chan struct{}))
 		}, func(t *testing.T, p *Pool) {
 			w := body()
-			resp := attempt(t, p, background, expecting(t, w))
+			resp := attempt(t, p, background, newExpectContinueRequest(t, w))
 			io.ReadAll(resp.Body)
 			assert.Equal(t, p.Stats().Idle, 1)
 			assert.Equal(t, w.closes, 0)
 		})
 	})
 	t.Run("refused", func(t *testing.T) {
-		inBubble(t, nil, func(conn net.Conn, br *bufio.Reader) {
+		withFakeTime(t, nil, func(conn net.Conn, br *bufio.Reader) {
 			_, _ = http.ReadRequest(br)
 			io.WriteString(conn, "HTTP/1.1 503 No\r\nTarragon-Not-Run: overload\r\nContent-Length: 0\r\n\r\n")
-			untilClosed(br, make(chan struct{}))
+			readUntilClosed(br, make(chan struct{}))
 		}, func(t *testing.T, p *Pool) {
 			w := body()
-			_, f := p.Attempt(background, expecting(t, w))
+			_, f := p.Attempt(background, newExpectContinueRequest(t, w))
 			assert.Equal(t, f.Ran, fault.NotRun)
 			assert.Equal(t, w.reads, 0, "the body can be sent to another target")
 			assert.Equal(t, p.Stats().Open, 0)
 		})
 	})
 	t.Run("neither", func(t *testing.T) {
-		inBubble(t, nil, always(okAnswer), func(t *testing.T, p *Pool) {
+		withFakeTime(t, nil, respondAlways(okResponse), func(t *testing.T, p *Pool) {
 			began := time.Now()
-			resp := attempt(t, p, background, expecting(t, body()))
+			resp := attempt(t, p, background, newExpectContinueRequest(t, body()))
 			io.ReadAll(resp.Body)
 			assert.Equal(t, time.Since(began), continueTimeout)
 		})
 	})
 }
 
-func TestNotRunWithoutAByteLeavesTheBodyAlone(t *testing.T) {
-	b := newCutBench(t)
-	b.reused(t, "warm")
-	b.last.arm(0, -1)
-	w := &watched{Reader: strings.NewReader("body")}
+func TestNotRunBeforeTheFirstByteDoesNotReadTheBody(t *testing.T) {
+	b := newBreakHarness(t)
+	b.warmConnection(t, "warm")
+	b.last.breakAfter(0, -1)
+	w := &watchedBody{Reader: strings.NewReader("body")}
 	_, f := b.pool.Attempt(background, newRequest(t, "POST", w))
 	assert.Equal(t, f.Ran, fault.NotRun)
 	assert.Equal(t, w.reads, 0)
