--- a/target/config.go
+++ b/target/config.go
@@ -21,57 +21,57 @@
 	DefaultMaxHeaderBytes  = 1 << 20
 )
 
-// PoolConfig holds the connection limits and times of one target's pool.
+// PoolConfig holds the settings of one target's connection pool.
 type PoolConfig struct {
-	// Address is host:port.
+	// Address is the target's address as host:port.
 	Address string
-	// MaxConns bounds open connections, those of ControlConns included.
+	// MaxConns bounds the open connections, including ControlConns.
 	MaxConns int
-	// ControlConns of MaxConns are kept for grants and probes, so that work that
-	// fills the pool can't delay a renewal; a negative number keeps none.
+	// ControlConns is the part of MaxConns that is reserved for grants and probes, so that
+	// work that fills the pool can't delay a renewal. A negative number reserves none.
 	ControlConns int
-	// Wait is the longest time that an attempt waits for a connection where all are
-	// in use; zero refuses at once, a negative time waits as long as the context allows.
+	// Wait bounds how long an attempt waits for a connection if all are in use. Zero refuses
+	// at once; a negative value waits until the context ends.
 	Wait time.Duration
-	// MaxAge closes a connection at its next rest after this time.
+	// MaxAge is the age after which a connection is closed as soon as it is idle.
 	MaxAge time.Duration
-	// MaxIdle closes a connection that rested for this time.
+	// MaxIdle is the time after which an idle connection is closed.
 	MaxIdle time.Duration
-	// DialTimeout bounds opening a connection, TLS handshake included.
+	// DialTimeout bounds opening a connection, including the TLS handshake.
 	DialTimeout time.Duration
-	// ProgressTimeout is the longest silence of a connection with work on it. It is
-	// noticed after one to one and a quarter of this time; after at most two and a half
-	// where a request body was being sent.
+	// ProgressTimeout bounds the time without any progress on a connection with an exchange
+	// in flight. It takes effect after 1 to 1.25 times this value, or after at most 2.5 times
+	// this value if a request body was being sent.
 	ProgressTimeout time.Duration
-	// KeepAlive is the interval of TCP keepalive probes; it finds connections that
-	// went silent while they rested.
+	// KeepAlive is the interval of TCP keepalive probes, which detect connections that died
+	// while they were idle.
 	KeepAlive time.Duration
-	// MaxHeaderBytes bounds the header of an answer.
+	// MaxHeaderBytes bounds the header of a response.
 	MaxHeaderBytes int64
-	// RequireFraming reports an answer that has neither a length nor chunks as cut
-	// short at its end, because a broken connection can't be told from a whole answer.
+	// RequireFraming reports a response with neither a length nor chunked encoding as
+	// truncated, because its end can't be distinguished from a broken connection.
 	RequireFraming bool
-	// TLS gives the configuration for a connection that is opened now, so that renewed
-	// certificates concern new connections only; nil is plain text.
+	// TLS returns the configuration for a new connection. It is called for each connection, so
+	// renewed certificates apply to new connections only. Nil means plain text.
 	TLS func() *tls.Config
-	// Accepts says whether the certificate that an open connection began with is still
-	// accepted, by an error if not; nil accepts all. It is asked once for each connection
-	// after each Recheck, and once the certificate has ended.
+	// Accepts returns an error if the certificate that the target presented when the
+	// connection was opened is no longer accepted; nil accepts all. It is called once for each
+	// connection after each Recheck, and again after the certificate has expired.
 	Accepts func(state *tls.ConnectionState) error
-	// Dialect is how the target says what is not in HTTP itself; the zero value is the
-	// protocol of this package.
+	// Dialect describes the target's extensions to HTTP. The zero value is the protocol of
+	// this package.
 	Dialect Dialect
 	// Dial opens raw connections; nil means a net.Dialer.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Opening is told why a connection is about to be opened; nil tells nobody.
+	// Opening, if not nil, is called before each connection is opened, with the reason.
 	Opening func(cause OpenCause)
-	// Now tells the time; nil means time.Now. Only rest, age and the
-	// ends of certificates are taken from it.
+	// Now returns the current time; nil means time.Now. It is used only for the age and idle
+	// time of connections and for the expiry of certificates.
 	Now func() time.Time
 }
 
-// withDefaults returns the settings with zero fields filled in, or an error that
-// names the field that can't hold.
+// withDefaults returns the settings with zero fields set to their defaults, or an error
+// that names the invalid field.
 func (c PoolConfig) withDefaults() (PoolConfig, error) {
 	if c.Address == "" {
 		return c, errors.New("target: Address is empty")
@@ -86,7 +86,7 @@
 	setDefault(&c.MaxHeaderBytes, DefaultMaxHeaderBytes)
 	c.ControlConns = max(c.ControlConns, 0)
 	if c.MaxConns <= c.ControlConns {
-		return c, errors.Errorf("target: MaxConns %d leaves no connection for work beside %d for control",
+		return c, errors.Errorf("target: MaxConns %d leaves no connection for work after reserving %d for control",
 			c.MaxConns, c.ControlConns)
 	}
 	if c.Now == nil {
@@ -98,7 +98,7 @@
 	return c, nil
 }
 
-// Check returns an error that names the field that can't hold, or nil.
+// Check returns an error that names the first invalid field, or nil.
 func (c PoolConfig) Check() error {
 	_, err := c.withDefaults()
 	return err
--- a/target/control.go
+++ b/target/control.go
@@ -18,39 +18,39 @@
 	PathHealth = "/tarragon/v1/health"
 )
 
-// maxControlBytes bounds the body of an answer to a grant or a probe.
+// maxControlBytes bounds the body of the response to a grant or a probe.
 const maxControlBytes = 1 << 20
 
-// Health is what a target says about itself. It lags or misleads, so it is a hint.
+// Health is a target's report on itself. It may be out of date or wrong, so it is only a
+// hint.
 type Health struct {
-	// Ready says that the target takes work.
+	// Ready is set if the target takes work.
 	Ready bool `json:"ready"`
-	// Draining says that it is leaving and wants no new work.
+	// Draining is set if the target is shutting down and takes no new work.
 	Draining bool `json:"draining"`
-	// Load is the share of its slots in use, from 0 to 1.
+	// Load is the share of the target's slots in use, from 0 to 1.
 	Load float64 `json:"load"`
-	// Cold says that it has just started and is slower than usual.
+	// Cold is set if the target has just started and is slower than usual.
 	Cold bool `json:"cold"`
 }
 
-// Control sends grants and probes to one target. Its connections are apart from
-// those for work, so that work which fills the pool can't delay a renewal until
-// the grants lapse, yet they are part of the pool's MaxConns. It is safe for
-// concurrent use.
+// Control sends grants and probes to one target. It has connections of its own, so that
+// work that fills the pool can't delay a renewal until the grants expire; they count towards
+// the pool's MaxConns. It is safe for concurrent use.
 type Control struct {
 	pool *Pool
 	host string
 }
 
-// NewControl returns the control side of a pool. A pool has one at most, and its
-// ControlConns must not be negative.
+// NewControl returns the Control of a pool. A pool has at most one, and its ControlConns
+// must not be negative.
 func NewControl(work *Pool) (*Control, error) {
 	share := work.cfg.ControlConns
 	if share == 0 {
-		return nil, errors.New("target: the pool keeps no connection for control")
+		return nil, errors.New("target: the pool reserves no connections for control")
 	}
 	if !work.hasControl.CompareAndSwap(false, true) {
-		return nil, errors.New("target: the pool has a control side already")
+		return nil, errors.New("target: the pool already has a Control")
 	}
 	cfg := work.cfg
 	cfg.MaxConns = share
@@ -65,9 +65,8 @@
 	return &Control{pool: pool, host: work.cfg.Address}, nil
 }
 
-// Grant implements Granter. An error is a *fault.Fault where the exchange failed;
-// its Ran says whether the target may have taken the batch. The context must have
-// a deadline.
+// Grant implements Granter. If the exchange failed, the error is a *fault.Fault whose Ran
+// says whether the target may have applied the batch. The context must have a deadline.
 func (c *Control) Grant(ctx context.Context, batch *GrantBatch) (*GrantReply, error) {
 	body, err := json.Marshal(batch)
 	if err != nil {
@@ -89,10 +88,10 @@
 	return health, nil
 }
 
-// Stats returns the counters of the control connections.
+// Stats returns the state and counters of the control connections.
 func (c *Control) Stats() Stats { return c.pool.Stats() }
 
-// Close closes the control connections at rest and lets no new call in.
+// Close closes the idle control connections and refuses new calls.
 func (c *Control) Close() { c.pool.Close() }
 
 var noUserAgent = []string{""}
@@ -102,17 +101,18 @@
 	if err != nil {
 		return errors.Wrap(err, "target: building a control request")
 	}
-	// An empty value keeps net/http from naming itself, which a renewal would repeat
-	// many times a second.
+	// An empty value keeps net/http from sending its default User-Agent, which renewals would
+	// repeat many times a second.
 	r.Header["User-Agent"] = noUserAgent
 	if body != nil {
 		r.Header.Set("Content-Type", "application/json")
 	}
 	resp, f := c.pool.Attempt(ctx, r)
 	if f != nil {
-		// The connections at rest may have gone silent together, as when something between
-		// the ends forgot them. The next call must meet the target itself on a new one:
-		// two calls that fail for old connections would condemn a target that is well.
+		// All idle connections may have died together, as when a middlebox has dropped their
+		// state. Close them, so that the next call tests the target itself on a new
+		// connection: two calls that fail because of old connections would mark a healthy
+		// target as unhealthy.
 		c.pool.CloseIdle()
 		return f
 	}
@@ -120,7 +120,8 @@
 	return decode(resp, reply)
 }
 
-// decode reads the reply of status 200, or of 409, which refuses a batch.
+// decode reads a reply with status 200, or with status 409, by which a target refuses a
+// batch.
 func decode(resp *http.Response, reply any) error {
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusConflict {
 		return fault.New(fault.TargetLost, "control request answered with "+resp.Status)
--- a/target/dialect.go
+++ b/target/dialect.go
@@ -12,36 +12,38 @@
 	"tarragongw/core/fault"
 )
 
-// Dialect names the fields by which targets say what is not in HTTP itself.
+// Dialect names the header fields and statuses by which targets extend HTTP.
 type Dialect struct {
-	// NotRun is the field of an answer that states that the request was not run. Empty
-	// means HeaderNotRun, which goes with the statuses 503 and 409 only.
+	// NotRun is the response header field that states that the request was not run. Empty
+	// means HeaderNotRun, which counts only with status 503 or 409.
 	NotRun string
-	// Misplaced are statuses that state by themselves that the request was not run,
-	// because it is for another target.
+	// Misplaced lists the statuses that alone state that the request was not run because it
+	// was sent to the wrong target. They are checked only if NotRun is set.
 	Misplaced []int
-	// RequestID is the field by which answers echo the request's; empty means that they
-	// don't. An answer with another id belongs to an earlier request.
+	// RequestID is the header field in which responses echo the request's id; empty means
+	// that they don't. A response with a different id belongs to an earlier request.
 	RequestID string
-	// Signature is a field that each successful answer of the target's own has; empty
-	// means that there is none.
+	// Signature is a header field that every successful response from the target itself has;
+	// empty means that there is none.
 	Signature string
-	// Observe is given the header of each of the target's own answers; nil ignores them.
+	// Observe, if not nil, is called with the header of each response that belongs to its
+	// request, before refusals and the signature are checked.
 	Observe func(h http.Header)
 }
 
-// maxStaleResponses bounds the answers to earlier requests that are passed over before one's own.
+// maxStaleResponses bounds how many responses to earlier requests are skipped.
 const maxStaleResponses = 2
 
 var (
-	errStaleResponse = errors.New("target: the answer belongs to an earlier request")
-	errUnsigned      = errors.New("target: a success without the target's signature")
+	errStaleResponse = errors.New("target: the response belongs to an earlier request")
+	errUnsigned      = errors.New("target: a successful response lacks the target's signature")
 )
 
-// forOtherRequest reports whether the answer belongs to another request than r.
+// forOtherRequest reports whether the response belongs to a request other than r.
 //
-// A target that answers twice, the second time late, leaves bytes on the connection where
-// the next request's answer is due. Taken for that, one caller gets another's answer.
+// If a target responds twice to a request, the second time late, the second response arrives
+// where the next request's response is expected. Without this check, one caller would get
+// another caller's response.
 func (d *Dialect) forOtherRequest(r *http.Request, resp *http.Response) bool {
 	if d.RequestID == "" {
 		return false
@@ -50,7 +52,7 @@
 	return echoed != "" && echoed != r.Header.Get(d.RequestID)
 }
 
-// check returns an error for an answer that can't be the target's own.
+// check returns an error for a response that can't come from the target itself.
 func (d *Dialect) check(resp *http.Response) error {
 	success := resp.StatusCode >= 200 && resp.StatusCode < 300
 	if d.Signature != "" && success && resp.Header.Get(d.Signature) == "" {
@@ -59,7 +61,7 @@
 	return nil
 }
 
-// refusal returns the target's statement that it did not run the request, or nil.
+// refusal returns a fault if the response states that the request was not run, or nil.
 func (d *Dialect) refusal(resp *http.Response) *fault.Fault {
 	if d.NotRun == "" {
 		return refusal(resp)
@@ -73,7 +75,8 @@
 	return notRun(fault.TargetRefused, nil, "the target answered "+strconv.Itoa(resp.StatusCode))
 }
 
-// keepAliveTimeout reads how long the target keeps a connection at rest; zero where it doesn't say.
+// keepAliveTimeout returns how long the target keeps an idle connection open according to
+// its Keep-Alive header, or zero if it doesn't say.
 func keepAliveTimeout(h http.Header) time.Duration {
 	for _, line := range h["Keep-Alive"] {
 		for _, part := range strings.Split(line, ",") {
--- a/target/digest.go
+++ b/target/digest.go
@@ -1,8 +1,8 @@
 package target
 
-// Digest is the checksum of a set of grants. It doesn't depend on their order:
-// it is the sum, modulo 2^64, of the 64-bit FNV-1a hash of each unit's name, a
-// zero byte and the token's eight bytes, least significant first.
+// Digest returns the checksum of a set of grants, which doesn't depend on their order. It is
+// the sum, modulo 2^64, of one 64-bit FNV-1a hash per grant over the unit's name, a zero byte
+// and the token's eight bytes, least significant byte first.
 func Digest(units []UnitGrant) uint64 {
 	var sum uint64
 	for i := range units {
@@ -16,8 +16,8 @@
 	fnvPrime  = 1099511628211
 )
 
-// DigestOf is the part of one grant in the sum, so that a digest can be kept up
-// to date by adding and subtracting.
+// DigestOf returns the summand of one grant in Digest, so that a digest can be updated
+// incrementally by adding and subtracting.
 func DigestOf(g UnitGrant) uint64 {
 	h := uint64(fnvOffset)
 	for i := 0; i < len(g.Unit); i++ {
--- a/target/request_headers.go
+++ b/target/request_headers.go
@@ -8,34 +8,33 @@
 	"github.com/pkg/errors"
 )
 
-// Order is what a grantor tells the target with each request.
+// Order holds the header fields that the router adds to each request to a target.
 type Order struct {
-	// RequestID identifies the request in logs; the same id never comes with two
-	// different requests.
+	// RequestID identifies the request in logs; an id is never used for two different requests.
 	RequestID string
-	// Unit, Token and Term say under which grant the request is sent.
+	// Unit, Token and Term identify the grant under which the request is sent.
 	Unit  string
 	Token uint64
 	Term  uint64
-	// Left is the time until the caller's deadline; zero means none.
+	// Left is the time until the caller's deadline; zero means no deadline.
 	Left time.Duration
 }
 
-// maxNumberLength is the length of the longest number of an order.
+// maxNumberLength is the length of the longest number in a header field.
 const maxNumberLength = 20
 
-// Set puts the order into the header of a request. Fields of the same names that
-// the caller sent are replaced or removed. The names are in canonical form, all
-// values lie in one array and the numbers' texts in one string, so that a request
-// costs two allocations for them.
+// Set writes the fields into the header of a request. Fields of the same names that the
+// caller sent are replaced or removed. To need only two allocations per request, the names
+// are constants in canonical form, all values share one array, and all numbers share one
+// string.
 func (o *Order) Set(h http.Header) {
-	var room [3 * maxNumberLength]byte
-	text := strconv.AppendUint(room[:0], o.Token, 10)
+	var buf [3 * maxNumberLength]byte
+	text := strconv.AppendUint(buf[:0], o.Token, 10)
 	tokenEnd := len(text)
 	text = strconv.AppendUint(text, o.Term, 10)
 	termEnd := len(text)
 	if o.Left > 0 {
-		// Rounded up: a target must not give up before the router does.
+		// Rounded up, so that the target does not time out before the router does.
 		text = strconv.AppendInt(text, int64((o.Left+time.Millisecond-1)/time.Millisecond), 10)
 	}
 	numbers := string(text)
@@ -55,7 +54,7 @@
 	h[HeaderDeadline] = values[4:5:5]
 }
 
-// ParseOrder reads an order from the header of a request. An absent field is zero.
+// ParseOrder reads the fields from the header of a request. An absent field is zero.
 func ParseOrder(h http.Header) (Order, error) {
 	o := Order{RequestID: h.Get(HeaderRequestID), Unit: h.Get(HeaderUnit)}
 	var err error
@@ -70,7 +69,7 @@
 	return o, err
 }
 
-// maxDeadlineMillis keeps a deadline within time.Duration; it is about 11 days.
+// maxDeadlineMillis keeps a deadline within the range of time.Duration; it is about 11 days.
 const maxDeadlineMillis = 1_000_000_000
 
 func parseUint(h http.Header, name string) (uint64, error) {
--- a/target/target.go
+++ b/target/target.go
@@ -1,5 +1,6 @@
-// Package target is the side of the router that targets meet: connection pools,
-// attempts with a true statement of whether they ran, grants, health and load.
+// Package target is the router's client for targets: connection pools, single attempts
+// that report reliably whether the target may have run the request, and control requests
+// for grants, health and load.
 package target
 
 import (
@@ -9,25 +10,25 @@
 	"tarragongw/core/fault"
 )
 
-// Header names of the protocol between router and target.
+// Header fields of the protocol between router and target.
 const (
-	// HeaderUnit, HeaderToken and HeaderTerm carry the unit that the request's key
-	// belongs to, its fencing token and the grantor's term.
+	// HeaderUnit, HeaderToken and HeaderTerm carry the unit of keys that the request's key
+	// belongs to, the unit's fencing token and the grantor's term.
 	HeaderUnit  = "Tarragon-Unit"
 	HeaderToken = "Tarragon-Token"
 	HeaderTerm  = "Tarragon-Term"
-	// HeaderDeadline carries the time left in milliseconds.
+	// HeaderDeadline carries the time left until the caller's deadline, in milliseconds.
 	HeaderDeadline = "Tarragon-Deadline-Ms"
-	// HeaderNotRun on an answer of status 503 or 409 is the target's statement that it
-	// did not run the request; its value is the cause.
+	// HeaderNotRun on a response with status 503 or 409 states that the target did not run
+	// the request; its value is the cause.
 	HeaderNotRun = "Tarragon-Not-Run"
 	// HeaderRequestID carries the request's id.
 	HeaderRequestID = "X-Request-Id"
 )
 
-// Causes of HeaderNotRun by which a target says that the request did not come under
-// the grant that it holds: the unit is not granted, its token or the grantor's term
-// is another, or the grant has lapsed. All others are about the work itself.
+// Values of HeaderNotRun for a request that does not match the target's grant: the unit is
+// not granted, the token or the grantor's term differs, or the grant has expired. All other
+// values concern the work itself.
 const (
 	CauseUnit    = "unit"
 	CauseToken   = "token"
@@ -35,60 +36,61 @@
 	CauseExpired = "expired"
 )
 
-// Attempter sends one attempt to one target. The error's Ran is NotRun only if
-// no byte of the request was written or the target said so; the attempt is
-// never repeated inside. The response's body reports a truncated answer as an
-// error other than io.EOF.
+// Attempter sends a request to one target exactly once, without internal retries. A
+// fault's Ran is NotRun only if no byte of the request was written or the target stated that
+// it did not run the request. If the response is truncated, its body returns an error other
+// than io.EOF.
 type Attempter interface {
 	Attempt(ctx context.Context, r *http.Request) (*http.Response, *fault.Fault)
 }
 
-// UnitGrant is the grant of one unit of keys.
+// UnitGrant grants one unit of keys to a target.
 type UnitGrant struct {
-	// Unit is the unit's name as in HeaderUnit.
+	// Unit is the unit's name, as in HeaderUnit.
 	Unit string `json:"unit"`
 	// Token is the fencing token.
 	Token uint64 `json:"token"`
 }
 
-// GrantBatch is one renewal of all that a target holds. Units absent from a
-// full batch are revoked; the reply names the units that still have work.
+// GrantBatch renews all grants of a target. Units absent from a full batch are revoked; the
+// reply names the revoked units that still have work in flight.
 type GrantBatch struct {
-	// Grantor and Term name who orders; a target that checks refuses a lower term.
+	// Grantor and Term identify the sender; a target that checks terms refuses a lower one.
 	Grantor string `json:"grantor"`
 	Term    uint64 `json:"term"`
-	// Sequence grows with each batch of a term; an older one is refused.
+	// Sequence increases with each batch of a term; a target refuses an older batch.
 	Sequence uint64 `json:"sequence"`
-	// TTL in milliseconds bounds the grants from receipt.
+	// TTLMillis is how long the grants are valid from receipt, in milliseconds.
 	TTLMillis int64 `json:"ttl_ms"`
-	// Service is the service of all units of the batch.
+	// Service is the service that all units of the batch belong to.
 	Service string `json:"service"`
-	// Digest is a checksum over Units; a batch without Units renews the set that has it.
+	// Digest is the checksum of Units. A batch without Units renews the set of grants that
+	// has this checksum.
 	Digest uint64 `json:"digest"`
-	// Fence raises the target's term and changes no grant, neither its units nor its
-	// end; Digest and Units are not looked at.
+	// Fence only raises the target's term; it changes neither the granted units nor their
+	// expiry. Digest and Units are ignored.
 	Fence bool `json:"fence,omitempty"`
-	// Full says that Units is the whole set.
+	// Full is set if Units is the complete set.
 	Full  bool        `json:"full"`
 	Units []UnitGrant `json:"units,omitempty"`
 }
 
-// GrantReply is a target's answer to a batch.
+// GrantReply is a target's reply to a GrantBatch.
 type GrantReply struct {
-	// Accepted is false where the term, sequence or digest does not fit; Term is then
-	// the highest term that the target has seen.
+	// Accepted is false if the term, sequence or digest does not match; Term is then the
+	// highest term that the target has seen.
 	Accepted bool   `json:"accepted"`
 	Term     uint64 `json:"term"`
 	Cause    string `json:"cause,omitempty"`
-	// Busy names revoked units on which work is still in flight.
+	// Busy names revoked units that still have work in flight.
 	Busy []string `json:"busy,omitempty"`
-	// Load is the reported share of slots in use, from 0 to 1; it lags.
+	// Load is the share of the target's slots in use, from 0 to 1. It may be out of date.
 	Load float64 `json:"load"`
-	// Draining says that the target wants no new work.
+	// Draining is set if the target takes no new work.
 	Draining bool `json:"draining"`
 }
 
-// Granter sends grants to one target.
+// Granter sends grant batches to one target.
 type Granter interface {
 	Grant(ctx context.Context, batch *GrantBatch) (*GrantReply, error)
 }
