--- a/target/abort.go
+++ b/target/abort.go
@@ -6,10 +6,10 @@
 	"tarragongw/core/fault"
 )
 
-// Cut lets somebody other than the caller end an attempt: the router, when the
-// owner of the request's key changes. A context of its own for each attempt would
-// do the same at about twice the cost, and the end would look like that of a
-// caller that went away. The zero value is ready; a Cut serves one attempt.
+// Cut lets the router abort an attempt, independently of the caller, when the holder of the
+// request's key changes. A separate context for each attempt would cost about twice as much,
+// and could not be distinguished from a caller that went away. The zero value is ready to use.
+// A Cut must be used for one attempt only.
 type Cut struct {
 	mu      sync.Mutex
 	aborted bool
@@ -17,12 +17,12 @@
 	abort   func()
 }
 
-// Now ends the attempt; before its connection is there it has no effect on it, and
-// what is asked right before the request is written must then refuse.
+// Now aborts the attempt. While the attempt is still waiting for its connection, nothing is
+// interrupted; the check before the request is written must then refuse the attempt.
 func (c *Cut) Now() { c.For(nil) }
 
-// For is Now with the fault that the attempt ends with, unless the answer began; what
-// it says about execution is replaced by what is known of it.
+// For is like Now, but sets the fault that the attempt returns if its response has not begun.
+// The fault's Ran is replaced by what is known about the execution.
 func (c *Cut) For(reason *fault.Fault) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -30,13 +30,14 @@
 		c.aborted, c.reason = true, reason
 	}
 	if c.abort != nil {
-		// Under the lock, so that a connection that unbind gave up is never hit: it may
-		// carry another request by then.
+		// Called under the lock, so that it never affects a connection that unbind has
+		// released: that may already carry another request.
 		c.abort()
 	}
 }
 
-// bind tells how to end the attempt, at once where it was cut already.
+// bind sets the function that aborts the attempt, and calls it if the attempt has been aborted
+// already.
 func (c *Cut) bind(abort func()) {
 	if c == nil {
 		return
@@ -49,7 +50,7 @@
 	}
 }
 
-// unbind gives the connection up and reports whether it is unharmed.
+// unbind removes the abort function. It reports whether the attempt has not been aborted.
 func (c *Cut) unbind() bool {
 	if c == nil {
 		return true
@@ -60,7 +61,7 @@
 	return !c.aborted
 }
 
-// isAborted reports whether the attempt was cut.
+// isAborted reports whether the attempt was aborted.
 func (c *Cut) isAborted() bool {
 	if c == nil {
 		return false
@@ -70,10 +71,10 @@
 	return c.aborted
 }
 
-// abortDetail is what a caller is told of an attempt that was cut.
+// abortDetail is the fault detail of an aborted attempt; it is sent to the caller.
 const abortDetail = "the router cut the attempt off, because the key's owner changes"
 
-// fault is the end of an attempt that was cut before its answer began.
+// fault returns the fault of an attempt that was aborted before its response began.
 func (c *Cut) fault(ran fault.Ran) *fault.Fault {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/target/acquire.go
+++ b/target/acquire.go
@@ -7,8 +7,8 @@
 	"tarragongw/core/fault"
 )
 
-// waiter is an attempt that waits for a connection. A nil conn handed to it is
-// the permission to open one, already counted.
+// waiter is an attempt that is queued for a connection. A nil conn sent to it is the
+// permission to open one; its slot is already counted.
 type waiter struct {
 	ready chan *conn
 }
@@ -58,7 +58,7 @@
 	}
 }
 
-// openCause says why a connection has to be opened now; the lock is held.
+// openCause returns why a connection has to be opened now. The caller holds mu.
 func (p *Pool) openCause() OpenCause {
 	switch {
 	case p.inUse > 0:
@@ -66,13 +66,14 @@
 	case p.counts.Dials == 0:
 		return OpenedFirst
 	case p.lastCloseCause == "":
-		return OpenedBroken // the one before could not be opened
+		return OpenedBroken // the previous attempt to open one failed
 	default:
 		return p.lastCloseCause
 	}
 }
 
-// popIdle takes the connection that rested last and counts it in use.
+// popIdle takes the most recently used idle connection and counts it as in use, or returns
+// nil. The caller holds mu.
 func (p *Pool) popIdle() *conn {
 	n := len(p.idle)
 	if n == 0 {
@@ -85,7 +86,8 @@
 	return c
 }
 
-// checkReuse counts the reuse of a connection that is in use now, or drops it.
+// checkReuse reports whether a connection that is now in use again can take an exchange, and
+// counts the reuse. Otherwise it closes the connection.
 func (p *Pool) checkReuse(c *conn) bool {
 	now := p.cfg.Now()
 	switch {
@@ -106,40 +108,42 @@
 	return now.Sub(c.opened) >= p.cfg.MaxAge || now.Sub(c.idleSince) >= p.maxIdle() || !p.certAccepted(c, now)
 }
 
-// idleTimeoutMargin is the part, one in so many, by which a connection is closed before the
-// target would: a request on its way just then would be lost, and could not be repeated.
+// idleTimeoutMargin is the divisor for the margin, as a fraction of the target's idle timeout,
+// by which the pool closes an idle connection before the target does. A request that is sent
+// just as the target closes the connection would be lost, and could not be retried.
 const idleTimeoutMargin = 5
 
-// maxIdle is how long a connection may have rested.
+// maxIdle returns how long a connection may stay idle.
 func (p *Pool) maxIdle() time.Duration {
-	if rest := time.Duration(p.targetIdleTimeout.Load()); rest > 0 && rest < p.cfg.MaxIdle {
-		return rest
+	if targetIdleTimeout := time.Duration(p.targetIdleTimeout.Load()); targetIdleTimeout > 0 && targetIdleTimeout < p.cfg.MaxIdle {
+		return targetIdleTimeout
 	}
 	return p.cfg.MaxIdle
 }
 
-// await waits for a connection or for the permission to open one. With neither
-// and no fault, the pool was closed or the connection is gone: look again.
+// await waits for a connection or for the permission to open one. If it returns none of c,
+// dial and f, the pool has been closed and the caller must start over.
 func (p *Pool) await(ctx context.Context, w *waiter) (c *conn, dial bool, f *fault.Fault) {
-	var late <-chan time.Time
+	var timeout <-chan time.Time
 	if p.cfg.Wait > 0 {
 		timer := time.NewTimer(p.cfg.Wait)
 		defer timer.Stop()
-		late = timer.C
+		timeout = timer.C
 	}
 	select {
 	case c, ok := <-w.ready:
 		return c, ok && c == nil, nil
 	case <-ctx.Done():
 		f = contextFault(ctx, fault.NotRun)
-	case <-late:
+	case <-timeout:
 		f = notRun(fault.QueueFull, nil, "no connection of the target came free in time")
 	}
 	p.abandonWait(w, f.Kind == fault.QueueFull)
 	return nil, false, f
 }
 
-// abandonWait takes a waiter out of the queue, or hands on what it was just given.
+// abandonWait removes a waiter from the queue. If the waiter has just been sent a connection
+// or a slot, it passes that on.
 func (p *Pool) abandonWait(w *waiter, full bool) {
 	p.mu.Lock()
 	if full {
@@ -163,11 +167,11 @@
 	}
 }
 
-// dial opens a connection; its place in the budget is taken already.
+// dial opens a connection, whose slot the caller has already taken.
 func (p *Pool) dial(ctx context.Context) (*conn, *fault.Fault) {
-	limited, cancel := context.WithTimeout(ctx, p.cfg.DialTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, p.cfg.DialTimeout)
 	defer cancel()
-	c, err := p.connect(limited)
+	c, err := p.connect(dialCtx)
 	p.mu.Lock()
 	p.counts.Dials++
 	if err != nil {
@@ -189,16 +193,16 @@
 	if err != nil {
 		return nil, err
 	}
-	round := p.rechecks.Load()
+	rechecks := p.rechecks.Load()
 	c := newConn(raw, p.cfg.ProgressTimeout, p.cfg.Now())
 	if p.cfg.TLS == nil {
 		return c, nil
 	}
-	secure := c.startTLS(p.cfg.TLS())
-	if err := secure.HandshakeContext(ctx); err != nil {
+	tlsConn := c.startTLS(p.cfg.TLS())
+	if err := tlsConn.HandshakeContext(ctx); err != nil {
 		raw.Close()
 		return nil, err
 	}
-	c.cert = newPeerCert(secure.ConnectionState(), round)
+	c.cert = newPeerCert(tlsConn.ConnectionState(), rechecks)
 	return c, nil
 }
--- a/target/attempt.go
+++ b/target/attempt.go
@@ -15,86 +15,90 @@
 	"tarragongw/reqctx"
 )
 
-// maxInformational bounds the 1xx answers before the final one.
+// maxInformational bounds the number of 1xx responses before the final one.
 const maxInformational = 16
 
 var (
-	errTooManyInformational = errors.New("target: too many informational answers")
-	errSwitchedProtocols    = errors.New("target: the target switched protocols unasked")
-	errEarlyResponse        = errors.New("target: an answer came before the request")
+	errTooManyInformational = errors.New("target: too many informational responses")
+	errSwitchedProtocols    = errors.New("target: the target switched protocols without being asked")
+	errEarlyResponse        = errors.New("target: a response arrived before the request was sent")
 )
 
-// exchange is one request and its answer on one connection. It is the answer's
-// body as well.
+// exchange is one request and its response on one connection. It also serves as the response
+// body.
 type exchange struct {
 	pool             *Pool
 	conn             *conn
 	ctx              context.Context
 	stopContextWatch func() bool
-	cut              *Cut
+	aborter          *Cut
 	upload           *upload
 	body             io.ReadCloser
 
+	// sentBefore is the connection's count of sent bytes before the request.
 	sentBefore int64
-	malformed  bool
-	unframed   bool
-	// staleResponse says that an answer to an earlier request came first: the target's count of
-	// answers is off, so that the connection is not used again.
+	// malformed is set if net/http refused to write the request.
+	malformed bool
+	// unframed is set if the response has neither a length nor chunked encoding.
+	unframed bool
+	// staleResponse is set if a response to an earlier request arrived first. The target's
+	// responses are then out of step with the requests, so the connection is not reused.
 	staleResponse bool
-	// keepConn says that the connection may be used again after the whole answer.
+	// keepConn is set if the connection may be reused after a complete response.
 	keepConn bool
 	ended    atomic.Bool
-	// closing says that Close has closed the connection.
+	// closing is set when Close has closed the connection.
 	closing atomic.Bool
-	// readMu is held by Read and by Close once it has closed the connection, so that
-	// the buffers aren't lent on while a Read is still in them.
+	// readMu is held by Read, and by Close after it has closed the connection, so that the
+	// buffers aren't released while a Read still uses them.
 	readMu  sync.Mutex
 	readErr error
 }
 
-// Attempt implements Attempter. The request is written as it is, so the caller
-// has removed hop-by-hop fields. Attempt reads the request's body, which it never
-// closes; a fault of kind other than TargetRefused that says "not run" has read
-// nothing of it. After a fault the body may still be in one Read that only its
-// owner can end, and no other follows.
+// Attempt implements Attempter. The request is written as it is, so the caller must have
+// removed hop-by-hop fields. Attempt reads the request's body but never closes it. If it
+// returns a fault with Ran NotRun and a Kind other than TargetRefused, it has read nothing of
+// the body. After a fault, one Read of the body may still be in progress, which only the
+// body's owner can end; no other follows.
 //
-// The context bounds the whole exchange, the answer's body included. The caller
-// must read the body to its end or close it. Informational answers other than
-// "100 Continue" go to the context's httptrace.ClientTrace.
+// The context bounds the whole exchange, including the response body. The caller must read
+// the response body to its end or close it. Informational responses are reported to the
+// context's httptrace.ClientTrace.
 func (p *Pool) Attempt(ctx context.Context, r *http.Request) (*http.Response, *fault.Fault) {
 	return p.AttemptOn(ctx, r, Terms{})
 }
 
-// Terms are what an attempt is made under, beyond its context.
+// Terms are the options of an attempt. All fields are optional.
 type Terms struct {
-	// Allowed is asked once there is a connection and right before the request is
-	// written. Where it returns a fault, that fault is the attempt's and the connection
-	// stays usable.
+	// Allowed is called when the connection is ready, right before the request is written. If
+	// it returns a fault, nothing is written, the attempt returns that fault, and the connection
+	// is released for reuse.
 	//
-	// A check before the attempt isn't enough where sending is a right that lapses:
-	// waiting for a connection and opening it may take longer than the right has left,
-	// and the target would get work from a router that may no longer send it.
+	// If sending requires a lease, a check before the attempt is not enough: the lease may
+	// expire while the attempt waits for a connection or opens one, and the target would get
+	// work from a router that may no longer send it.
 	Allowed func() *fault.Fault
-	// Still is asked in the moment in which bytes of the request are handed to the kernel;
-	// begun says that some have been already. Where it returns a fault, nothing more is sent,
-	// the connection is closed, and the attempt ends with that fault or, once begun, as lost.
+	// Still is called right before each write of request bytes to the kernel; started is true if
+	// bytes of the request have been written before. If it returns a fault, nothing more is
+	// sent, the connection is closed, and the attempt ends with that fault or, if started, with
+	// TargetLost.
 	//
-	// Allowed isn't enough where the process may be suspended: after it the header is put
-	// together, for a request with a body in a goroutine that has to be scheduled first, and
-	// the body follows in a write of its own. A process that is suspended in between would
-	// act on a right that has lapsed when it goes on; one would notice a request that runs
-	// at a key's former owner.
-	Still func(begun bool) *fault.Fault
-	// Until returns when the right to send ends, by clock.Boot; no byte is handed to the kernel
-	// later, also where the process is suspended after Still. It is asked after Still. Nil
-	// leaves it at Still.
-	Until func(begun bool) time.Duration
-	// Cut ends the attempt from outside.
+	// Allowed alone is not enough if the process may be suspended: after it returns, the header
+	// is still to be built, by a goroutine that must be scheduled first if there is a body, and
+	// the body is sent in a write of its own. A process that is suspended in between would
+	// resume and write after its lease has expired, and the request would run at the key's
+	// former holder.
+	Still func(started bool) *fault.Fault
+	// Until, called after Still, returns when the lease to send expires, by clock.Boot. No byte
+	// is handed to the kernel after that time, even if the process is suspended after Still. If
+	// Until is nil, only Still is checked.
+	Until func(started bool) time.Duration
+	// Cut aborts the attempt from outside.
 	Cut *Cut
 }
 
-// AttemptOn is Attempt under terms.
-func (p *Pool) AttemptOn(ctx context.Context, r *http.Request, terms Terms) (*http.Response, *fault.Fault) {
+// AttemptOn is Attempt with options.
+func (p *Pool) AttemptOn(ctx context.Context, r *http.Request, opts Terms) (*http.Response, *fault.Fault) {
 	if ctx.Err() != nil {
 		return nil, contextFault(ctx, fault.NotRun)
 	}
@@ -102,15 +106,15 @@
 	if f != nil {
 		return nil, f
 	}
-	if terms.Allowed != nil {
-		if f := terms.Allowed(); f != nil {
+	if opts.Allowed != nil {
+		if f := opts.Allowed(); f != nil {
 			p.release(c)
 			return nil, f
 		}
 	}
 	c.attachBuffers()
-	c.setOptions(terms)
-	x := &exchange{pool: p, conn: c, ctx: ctx, cut: terms.Cut, sentBefore: c.sent.Load()}
+	c.setOptions(opts)
+	x := &exchange{pool: p, conn: c, ctx: ctx, aborter: opts.Cut, sentBefore: c.sent.Load()}
 	x.watch()
 	resp, err := x.roundTrip(r)
 	if err != nil {
@@ -128,23 +132,24 @@
 	return resp, nil
 }
 
-// observe notes what an answer's header says of its target.
+// observe evaluates what a response header says about the target.
 func (p *Pool) observe(resp *http.Response) {
-	if rest := keepAliveTimeout(resp.Header); rest > 0 {
-		p.targetIdleTimeout.Store(int64(rest - rest/idleTimeoutMargin))
+	if targetIdleTimeout := keepAliveTimeout(resp.Header); targetIdleTimeout > 0 {
+		p.targetIdleTimeout.Store(int64(targetIdleTimeout - targetIdleTimeout/idleTimeoutMargin))
 	}
 	if p.cfg.Dialect.Observe != nil {
 		p.cfg.Dialect.Observe(resp.Header)
 	}
 }
 
-// failInvalid ends an exchange whose answer can't be the target's.
+// failInvalid ends an exchange whose response can't come from the target itself.
 func (x *exchange) failInvalid(err error) *fault.Fault {
 	f := x.fail(err)
 	f.Kind, f.Ran, f.Cause = fault.AnswerInvalid, fault.RanUnknown, err
 	return f
 }
 
+// roundTrip sends the request and reads the response up to the end of its header.
 func (x *exchange) roundTrip(r *http.Request) (*http.Response, error) {
 	if hasBody(r) && !(x.pool.inlineSmallBodies && inlineBody(r)) {
 		x.upload = startUpload(x.conn, r)
@@ -156,8 +161,8 @@
 	return x.readResponse(r)
 }
 
-// writeRequest writes a request without a body, or with one that is at hand, in the
-// caller's goroutine.
+// writeRequest writes a request without a body, or with an inline body, in the caller's
+// goroutine.
 func (x *exchange) writeRequest(r *http.Request) error {
 	err := r.Write(x.conn.bw)
 	if err == nil {
@@ -167,11 +172,11 @@
 	return err
 }
 
-// readResponse reads up to the end of the final answer's header.
+// readResponse reads up to the end of the final response's header.
 func (x *exchange) readResponse(r *http.Request) (*http.Response, error) {
 	x.conn.headerLeft = x.pool.cfg.MaxHeaderBytes
 	defer func() { x.conn.headerLeft = -1 }()
-	overdue := 0
+	staleResponses := 0
 	for range maxInformational {
 		resp, err := http.ReadResponse(x.conn.br, r)
 		if err != nil {
@@ -182,7 +187,7 @@
 		}
 		switch {
 		case resp.StatusCode >= http.StatusOK && x.pool.cfg.Dialect.forOtherRequest(r, resp):
-			if overdue++; overdue > maxStaleResponses || !skipResponse(resp) {
+			if staleResponses++; staleResponses > maxStaleResponses || !skipResponse(resp) {
 				return nil, errStaleResponse
 			}
 			x.staleResponse = true
@@ -203,8 +208,9 @@
 	return nil, errTooManyInformational
 }
 
-// skipResponse reads an answer that belongs to an earlier request to its end, after which the
-// one that is waited for comes; without a length it has no end that could be known.
+// skipResponse reads a response to an earlier request to its end, so that the expected one can
+// be read next. It reports false if that fails or if the end can't be determined, because the
+// response has neither a length nor chunked encoding.
 func skipResponse(resp *http.Response) bool {
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
 		return false
@@ -213,7 +219,7 @@
 	return err == nil
 }
 
-// trace1xx hands an informational answer to who asked for it.
+// trace1xx reports an informational response to the context's httptrace.ClientTrace.
 func (x *exchange) trace1xx(resp *http.Response) error {
 	trace := httptrace.ContextClientTrace(x.ctx)
 	if trace == nil || trace.Got1xxResponse == nil {
@@ -222,7 +228,7 @@
 	return trace.Got1xxResponse(resp.StatusCode, textproto.MIMEHeader(resp.Header))
 }
 
-// fail ends an exchange whose answer did not begin.
+// fail ends an exchange that failed before its response began.
 func (x *exchange) fail(err error) *fault.Fault {
 	x.conn.closeAndWait()
 	x.upload.stop()
@@ -232,8 +238,8 @@
 	return f
 }
 
-// finishRefused ends an exchange that the target did not run. The connection is kept
-// where the rest of the answer is here already.
+// finishRefused ends an exchange whose request the target did not run. The connection is kept
+// if the rest of the response has been received already.
 func (x *exchange) finishRefused(resp *http.Response) {
 	p := x.pool
 	p.mu.Lock()
@@ -247,7 +253,7 @@
 	x.finish(fault.TargetRefused)
 }
 
-// startBody makes the exchange the answer's body, or ends it where there is none.
+// startBody makes the exchange the response body, or ends it if there is no body.
 func (x *exchange) startBody(r *http.Request, resp *http.Response) {
 	x.keepConn = allowsReuse(resp) && !r.Close && !x.staleResponse
 	if resp.Body == http.NoBody {
@@ -259,7 +265,7 @@
 	resp.Body = x
 }
 
-// allowsReuse reports whether the header allows another request on the connection.
+// allowsReuse reports whether the response header allows another request on the connection.
 func allowsReuse(resp *http.Response) bool {
 	if resp.Close {
 		return false
@@ -268,8 +274,8 @@
 	return hasLength || resp.Body == http.NoBody
 }
 
-// Read implements io.Reader for the answer's body. An answer that breaks off ends
-// with a *fault.Fault that wraps io.ErrUnexpectedEOF, never with io.EOF.
+// Read implements io.Reader for the response body. If the response is truncated, it returns a
+// *fault.Fault that wraps io.ErrUnexpectedEOF, never io.EOF.
 func (x *exchange) Read(b []byte) (int, error) {
 	x.readMu.Lock()
 	defer x.readMu.Unlock()
@@ -287,8 +293,8 @@
 	return n, x.readErr
 }
 
-// finishRead ends the exchange at an error or the end of the answer's body and returns
-// what the reader is told.
+// finishRead ends the exchange at an error or at the end of the response body. It returns the
+// error for the reader.
 func (x *exchange) finishRead(err error) error {
 	if err == io.EOF && x.unframed && x.pool.cfg.RequireFraming {
 		err = errUnframed
@@ -303,8 +309,8 @@
 	return f
 }
 
-// Close implements io.Closer. Before the answer's end it closes the connection,
-// and with it whatever of the answer is still to come.
+// Close implements io.Closer. If the response has not been read to its end, Close closes the
+// connection.
 func (x *exchange) Close() error {
 	if x.ended.Load() {
 		return nil
@@ -317,13 +323,13 @@
 	return nil
 }
 
-// finish ends the exchange once: its connection rests or is closed.
+// finish ends the exchange, once, and releases its connection for reuse or closes it.
 func (x *exchange) finish(kind fault.Kind) {
 	if !x.ended.CompareAndSwap(false, true) {
 		return
 	}
-	whole := x.stopWatch() && x.keepConn && !x.closing.Load() && x.upload.waitSent()
-	if !whole || x.conn.br.Buffered() > 0 {
+	reuse := x.stopWatch() && x.keepConn && !x.closing.Load() && x.upload.waitSent()
+	if !reuse || x.conn.br.Buffered() > 0 {
 		x.conn.abort()
 		x.upload.stop()
 		x.freeConn(kind)
@@ -333,20 +339,20 @@
 	x.pool.release(x.conn)
 }
 
-// watch ends the exchange with its context or its Cut.
+// watch aborts the exchange when its context ends or its Cut is used.
 func (x *exchange) watch() {
 	x.stopContextWatch = reqctx.AfterFunc(x.ctx, x.conn.abort)
-	x.cut.bind(x.conn.abort)
+	x.aborter.bind(x.conn.abort)
 }
 
-// stopWatch stops watching; false means that the context or the Cut has ended the
-// exchange and the connection is being closed.
+// stopWatch ends watch. It reports false if the context or the Cut has aborted the exchange;
+// the connection is then being closed.
 func (x *exchange) stopWatch() bool {
-	unharmed := x.cut.unbind()
-	return x.stopContextWatch() && unharmed
+	notAborted := x.aborter.unbind()
+	return x.stopContextWatch() && notAborted
 }
 
-// freeConn frees the place of a closed connection and counts why.
+// freeConn frees the slot of a closed connection and counts the reason.
 func (x *exchange) freeConn(kind fault.Kind) {
 	p := x.pool
 	count, cause := &p.counts.Broken, OpenedBroken
--- a/target/conn.go
+++ b/target/conn.go
@@ -17,20 +17,23 @@
 )
 
 var (
-	errWritesClosed   = errors.New("target: connection sealed")
-	errLeaseExpired   = errors.New("target: the right to send has lapsed")
-	errHeaderTooLarge = errors.New("target: header of the answer is too large")
+	errWritesClosed   = errors.New("target: connection closed for writing")
+	errLeaseExpired   = errors.New("target: the lease to send has expired")
+	errHeaderTooLarge = errors.New("target: the response header is too large")
 )
 
-// deadlineSlack is the part of the progress timeout by which a deadline is set
-// further than needed, so that most reads and writes needn't set a new one.
+// deadlineSlack is the divisor for the extra time, as a fraction of the progress timeout, by
+// which a deadline is set later than needed, so that most reads and writes needn't set a new
+// one.
 const deadlineSlack = 4
 
-// conn is one connection. Its Read and Write work on the raw connection, below
-// TLS, and roll the progress deadlines; work goes through stream.
+// conn is one connection. Its Read and Write work on the raw connection, below TLS, and extend
+// the progress deadlines; requests and responses go through stream.
 type conn struct {
-	raw           net.Conn
-	stream        net.Conn
+	raw    net.Conn
+	stream net.Conn
+	// sock is the raw connection's socket, nil if it has none. inspectSocket, passed to
+	// sock.Control, stores its result in socketClean.
 	sock          syscall.RawConn
 	inspectSocket func(fd uintptr)
 	socketClean   bool
@@ -42,35 +45,40 @@
 	progressTimeout time.Duration
 	readUntil       time.Time
 	writeUntil      time.Time
-	// received and sent count raw bytes; a change excuses the other direction's silence.
+	// received and sent count raw bytes. Progress in one direction extends the timeout of the
+	// other.
 	received atomic.Int64
 	sent     atomic.Int64
-	// timeoutPaused says that the request's body waits for the caller, not for the target.
+	// timeoutPaused suspends the progress timeout while the request's body is waiting for the
+	// caller or for "100 Continue".
 	timeoutPaused atomic.Bool
-	// timedOut is set when the progress timeout ended a read or write.
+	// timedOut is set when a read or write ended at the progress timeout.
 	timedOut atomic.Bool
 	// writeFailed is set when a write on the raw connection failed.
 	writeFailed atomic.Bool
 
-	// headerLeft bounds what may be read while the header is awaited; negative means no bound.
-	headerLeft  int64
+	// headerLeft is how many bytes may still be read of the response header; negative means no
+	// limit.
+	headerLeft int64
+	// skipRawRead makes Read return "would block" without reading; see noBufferedTLSData.
 	skipRawRead bool
 
 	writeMu      sync.Mutex
 	writesClosed bool
-	// opts are those of the exchange, begun says that bytes of it have been written, and
-	// refused is why no more may be. All are guarded by writeMu.
+	// opts are those of the current exchange; started is set once bytes of its request have
+	// been written; writeFault is why no more may be written. All are guarded by writeMu.
 	opts       Terms
 	started    bool
 	writeFault *fault.Fault
-	abort      func()
+	// abort closes the raw connection.
+	abort func()
 
 	br *bufio.Reader
 	bw *bufio.Writer
 }
 
-func newConn(raw net.Conn, progress time.Duration, now time.Time) *conn {
-	c := &conn{raw: raw, progressTimeout: progress, opened: now, headerLeft: -1}
+func newConn(raw net.Conn, progressTimeout time.Duration, now time.Time) *conn {
+	c := &conn{raw: raw, progressTimeout: progressTimeout, opened: now, headerLeft: -1}
 	c.stream = c
 	c.abort = func() { raw.Close() }
 	if sc, ok := raw.(syscall.Conn); ok {
@@ -114,8 +122,8 @@
 	}
 }
 
-// Write implements net.Conn on the raw connection. It counts the bytes that the
-// kernel took, which is what a "not run" rests on.
+// Write implements net.Conn on the raw connection. It counts the bytes that the kernel
+// accepted; fault.NotRun is reported on the basis of this count.
 func (c *conn) Write(b []byte) (int, error) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -126,7 +134,7 @@
 	for {
 		received := c.received.Load()
 		c.extendDeadline(&c.writeUntil, c.raw.SetWriteDeadline)
-		if !c.checkWrite() { // last, so that as little as can be lies between the look and the bytes
+		if !c.checkWrite() { // last, to keep the time between the check and the write short
 			return total, errLeaseExpired
 		}
 		n, err := c.writeRaw(b[total:])
@@ -153,7 +161,7 @@
 	}
 }
 
-// writeRaw writes without a look at the terms other than until when the right to send lasts.
+// writeRaw writes to the raw connection, under the exchange's lease if it has one.
 func (c *conn) writeRaw(b []byte) (int, error) {
 	if c.opts.Until == nil || c.sock == nil {
 		return c.raw.Write(b)
@@ -161,14 +169,15 @@
 	return leasewrite.Write(c.sock, b, c.opts.Until(c.started))
 }
 
-// setOptions sets the terms of an exchange.
-func (c *conn) setOptions(terms Terms) {
+// setOptions sets the options of the next exchange.
+func (c *conn) setOptions(opts Terms) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
-	c.opts, c.started = terms, false
+	c.opts, c.started = opts, false
 }
 
-// checkWrite asks whether the terms still hold. The lock is held.
+// checkWrite reports whether the exchange may still write; if not, it stops all writes. The
+// caller holds writeMu.
 func (c *conn) checkWrite() bool {
 	if c.opts.Still == nil {
 		return true
@@ -180,14 +189,15 @@
 	return true
 }
 
-// stopWrites ends the connection before another byte is written. The lock is held.
+// stopWrites closes the connection, so that no further byte is written. The caller holds
+// writeMu.
 func (c *conn) stopWrites(f *fault.Fault) {
 	c.writeFault = f
 	c.writesClosed = true
 	c.raw.Close()
 }
 
-// refusedWrite returns what refused a write of the exchange; nil where none was refused.
+// refusedWrite returns the fault for which a write of the exchange was refused, or nil.
 func (c *conn) refusedWrite() *fault.Fault {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -197,6 +207,8 @@
 	return c.writeFault
 }
 
+// extendDeadline sets a new deadline if the one set last, until, is less than the progress
+// timeout away.
 func (c *conn) extendDeadline(until *time.Time, set func(time.Time) error) {
 	if c.progressTimeout <= 0 {
 		return
@@ -210,11 +222,11 @@
 	_ = set(*until)
 }
 
-// closeAndWait closes the connection, waits for a write under way and lets no other
-// follow. The count of sent bytes is final afterwards.
+// closeAndWait closes the connection, waits for a write in progress and allows no further
+// writes. The count of sent bytes is final afterwards.
 //
-// Without it the count could be read as zero while the writer's goroutine hands the
-// header to the kernel, and a request that ran would be reported as not run.
+// Otherwise the count could be read as zero while the writer goroutine hands the header to
+// the kernel, and a request that ran would be reported as not run.
 func (c *conn) closeAndWait() {
 	c.raw.Close()
 	c.writeMu.Lock()
@@ -222,9 +234,8 @@
 	c.writeMu.Unlock()
 }
 
-// wrote reports whether more than the count before has been sent. An answer can
-// come back before the writer's goroutine has counted what it sent, so a write
-// under way is waited for.
+// wrote reports whether the count of sent bytes exceeds before. A response can arrive before
+// the writer goroutine has counted what it sent, so wrote waits for a write in progress.
 func (c *conn) wrote(before int64) bool {
 	if c.sent.Load() > before {
 		return true
@@ -234,8 +245,8 @@
 	return c.sent.Load() > before
 }
 
-// ReadFrom implements io.ReaderFrom, by which bufio hands over the body of an
-// upload: it saves the copy through the small buffer and most of the writes.
+// ReadFrom implements io.ReaderFrom, which bufio uses for the body of an upload. It avoids
+// copying through bufio's small buffer and saves most of the write calls.
 func (c *conn) ReadFrom(r io.Reader) (int64, error) {
 	b := copyBuffers.Get().(*[copyBufferSize]byte)
 	defer copyBuffers.Put(b)
@@ -262,8 +273,8 @@
 
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// reusable reports whether a connection that rested may be used again: neither
-// closed by the target nor holding bytes that nobody asked for.
+// reusable reports whether an idle connection may be used again: the target has neither
+// closed it nor sent bytes on it unasked.
 func (c *conn) reusable() bool {
 	if c.sock != nil {
 		c.socketClean = false
@@ -274,8 +285,8 @@
 	return c.stream == net.Conn(c) || c.noBufferedTLSData()
 }
 
-// noBufferedTLSData reports whether TLS holds no record that it read ahead. The
-// raw read answers "would block" meanwhile, an error that TLS doesn't remember.
+// noBufferedTLSData reports whether TLS has buffered no data ahead of the reader. Meanwhile
+// raw reads return "would block", an error that TLS doesn't treat as permanent.
 func (c *conn) noBufferedTLSData() bool {
 	c.skipRawRead = true
 	var b [1]byte
@@ -284,7 +295,7 @@
 	return n == 0 && errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// startTLS puts a TLS client on the connection.
+// startTLS makes the connection's stream a TLS client.
 func (c *conn) startTLS(config *tls.Config) *tls.Conn {
 	t := tls.Client(c, config)
 	c.stream = t
@@ -296,8 +307,8 @@
 	writers = sync.Pool{New: func() any { return bufio.NewWriter(nil) }}
 )
 
-// attachBuffers lends buffers to the connection for one exchange; a connection at rest
-// holds none, which keeps thousands of them small.
+// attachBuffers gives the connection buffers for one exchange. Idle connections have none,
+// which saves memory when there are thousands of them.
 func (c *conn) attachBuffers() {
 	c.br = readers.Get().(*bufio.Reader)
 	c.br.Reset(c.stream)
@@ -305,7 +316,7 @@
 	c.bw.Reset(c.stream)
 }
 
-// releaseBuffers gives the buffers back. It must not be called while the writer's
+// releaseBuffers returns the buffers to their pools. It must not be called while the writer
 // goroutine may still use them.
 func (c *conn) releaseBuffers() {
 	c.br.Reset(eofReader{})
@@ -319,8 +330,8 @@
 
 func (eofReader) Read([]byte) (int, error) { return 0, io.EOF }
 
-// Close, LocalAddr and the rest complete net.Conn for TLS. TLS sets a write
-// deadline only around its closing alert.
+// The following methods complete net.Conn for TLS, which sets a write deadline only for its
+// closing alert.
 func (c *conn) Close() error                       { return c.raw.Close() }
 func (c *conn) LocalAddr() net.Addr                { return c.raw.LocalAddr() }
 func (c *conn) RemoteAddr() net.Addr               { return c.raw.RemoteAddr() }
--- a/target/control.go
+++ b/target/control.go
@@ -45,15 +45,15 @@
 // NewControl returns the Control of a pool. A pool has at most one, and its ControlConns
 // must not be negative.
 func NewControl(work *Pool) (*Control, error) {
-	share := work.cfg.ControlConns
-	if share == 0 {
+	reserved := work.cfg.ControlConns
+	if reserved == 0 {
 		return nil, errors.New("target: the pool reserves no connections for control")
 	}
 	if !work.hasControl.CompareAndSwap(false, true) {
 		return nil, errors.New("target: the pool already has a Control")
 	}
 	cfg := work.cfg
-	cfg.MaxConns = share
+	cfg.MaxConns = reserved
 	cfg.ControlConns = -1
 	cfg.Wait = -1
 	cfg.MaxHeaderBytes = DefaultMaxHeaderBytes
--- a/target/faults.go
+++ b/target/faults.go
@@ -12,17 +12,17 @@
 	"tarragongw/core/fault"
 )
 
-// errUnframed ends an answer that has neither a length nor chunks, where the
-// settings ask for framing.
-var errUnframed = errors.New("target: the answer has neither a length nor chunks, its end can't be verified")
+// errUnframed ends a response that has neither a length nor chunked encoding, if
+// PoolConfig.RequireFraming is set.
+var errUnframed = errors.New("target: the response has neither a length nor chunked encoding, so its end can't be verified")
 
-// notRun returns a fault that states, with proof, that the request did not run.
+// notRun returns a fault for a request that has provably not run.
 func notRun(kind fault.Kind, cause error, detail string) *fault.Fault {
 	return &fault.Fault{Kind: kind, Ran: fault.NotRun, Detail: detail, Cause: cause}
 }
 
-// contextFault tells a passed deadline from a caller that went away. A context
-// cancelled with a cause that is context.DeadlineExceeded counts as a deadline.
+// contextFault returns the fault for a context that has ended: DeadlineExceeded if the
+// deadline has passed or the context was cancelled with that cause, otherwise CallerGone.
 func contextFault(ctx context.Context, ran fault.Ran) *fault.Fault {
 	cause := context.Cause(ctx)
 	if errors.Is(cause, context.DeadlineExceeded) {
@@ -31,8 +31,8 @@
 	return &fault.Fault{Kind: fault.CallerGone, Ran: ran, Cause: cause}
 }
 
-// requestFault turns an exchange that ended before its answer began into a fault. The
-// connection is sealed, so the count of sent bytes is final.
+// requestFault returns the fault of an exchange that ended before its response began. The
+// connection has been closed by closeAndWait, so the count of sent bytes is final.
 func (x *exchange) requestFault(err error) *fault.Fault {
 	c := x.conn
 	ran := fault.RanUnknown
@@ -46,8 +46,8 @@
 	switch {
 	case x.ctx.Err() != nil:
 		return contextFault(x.ctx, ran)
-	case x.cut.isAborted():
-		return x.cut.fault(ran)
+	case x.aborter.isAborted():
+		return x.aborter.fault(ran)
 	case bodyErr != nil:
 		return &fault.Fault{Kind: fault.CallerGone, Ran: ran, Cause: bodyErr, Detail: "the request's body broke off"}
 	case c.timedOut.Load():
@@ -60,8 +60,8 @@
 	return fault.Wrap(fault.TargetLost, notEOF(err), "no whole header of an answer")
 }
 
-// bodyFault turns an error while the answer's body is read into a fault that is
-// never io.EOF and wraps io.ErrUnexpectedEOF where the answer broke off.
+// bodyFault returns the fault for an error while reading the response body. It never wraps
+// io.EOF, and wraps io.ErrUnexpectedEOF if the response was truncated.
 func (x *exchange) bodyFault(err error) *fault.Fault {
 	switch {
 	case x.ctx.Err() != nil:
@@ -73,7 +73,7 @@
 	return fault.Wrap(fault.AnswerTruncated, fmt.Errorf("%w: %w", io.ErrUnexpectedEOF, notEOF(err)), "")
 }
 
-// notEOF keeps io.EOF, which means a clean end, out of a chain of errors.
+// notEOF replaces an error that wraps io.EOF, which readers take for a clean end.
 func notEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -81,8 +81,9 @@
 	return err
 }
 
-// refusalKind tells a grant that does not fit, which mends itself as soon as router
-// and target agree again, from a target that does not want the work.
+// refusalKind returns StaleRoute for a grant that does not match, which resolves itself as
+// soon as router and target agree again, and TargetRefused for a target that does not want
+// the work.
 func refusalKind(cause string) fault.Kind {
 	switch cause {
 	case CauseUnit, CauseToken, CauseTerm, CauseExpired:
@@ -91,7 +92,7 @@
 	return fault.TargetRefused
 }
 
-// refusal returns the target's statement that it did not run the request, or nil.
+// refusal returns a fault if the response states that the request was not run, or nil.
 func refusal(resp *http.Response) *fault.Fault {
 	if resp.StatusCode != http.StatusServiceUnavailable && resp.StatusCode != http.StatusConflict {
 		return nil
--- a/target/peek_other.go
+++ b/target/peek_other.go
@@ -2,6 +2,6 @@
 
 package target
 
-// openAndEmpty can't look into a socket on this system; a stale connection is then found
-// by the write or read that fails on it.
+// openAndEmpty can't inspect a socket on this system, so it always reports true. A stale
+// connection is then detected only when a write or read on it fails.
 func openAndEmpty(uintptr) bool { return true }
--- a/target/peek_unix.go
+++ b/target/peek_unix.go
@@ -4,8 +4,8 @@
 
 import "syscall"
 
-// openAndEmpty reports whether a socket is open and holds nothing to read, without
-// taking anything from it. An end of stream, an error or unasked bytes give false.
+// openAndEmpty reports whether a socket is open and has no data to read. It consumes nothing.
+// At the end of the stream, on an error or if there is data, it returns false.
 func openAndEmpty(fd uintptr) bool {
 	var b [1]byte
 	_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/target/pool.go
+++ b/target/pool.go
@@ -6,27 +6,28 @@
 	"time"
 )
 
-// Pool holds the connections to one target and sends attempts over them. It is
-// safe for concurrent use. It never repeats a request.
+// Pool holds the connections to one target and sends requests over them. It never retries a
+// request. It is safe for concurrent use.
 type Pool struct {
 	cfg PoolConfig
-	// maxWorkConns is MaxConns less the share for control.
+	// maxWorkConns is MaxConns less ControlConns.
 	maxWorkConns int
-	// hasControl says that a Control has the reserved share.
+	// hasControl is set once a Control uses the reserved connections.
 	hasControl atomic.Bool
-	// inlineSmallBodies says that bodies at hand are written together with their header.
+	// inlineSmallBodies makes small bodies that are in memory be written together with their
+	// header; see inlineBody.
 	inlineSmallBodies bool
 
-	// targetIdleTimeout is how long the target was last heard to keep a connection at rest, less a
-	// margin, in nanoseconds; zero where it doesn't say.
+	// targetIdleTimeout is how long the target keeps an idle connection open according to its
+	// latest Keep-Alive header, less a margin, in nanoseconds; zero if it hasn't said.
 	targetIdleTimeout atomic.Int64
 
 	// rechecks counts the calls of Recheck.
 	rechecks atomic.Uint64
 
 	mu sync.Mutex
-	// idle is a stack: the connection that rested last is used first, so that those
-	// not needed grow old and close.
+	// idle is a stack: the most recently used connection is used first, so that surplus
+	// connections stay idle and are closed.
 	idle    []*conn
 	open    int
 	inUse   int
@@ -35,21 +36,25 @@
 	closed  bool
 	drained chan struct{}
 	counts  Counts
-	// lastCloseCause says why the last connection was closed.
+	// lastCloseCause is why a connection was closed last.
 	lastCloseCause OpenCause
 }
 
-// OpenCause says why a connection is opened.
+// OpenCause is the reason why a connection is opened.
 type OpenCause string
 
-// The causes.
+// Reasons for opening a connection.
 const (
-	// OpenedFirst is the first connection to a target, OpenedBeside one beside others in use.
+	// OpenedFirst is the first connection to a target; OpenedBeside is one opened while others
+	// are in use.
 	OpenedFirst  OpenCause = "first"
 	OpenedBeside OpenCause = "beside"
-	// The others follow one that rested for too long, that the target had closed, that was
-	// closed after an answer because the target said so or had not read the request, that an
-	// exchange had broken, or on which one was cut off for its caller or its time.
+	// The other reasons are why the previous connection was closed: it was idle for too long,
+	// or its age or certificate ended it (OpenedIdle); the target had closed it while it was
+	// idle (OpenedStale); it was closed after a response, because the target asked for that or
+	// had not read the whole request (OpenedEnded); an exchange failed on it (OpenedBroken);
+	// or an exchange on it ended early, because the caller left or the deadline passed
+	// (OpenedCancelled).
 	OpenedIdle      OpenCause = "rested"
 	OpenedStale     OpenCause = "stale"
 	OpenedEnded     OpenCause = "ended"
@@ -62,35 +67,35 @@
 	// Dials and DialErrors count attempts to open a connection and those that failed.
 	Dials      uint64
 	DialErrors uint64
-	// Reuses counts exchanges on a connection that had rested.
+	// Reuses counts exchanges on a reused connection.
 	Reuses uint64
-	// Stale counts connections found dead, or with unasked bytes, before reuse.
+	// Stale counts connections that were found closed, or with unasked bytes, before reuse.
 	Stale uint64
-	// Aged counts connections closed for their age, their rest or their certificate.
+	// Aged counts connections closed because of their age, idle time or certificate.
 	Aged uint64
-	// Silent counts exchanges that the progress timeout ended.
+	// Silent counts exchanges that ended at the progress timeout.
 	Silent uint64
-	// Cancelled counts exchanges that the context ended.
+	// Cancelled counts exchanges that were cancelled or ran into their deadline.
 	Cancelled uint64
-	// Broken counts other exchanges whose connection could not be kept.
+	// Broken counts other exchanges after which the connection could not be reused.
 	Broken uint64
-	// Refused counts requests that the target said it did not run.
+	// Refused counts requests that the target stated it did not run.
 	Refused uint64
 	// Full counts attempts refused because no connection was free.
 	Full uint64
 }
 
-// Stats is a pool's state at one moment.
+// Stats is a snapshot of a pool's state.
 type Stats struct {
 	Counts
-	// Open is the number of connections, those being opened included; InUse have an
-	// exchange on them and Idle rest.
+	// Open is the number of connections, including those being opened. InUse of them have an
+	// exchange in flight or are being opened; Idle are idle.
 	Open, InUse, Idle int
-	// Waiting is the number of attempts that wait for a connection.
+	// Waiting is the number of attempts that are queued for a connection.
 	Waiting int
 }
 
-// New returns a pool for one target. It opens no connection yet.
+// New returns a pool for one target. It opens no connections yet.
 func New(cfg PoolConfig) (*Pool, error) {
 	cfg, err := cfg.withDefaults()
 	if err != nil {
@@ -99,15 +104,15 @@
 	return &Pool{cfg: cfg, maxWorkConns: cfg.MaxConns - cfg.ControlConns, drained: make(chan struct{})}, nil
 }
 
-// Stats returns the pool's counters.
+// Stats returns the pool's state and counters.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return Stats{Counts: p.counts, Open: p.open, InUse: p.inUse, Idle: len(p.idle), Waiting: len(p.waiters)}
 }
 
-// CloseIdle closes the connections that rest, as a grantor does when its duty
-// ends, so that its successor has the target's connection budget.
+// CloseIdle closes the idle connections. A grantor calls it when its responsibility for the
+// target ends, so that its successor can use the target's connection budget.
 func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	idle := p.idle
@@ -117,8 +122,8 @@
 	closeAll(idle)
 }
 
-// Close lets no new attempt in and closes connections as they come to rest.
-// Exchanges in flight go on; Drained tells when the last has ended.
+// Close refuses new attempts and closes connections as they become idle. Exchanges in flight
+// continue; Drained is closed when the last has ended.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	waiters := p.waiters
@@ -137,9 +142,12 @@
 	p.CloseIdle()
 }
 
-// Drained is closed when a closed pool has no exchange in flight.
+// Drained returns a channel that is closed once the pool is closed and has no exchange in
+// flight.
 func (p *Pool) Drained() <-chan struct{} { return p.drained }
 
+// closeDrainedLocked closes the drained channel if the closed pool is unused. The caller
+// holds mu.
 func (p *Pool) closeDrainedLocked() {
 	if p.closed && p.inUse == 0 {
 		close(p.drained)
--- a/target/recheck.go
+++ b/target/recheck.go
@@ -5,47 +5,49 @@
 	"time"
 )
 
-// Recheck holds the certificates of all connections against PoolConfig.Accepts: those at
-// rest that it refuses are closed now, those in use once their exchange has ended.
+// Recheck checks the certificates of all connections against PoolConfig.Accepts. Connections
+// whose certificate is refused are closed: idle ones now, those in use when their exchange
+// has ended.
 //
-// What goes wrong without it: a connection that was opened before a certificate was
-// revoked, or its authority taken out, brings work to its holder for as long as ConnAge.
+// Otherwise a connection that was opened before its certificate was revoked, or before the
+// issuing authority was removed, would be used for up to PoolConfig.MaxAge.
 func (p *Pool) Recheck() {
 	p.rechecks.Add(1)
 	p.sweep(p.cfg.Now())
 }
 
-// Recheck does the same for the connections for control.
+// Recheck does the same as Pool.Recheck for the control connections.
 func (c *Control) Recheck() { c.pool.Recheck() }
 
-// peerCert is what a connection knows of the target's certificate; zero in plain text.
+// peerCert describes the certificate that the target presented on a connection; the zero
+// value stands for plain text.
 type peerCert struct {
 	state    *tls.ConnectionState
 	notAfter time.Time
-	// checkedAt is that of the pool's last Recheck that the certificate has passed.
-	checkedAt uint64
+	// lastRecheck is the value of Pool.rechecks at which the certificate was last checked.
+	lastRecheck uint64
 }
 
-// newPeerCert takes the round that the pool was in when the handshake began: a Recheck during
-// it must not pass the connection over.
-func newPeerCert(state tls.ConnectionState, round uint64) peerCert {
+// newPeerCert returns the peerCert of a connection. rechecks is the value of Pool.rechecks
+// before the handshake, so that a Recheck during the handshake applies to the connection.
+func newPeerCert(state tls.ConnectionState, rechecks uint64) peerCert {
 	if len(state.PeerCertificates) == 0 {
 		return peerCert{}
 	}
 	kept := &tls.ConnectionState{PeerCertificates: state.PeerCertificates, VerifiedChains: state.VerifiedChains}
-	return peerCert{kept, state.PeerCertificates[0].NotAfter, round}
+	return peerCert{kept, state.PeerCertificates[0].NotAfter, rechecks}
 }
 
-// certAccepted reports whether the connection may take another exchange. The connection must
-// be the caller's own, or the pool's lock be held.
+// certAccepted reports whether the connection's certificate allows another exchange. The
+// caller must own the connection or hold mu.
 func (p *Pool) certAccepted(c *conn, now time.Time) bool {
 	if c.cert.state == nil || p.cfg.Accepts == nil {
 		return true
 	}
-	round := p.rechecks.Load()
-	if c.cert.checkedAt == round && !now.After(c.cert.notAfter) {
+	rechecks := p.rechecks.Load()
+	if c.cert.lastRecheck == rechecks && !now.After(c.cert.notAfter) {
 		return true
 	}
-	c.cert.checkedAt = round
+	c.cert.lastRecheck = rechecks
 	return p.cfg.Accepts(c.cert.state) == nil
 }
--- a/target/release.go
+++ b/target/release.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// release brings a connection in use to rest, or hands it to a waiter.
+// release passes a connection in use to a waiter or makes it idle.
 func (p *Pool) release(c *conn) {
 	now := p.cfg.Now()
 	if now.Sub(c.opened) >= p.cfg.MaxAge || !p.certAccepted(c, now) {
@@ -29,21 +29,23 @@
 	p.mu.Unlock()
 }
 
-// closeInUse closes a connection in use, counts why and frees its place. The next one that is
-// opened is opened for the cause.
+// closeInUse closes a connection in use, increments count and frees the slot. cause becomes
+// the reason for opening the next connection.
 func (p *Pool) closeInUse(c *conn, count *uint64, cause OpenCause) {
 	c.raw.Close()
 	p.recordClose(cause)
 	p.freeSlot(count)
 }
 
+// recordClose stores why a connection was closed, as the reason for opening the next one.
 func (p *Pool) recordClose(cause OpenCause) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lastCloseCause = cause
 }
 
-// freeSlot gives the place of a connection in use to a waiter or back to the budget.
+// freeSlot passes the slot of a closed connection that was in use to a waiter, or returns it
+// to the budget. It increments count, if not nil.
 func (p *Pool) freeSlot(count *uint64) {
 	p.mu.Lock()
 	if count != nil {
@@ -69,7 +71,8 @@
 	return w
 }
 
-// armSweeper starts the timer that closes connections which rested too long.
+// armSweeper starts the timer that closes connections that have been idle for too long. The
+// caller holds mu.
 func (p *Pool) armSweeper() {
 	if p.sweeper != nil {
 		return
@@ -87,7 +90,8 @@
 	}
 }
 
-// sweep closes the connections that rested or lived too long at the time now.
+// sweep closes the idle connections that are past their idle time, age or certificate at the
+// time now.
 func (p *Pool) sweep(now time.Time) {
 	p.mu.Lock()
 	var old []*conn
--- a/target/upload.go
+++ b/target/upload.go
@@ -10,45 +10,50 @@
 )
 
 const (
-	// continueTimeout is how long a body waits for "100 Continue"; a target need not send it.
+	// continueTimeout is how long a body waits for "100 Continue"; targets need not send it.
 	continueTimeout = time.Second
-	// uploadFinishTimeout is how long the end of a body without a length may lag behind the end
-	// of the answer before the connection is given up.
+	// uploadFinishTimeout is how long after the end of the response a request body may take to
+	// finish before the connection is closed.
 	uploadFinishTimeout = 5 * time.Millisecond
 )
 
-// errExchangeEnded ends a body that the exchange no longer needs.
+// errExchangeEnded stops the writer when the exchange no longer needs the body.
 var errExchangeEnded = errors.New("target: the exchange ended before the body was sent")
 
 type uploadState uint8
 
 const (
 	uploadWriting uploadState = iota
-	// uploadReading means that the writer waits for the caller's next bytes.
+	// uploadReading means that the writer is reading the caller's body.
 	uploadReading
 	uploadSent
 	uploadFailed
 )
 
-// upload writes a request with a body in a goroutine of its own, so that an early
-// answer is read meanwhile. It wraps the request's body and never closes it.
+// upload writes a request with a body in a goroutine of its own, so that an early response can
+// be read at the same time. It wraps the request's body and never closes it.
 type upload struct {
 	conn *conn
 	body io.Reader
 	// length is the body's length; negative means unknown.
 	length int64
 
-	mu      sync.Mutex
-	left    int64
+	mu sync.Mutex
+	// left is how many bytes of the body are still to be read, if its length is known.
+	left int64
+	// changed signals changes of state and ended.
 	changed sync.Cond
 	state   uploadState
-	ended   bool
+	// ended is set when no more of the body is to be read.
+	ended bool
+	// bodyErr is the error of the caller's body.
 	bodyErr error
-	// malformed says that net/http refused to write the request.
+	// malformed is set if net/http refused to write the request.
 	malformed bool
 
-	// continued is closed when a body held back for "100 Continue" may go on; nil where
-	// it isn't held. released guards it, waited belongs to the writer.
+	// continued is closed when a body that waits for "100 Continue" may be sent or has been
+	// cancelled; nil if the body doesn't wait. continueOnce guards the close; continueWaited is
+	// used only by the writer.
 	continued      chan struct{}
 	continueOnce   sync.Once
 	continueWaited bool
@@ -56,12 +61,12 @@
 
 func hasBody(r *http.Request) bool { return r.Body != nil && r.Body != http.NoBody }
 
-// maxInlineBody bounds a body that is written in one piece with its header, in bytes.
+// maxInlineBody is the largest body, in bytes, that is written together with its header.
 const maxInlineBody = 2 << 10
 
-// inlineBody reports whether the whole body is in memory and so short that it leaves in
-// one write with the header: an early answer waits in the connection meanwhile, and
-// nothing is gained by a goroutine to write in.
+// inlineBody reports whether the whole body is in memory and short enough to be sent in one
+// write with the header. A writer goroutine would gain nothing then, since an early response
+// waits on the connection.
 func inlineBody(r *http.Request) bool {
 	return r.GetBody != nil && r.ContentLength > 0 && r.ContentLength <= maxInlineBody && r.Header.Get("Expect") == ""
 }
@@ -72,12 +77,13 @@
 	out := *r
 	out.Body = u
 	if out.ContentLength == 0 {
-		// Zero with a body means that the length is unknown, as in net/http.
+		// As in net/http, zero together with a body means that the length is unknown.
 		u.length = -1
 	}
 	u.left = u.length
 	if u.length < 0 {
-		// Said outright, for otherwise net/http reads ahead in another goroutine to find out.
+		// Set explicitly, because otherwise net/http reads ahead in another goroutine to
+		// detect an empty body.
 		out.ContentLength = -1
 		out.TransferEncoding = []string{"chunked"}
 	}
@@ -103,13 +109,14 @@
 	u.changed.Broadcast()
 	u.mu.Unlock()
 	if abort {
-		// The target waits for a rest that never comes. After a failed write the
-		// connection stays open, since an early answer may still be read from it.
+		// The target would wait for the rest of a body that never comes. After a failed
+		// write the connection stays open, since an early response may still be read from it.
 		u.conn.abort()
 	}
 }
 
-// Read hands the caller's next bytes to the writer.
+// Read implements io.Reader for net/http, which writes the body. It reads from the caller's
+// body.
 func (u *upload) Read(b []byte) (int, error) {
 	u.awaitContinue()
 	if err := u.beginRead(); err != nil {
@@ -120,10 +127,12 @@
 	return n, err
 }
 
-// Close implements io.Closer for net/http, which closes what it has written. The
-// caller's body stays open: the caller owns it.
+// Close implements io.Closer for net/http, which closes a body after writing it. It leaves
+// the caller's body open, since the caller owns it.
 func (u *upload) Close() error { return nil }
 
+// beginRead notes that the writer starts to read the caller's body. It returns an error if
+// there is nothing more to read.
 func (u *upload) beginRead() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -139,6 +148,7 @@
 	return nil
 }
 
+// endRead notes that a read of the caller's body has returned.
 func (u *upload) endRead(n int, err error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -152,8 +162,8 @@
 	}
 }
 
-// awaitContinue holds the body back until the target asks for it, answers, or
-// has had time to do either.
+// awaitContinue delays a body with "Expect: 100-continue" until the target asks for it or
+// responds, or until continueTimeout.
 func (u *upload) awaitContinue() {
 	if u.continued == nil || u.continueWaited {
 		return
@@ -169,7 +179,7 @@
 	}
 }
 
-// continueBody lets a held body go.
+// continueBody allows a delayed body to be sent.
 func (u *upload) continueBody() {
 	if u == nil || u.continued == nil {
 		return
@@ -177,8 +187,8 @@
 	u.continueOnce.Do(func() { close(u.continued) })
 }
 
-// responseReceived lets a body that is still held back never be sent: the target answered
-// without asking for it.
+// responseReceived cancels a body that is still delayed: the target has responded without
+// asking for it.
 func (u *upload) responseReceived() {
 	if u == nil || u.continued == nil {
 		return
@@ -191,8 +201,8 @@
 	})
 }
 
-// stop lets no further byte of the caller's body be read and waits until the
-// writer is out of the request, or in a read of the body that only the caller can end.
+// stop prevents further reads of the caller's body. It waits until the writer has finished,
+// or is in a read of the body, which only the caller can end.
 func (u *upload) stop() {
 	if u == nil {
 		return
@@ -206,10 +216,11 @@
 	}
 }
 
-// waitSent reports whether the whole body is written, at the end of the answer.
+// waitSent reports at the end of the response whether the whole body has been written. It
+// waits for the writer for up to uploadFinishTimeout.
 //
-// The answer may be read to its end before the writer's goroutine has noted its
-// own end. A connection given up for that would cost a new one for most uploads.
+// The response may be read to its end before the writer goroutine has set its final state.
+// Without the wait, most uploads would close their connection for that reason.
 func (u *upload) waitSent() bool {
 	if u == nil {
 		return true
@@ -229,6 +240,8 @@
 	return timer.Stop() && u.state == uploadSent
 }
 
+// pending reports whether waitSent has to wait for the writer. A body of known length that is
+// still being read is not waited for: part of it is missing. The caller holds mu.
 func (u *upload) pending() bool {
 	switch u.state {
 	case uploadWriting:
@@ -239,7 +252,7 @@
 	return false
 }
 
-// writerDone reports whether the writer's goroutine no longer uses the connection's buffers.
+// writerDone reports whether the writer goroutine no longer uses the connection's buffers.
 func (u *upload) writerDone() bool {
 	if u == nil {
 		return true
@@ -249,6 +262,7 @@
 	return u.state >= uploadSent
 }
 
+// callerBodyError returns the error of the caller's body, or nil.
 func (u *upload) callerBodyError() error {
 	if u == nil {
 		return nil
@@ -258,7 +272,7 @@
 	return u.bodyErr
 }
 
-// isMalformed reports whether net/http would not write the request.
+// isMalformed reports whether net/http refused to write the request.
 func (u *upload) isMalformed() bool {
 	if u == nil {
 		return false
