--- a/target/abort_test.go
+++ b/target/abort_test.go
@@ -13,11 +13,11 @@
 	"tarragongw/internal/faulttest"
 )
 
-// Symptom: a caller's connection breaks off without an answer when a key moves.
-// Sequence: work runs longer than a closing unit allows; the router cuts it.
-// Cause: the cut looks like a caller that went away, for whom there is no answer.
+// Guards against closing a caller's connection without a response when a key moves. Work runs
+// longer than a unit that is being released allows, the router aborts it, and the abort is
+// taken for a caller that went away, which gets no response.
 func TestAbortIsNotReportedAsCallerGone(t *testing.T) {
-	t.Run("while the target is at work", func(t *testing.T) {
+	t.Run("while the target is working", func(t *testing.T) {
 		var cut Cut
 		s := startTarget(t, func(_ net.Conn, br *bufio.Reader) {
 			_, _ = http.ReadRequest(br)
@@ -37,10 +37,8 @@
 	})
 }
 
-// Symptom: a request of another caller is cut off.
-// Sequence: an exchange ends and its connection serves the next; then the first
-// one is cut.
-// Cause: the cut still holds on to the connection.
+// Guards against aborting another caller's request. An exchange ends and its connection carries
+// the next one; then the first exchange is aborted, and its Cut still refers to the connection.
 func TestAbortAfterTheEndDoesNotAffectTheNextExchange(t *testing.T) {
 	var cut Cut
 	s := startTarget(t, respondAlways(okResponse))
@@ -56,10 +54,9 @@
 	assert.Equal(t, p.Stats().Dials, uint64(1))
 }
 
-// Symptom: a caller is refused although the key is served again within a second.
-// Sequence: a grant lapses because its renewal comes late; a request comes first.
-// Cause: the refusal looks like that of a target that does not want the work, which
-// is not waited for.
+// Guards against refusing a caller although the key is served again within a second. A grant
+// expires because its renewal is late, a request arrives before the renewal, and the refusal is
+// taken for that of a target that does not want the work, for which the router does not wait.
 func TestGrantMismatchIsAStaleRoute(t *testing.T) {
 	for cause, want := range map[string]fault.Kind{
 		CauseUnit:    fault.StaleRoute,
--- a/target/attempt_test.go
+++ b/target/attempt_test.go
@@ -21,7 +21,8 @@
 
 var background = context.Background()
 
-// sendGet sends a GET and returns the answer with its whole body, or the error of either.
+// sendGet sends a GET request and returns the response and its whole body, or the error of
+// either.
 func sendGet(t *testing.T, p *Pool, ctx context.Context) (*http.Response, string, error) {
 	t.Helper()
 	resp, f := p.Attempt(ctx, newRequest(t, "GET", nil))
@@ -71,9 +72,8 @@
 	}
 }
 
-// Symptom: a caller takes half a page for the whole.
-// Sequence: the target's answer breaks off after part of the body.
-// Cause: an end of stream taken for the end of the answer.
+// Guards against a caller taking a partial response for a complete one. The target's response
+// breaks off within the body, and the end of the stream is taken for the end of the response.
 func TestTruncatedAnswersNeverEndCleanly(t *testing.T) {
 	cases := []struct{ name, answer string }{
 		{"length", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"},
@@ -136,7 +136,8 @@
 	})
 }
 
-// trailerBody is a body that sets its request's trailer at its end, as net/http's server does.
+// trailerBody is a request body that sets the request's trailer at its end, as net/http's
+// server does.
 type trailerBody struct {
 	io.Reader
 	r *http.Request
@@ -203,26 +204,25 @@
 	assert.Equal(t, p.Stats().Open, 0)
 }
 
-// Symptom: an idle pool sends the answer of one caller to another.
-// Sequence: a caller cancels, the connection goes back to the pool, the late answer
-// arrives and is taken for that of the next request.
-// Cause: a connection kept after a cancelled exchange.
+// Guards against returning one caller's response to another caller. If a connection were kept
+// after its exchange was cancelled, the late response would be taken for the response to the
+// next request.
 func TestCancelledExchangeClosesItsConnection(t *testing.T) {
 	for _, inBody := range []bool{false, true} {
-		arrived := make(chan struct{}, 1)
+		received := make(chan struct{}, 1)
 		closed := make(chan struct{})
 		s := startTarget(t, func(conn net.Conn, br *bufio.Reader) {
 			_, _ = http.ReadRequest(br)
 			if inBody {
 				io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok")
 			}
-			arrived <- struct{}{}
+			received <- struct{}{}
 			readUntilClosed(br, closed)
 		})
 		p := newPool(t, s.addr(), nil)
 		ctx, cancel := context.WithCancel(background)
 		go func() {
-			<-arrived
+			<-received
 			cancel()
 		}()
 		_, _, err := sendGet(t, p, ctx)
--- a/target/bench_unix_test.go
+++ b/target/bench_unix_test.go
@@ -18,14 +18,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// sendFunc sends one request and reads its answer to the end.
+// sendFunc sends a request and reads the response to its end.
 type sendFunc func(r *http.Request) error
 
 func benchServer(b *testing.B) string {
-	answer := []byte(strings.Repeat("x", 512))
+	response := []byte(strings.Repeat("x", 512))
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		_, _ = w.Write(answer)
+		_, _ = w.Write(response)
 	}))
 	b.Cleanup(server.Close)
 	return server.Listener.Addr().String()
@@ -72,8 +72,8 @@
 	}
 }
 
-// BenchmarkExchange compares the pool with net/http's Transport against one
-// server in one process; the server's own cost is in both.
+// BenchmarkExchange compares the pool with net/http's Transport. Client and server run in the
+// same process, so both results include the server's cost.
 func BenchmarkExchange(b *testing.B) {
 	kinds := []struct {
 		name string
@@ -106,8 +106,8 @@
 	}
 }
 
-// cpuTime returns the processor time of the process, client and server together.
-// It varies less than elapsed time on a machine that others use as well.
+// cpuTime returns the CPU time of the process, client and server together. On a shared machine
+// it varies less than elapsed time.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -129,8 +129,8 @@
 	return r
 }
 
-// BenchmarkIdleConnection reports the memory of a connection at rest, server side
-// included; "raw" is a bare net.Conn, so the difference to it is the client's share.
+// BenchmarkIdleConnection reports the memory of an idle connection, including the server side.
+// "raw" is a plain net.Conn, so the difference to it is the client's share.
 func BenchmarkIdleConnection(b *testing.B) {
 	const conns = 500
 	kinds := []struct {
@@ -146,13 +146,13 @@
 	}
 }
 
-// idleBytes returns what open connections at rest take beyond what was there before.
+// idleBytes returns the memory that idle connections take.
 func idleBytes(b *testing.B, make func(*testing.B, string) sendFunc, conns int) float64 {
 	var arrived, done sync.WaitGroup
 	arrived.Add(conns)
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		arrived.Done()
-		arrived.Wait() // all at once, so that each needs a connection of its own
+		arrived.Wait() // all requests are in flight at once, so that each needs a connection
 	}))
 	b.Cleanup(server.Close)
 	address := server.Listener.Addr().String()
@@ -171,7 +171,7 @@
 	return float64(memory()) - float64(before)
 }
 
-// memory returns the bytes of live heap and of stacks.
+// memory returns the bytes in use by the heap and by stacks.
 func memory() uint64 {
 	runtime.GC()
 	runtime.GC() // the second empties the sync.Pools
--- a/target/broken_conn_test.go
+++ b/target/broken_conn_test.go
@@ -19,8 +19,8 @@
 	"tarragongw/internal/faulttest"
 )
 
-// countingTarget is a target that counts how often each request id ran. It runs a
-// request once it has the whole body.
+// countingTarget is a target that counts how often it ran each request id. It runs a request
+// when it has received the whole body.
 type countingTarget struct {
 	mu   sync.Mutex
 	runs map[string]int
@@ -43,7 +43,8 @@
 	return c.runs[id]
 }
 
-// breakingConn is a connection that breaks after a number of bytes; negative means never.
+// breakingConn is a connection that breaks after a number of bytes; a negative number means
+// never.
 type breakingConn struct {
 	net.Conn
 	mu        sync.Mutex
@@ -64,8 +65,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	allowed := len(b)
-	cut := c.writeLeft >= 0 && allowed > c.writeLeft
-	if cut {
+	breaks := c.writeLeft >= 0 && allowed > c.writeLeft
+	if breaks {
 		allowed = c.writeLeft
 	}
 	n := 0
@@ -77,7 +78,7 @@
 	if c.writeLeft >= 0 {
 		c.writeLeft -= n
 	}
-	if cut && err == nil {
+	if breaks && err == nil {
 		c.Conn.Close()
 		err = syscall.ECONNRESET
 	}
@@ -89,7 +90,8 @@
 	left := c.readLeft
 	c.mu.Unlock()
 	if left == 0 {
-		// The next byte is on its way, so the request has run, and gets lost here.
+		// Wait until the next byte of the response arrives, so that the request has run, and
+		// discard it.
 		_, _ = c.Conn.Read(make([]byte, 1))
 		c.Conn.Close()
 		return 0, syscall.ECONNRESET
@@ -107,7 +109,7 @@
 	return n, err
 }
 
-// breakHarness is a target with a pool whose connections can be cut.
+// breakHarness is a target with a pool whose connections can be made to break.
 type breakHarness struct {
 	*countingTarget
 	pool      *Pool
@@ -115,7 +117,7 @@
 	served    chan struct{}
 	last      *breakingConn
 	dialError error
-	// body is that of each request; "" means none.
+	// body is the body of each request; empty means none.
 	body string
 }
 
@@ -145,7 +147,8 @@
 	return b
 }
 
-// shutDown waits until the target has ended all it was sent, so that no count can grow.
+// shutDown waits until the target has finished all requests that it received, so that the
+// counts are final.
 func (b *breakHarness) shutDown() {
 	b.pool.CloseIdle()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -156,20 +159,20 @@
 	<-b.served
 }
 
-// outcome is what the sender of a request is told.
+// outcome is the result of a request as reported to its sender.
 type outcome struct {
 	id   string
 	kind fault.Kind
 	ran  fault.Ran
-	// answered means a whole answer.
+	// answered is set if a complete response was received.
 	answered bool
 }
 
-// send sends one at-most-once write and reads the answer to its end.
+// send sends a write request and reads the response to its end.
 func (b *breakHarness) send(t *testing.T, id string) outcome {
 	r := newRequest(t, "POST", strings.NewReader(b.body))
 	r.Header.Set(HeaderRequestID, id)
-	// With this field, or with GET, net/http's Transport would feel free to replay.
+	// With this field, or with GET, net/http's Transport would retry the request.
 	r.Header.Set("Idempotency-Key", id)
 	resp, f := b.pool.Attempt(context.Background(), r)
 	if f != nil {
@@ -182,26 +185,26 @@
 	}
 	f = err.(*fault.Fault)
 	if !errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) {
-		t.Errorf("%s: a cut answer ended with %v", id, err)
+		t.Errorf("%s: a truncated response ended with %v", id, err)
 	}
 	return outcome{id: id, kind: f.Kind, ran: f.Ran}
 }
 
-// warmConnection brings a connection to rest in the pool, so that the next request reuses it.
-// One whose answer came before its writer had ended is closed and not rested; then
-// the next request would go over a new connection, which nobody cuts.
+// warmConnection leaves an idle connection in the pool, so that the next request reuses it. If
+// a response arrives before the writer has finished, the connection may be closed; then the
+// next request would use a new connection, which isn't set to break.
 func (b *breakHarness) warmConnection(t *testing.T, id string) {
 	for try := 0; try == 0 || b.pool.Stats().Idle == 0; try++ {
-		assert.Assert(t, try < maxWarmUpRequests, "no connection came to rest")
+		assert.Assert(t, try < maxWarmUpRequests, "no connection became idle")
 		o := b.send(t, fmt.Sprintf("%s.%02d", id, try))
 		assert.Assert(t, o.answered, "%+v", o)
 	}
 }
 
-// maxWarmUpRequests bounds the requests that it takes to bring a connection to rest.
+// maxWarmUpRequests bounds the requests that warmConnection sends.
 const maxWarmUpRequests = 50
 
-// checkRuns holds the outcome against the count: this is what must always hold.
+// checkRuns checks the reported outcome of a request against how often the target ran it.
 func (b *breakHarness) checkRuns(t *testing.T, o outcome) {
 	t.Helper()
 	runs := b.runsOf(o.id)
@@ -215,11 +218,10 @@
 	}
 }
 
-// Symptom: a payout is released twice, or a refused one is released all the same.
-// Sequence: a connection that was used before breaks after any byte of the request
-// or of the answer.
-// Cause: a client that sends the request again by itself, or that takes a broken
-// connection for a proof that the target did nothing.
+// Guards against running a request twice, and against running one that was reported as not run.
+// A reused connection breaks after any byte of the request or of the response, and the client
+// retries the request by itself, or takes the broken connection as proof that the target did
+// nothing.
 func TestReusedConnectionThatBreaksAfterAnyByte(t *testing.T) {
 	for _, body := range []string{"a payout of 300", ""} {
 		t.Run(fmt.Sprintf("body of %d", len(body)), func(t *testing.T) {
@@ -231,12 +233,12 @@
 }
 
 func breakAfterEveryByte(t *testing.T, b *breakHarness) {
-	// All ids have one length, so that all requests have.
+	// All ids have the same length, so that all requests have the same length too.
 	b.warmConnection(t, "warm-a-0000")
 	b.last.breakAfter(-1, -1)
 	b.warmConnection(t, "warm-a-0001")
-	requestBytes, answerBytes := b.last.written, b.last.read
-	assert.Assert(t, requestBytes > 140 && answerBytes > 100)
+	requestBytes, responseBytes := b.last.written, b.last.read
+	assert.Assert(t, requestBytes > 140 && responseBytes > 100)
 
 	var outcomes []outcome
 	for n := range requestBytes + 1 {
@@ -257,14 +259,14 @@
 		}
 	}
 	headerEnd := 0
-	for n := range answerBytes + 1 {
+	for n := range responseBytes + 1 {
 		b.warmConnection(t, fmt.Sprintf("warm-r-%04d", n))
 		b.last.breakAfter(-1, n)
 		o := b.send(t, fmt.Sprintf("cut--r-%04d.00", n))
 		b.last.breakAfter(-1, -1)
 		outcomes = append(outcomes, o)
 		switch {
-		case n == answerBytes:
+		case n == responseBytes:
 			assert.Assert(t, o.answered, "%+v after %d bytes", o, n)
 		case o.kind == fault.AnswerTruncated:
 			assert.Equal(t, o.ran, fault.RanFully)
@@ -274,13 +276,13 @@
 			assert.Equal(t, o.ran, fault.RanUnknown, "after %d bytes", n)
 		}
 	}
-	assert.Equal(t, answerBytes-headerEnd, len(fmt.Sprintf("got %d bytes", len(b.body))))
+	assert.Equal(t, responseBytes-headerEnd, len(fmt.Sprintf("got %d bytes", len(b.body))))
 	b.shutDown()
 	for _, o := range outcomes {
 		b.checkRuns(t, o)
 	}
-	for n := range answerBytes + 1 {
-		assert.Equal(t, b.runsOf(fmt.Sprintf("cut--r-%04d.00", n)), 1, "answer cut after %d bytes", n)
+	for n := range responseBytes + 1 {
+		assert.Equal(t, b.runsOf(fmt.Sprintf("cut--r-%04d.00", n)), 1, "response broken off after %d bytes", n)
 	}
 }
 
@@ -302,19 +304,20 @@
 	assert.Equal(t, b.pool.Stats().DialErrors, uint64(1))
 }
 
-// startLossyTarget is a target that reads each request, counts it, and from the second of a
-// connection on closes without an answer.
-func startLossyTarget(t *testing.T) (address string, seen func() int) {
+// startLossyTarget starts a target that responds to the first request of each connection and
+// closes the connection without a response on later ones. received returns how many requests
+// it has received.
+func startLossyTarget(t *testing.T) (address string, received func() int) {
 	var mu sync.Mutex
 	count := 0
 	answered := map[string]bool{}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		count++
-		second := answered[r.RemoteAddr]
+		reused := answered[r.RemoteAddr]
 		answered[r.RemoteAddr] = true
 		mu.Unlock()
-		if second {
+		if reused {
 			panic(http.ErrAbortHandler)
 		}
 		io.WriteString(w, "done")
@@ -337,12 +340,11 @@
 	}
 }
 
-// Symptom: a write that its caller marked with a key for deduplication runs twice.
-// Sequence: the target reads the request on a reused connection, runs it and breaks
-// the connection before it answers.
-// Cause: net/http's Transport replays a request with an Idempotency-Key, as any GET,
-// when a reused connection breaks before the answer. The first half of the test
-// shows that it does, and so that the second half could fail.
+// Guards against running a request with an Idempotency-Key twice. The target reads the request
+// on a reused connection, runs it and breaks the connection before it responds. net/http's
+// Transport retries such a request, like any GET, if a reused connection breaks before the
+// response. The first subtest shows that it does, so that the second is known to be able to
+// fail.
 func TestLostAnswerIsNotReplayedAsByTransport(t *testing.T) {
 	request := func(address string) *http.Request {
 		r, err := http.NewRequest("POST", "http://"+address+"/payout", nil)
@@ -351,7 +353,7 @@
 		return r
 	}
 	t.Run("net/http", func(t *testing.T) {
-		address, seen := startLossyTarget(t)
+		address, received := startLossyTarget(t)
 		transport := &http.Transport{}
 		defer transport.CloseIdleConnections()
 		for range 2 {
@@ -360,16 +362,16 @@
 			io.Copy(io.Discard, resp.Body)
 			resp.Body.Close()
 		}
-		assert.Equal(t, seen(), 3) // two requests
+		assert.Equal(t, received(), 3) // for two requests
 	})
 	t.Run("pool", func(t *testing.T) {
-		address, seen := startLossyTarget(t)
+		address, received := startLossyTarget(t)
 		p := newPool(t, address, nil)
 		resp := attempt(t, p, context.Background(), request(address))
 		io.Copy(io.Discard, resp.Body)
 		_, f := p.Attempt(context.Background(), request(address))
 		faulttest.Is(t, f, fault.TargetLost, fault.RanUnknown)
-		assert.Equal(t, seen(), 2)
+		assert.Equal(t, received(), 2)
 		assert.Equal(t, p.Stats().Reuses, uint64(1))
 	})
 }
--- a/target/conn_test.go
+++ b/target/conn_test.go
@@ -22,8 +22,8 @@
 	"tarragongw/internal/faulttest"
 )
 
-// blockedConn is a raw connection whose Write ends when it is closed, and has sent all
-// by then.
+// blockedConn is a raw connection whose Write blocks until the connection is closed, and then
+// reports that all bytes were sent.
 type blockedConn struct {
 	net.Conn
 	writing, closed chan struct{}
@@ -42,10 +42,9 @@
 	return nil
 }
 
-// Symptom: a request is reported as not run, and ran.
-// Sequence: the caller cancels while the writer's goroutine hands the header to the
-// kernel; the count of sent bytes is read before the write has returned.
-// Cause: a count that isn't final when it is judged.
+// Guards against reporting a request as not run that did run. The caller cancels while the
+// writer goroutine hands the header to the kernel, and the count of sent bytes is evaluated
+// before the write has returned.
 func TestCloseWaitsForAWriteAndAllowsNoOther(t *testing.T) {
 	raw := &blockedConn{writing: make(chan struct{}, 2), closed: make(chan struct{})}
 	c := newConn(raw, 0, time.Now())
@@ -58,9 +57,9 @@
 	assert.Equal(t, raw.writes, 1)
 }
 
-// Symptom: a long upload, or a long answer beside one, is cut as silent.
-// Sequence: bytes go one way only, for longer than the progress timeout.
-// Cause: each direction measured by itself.
+// Guards against timing out a long upload, or a long response during one. Bytes flow in one
+// direction only for longer than the progress timeout, and each direction has a timeout of its
+// own.
 func TestProgressInOneDirectionExtendsTheOthersTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
@@ -101,7 +100,7 @@
 	})
 }
 
-// unwritableConn answers by itself and takes no byte.
+// unwritableConn is a connection whose writes fail and from which a response can be read.
 type unwritableConn struct {
 	net.Conn
 	answer io.Reader
@@ -110,10 +109,9 @@
 func (u *unwritableConn) Write([]byte) (int, error)  { return 0, syscall.EPIPE }
 func (u *unwritableConn) Read(b []byte) (int, error) { return u.answer.Read(b) }
 
-// Symptom: a caller gets the answer to another's request.
-// Sequence: a target sends an answer unasked on a connection at rest; it arrives
-// after the look at the connection and before the next request is written.
-// Cause: an answer taken for that of a request of which nothing was sent.
+// Guards against returning a response that doesn't belong to the request. A target sends a
+// response unasked on an idle connection; it arrives after the check of the connection and
+// before the next request is written, and is taken for the response to that request.
 func TestResponseBeforeTheRequestIsRejected(t *testing.T) {
 	s := startTarget(t, respondAlways(okResponse))
 	p := newPool(t, s.addr(), func(cfg *PoolConfig) {
@@ -135,13 +133,13 @@
 	for resp.Body.(*exchange).conn.raw.SetDeadline(time.Time{}) == nil {
 		time.Sleep(time.Millisecond)
 	}
-	body, err := io.ReadAll(resp.Body) // the whole of it is in the buffer
+	body, err := io.ReadAll(resp.Body) // it is in the buffer already
 	assert.NilError(t, err)
 	assert.Equal(t, string(body), "ok")
 	assert.Equal(t, p.Stats().Open, 0)
 }
 
-// bufferingConn is a raw connection that holds writes back until it is told.
+// bufferingConn is a raw connection that collects writes in a buffer while buffering is set.
 type bufferingConn struct {
 	net.Conn
 	buffered  bytes.Buffer
@@ -155,10 +153,9 @@
 	return g.Conn.Write(b)
 }
 
-// Symptom: as above, over TLS.
-// Sequence: the unasked bytes come in a record of their own right behind the
-// answer; TLS has read them ahead, so the socket is quiet.
-// Cause: a look at the socket alone.
+// Guards against the failure of TestResponseBeforeTheRequestIsRejected over TLS. The unasked
+// bytes arrive in a record of their own right after the response. TLS has read them ahead, so a
+// check of the socket alone doesn't find them.
 func TestRecordReadAheadByTLSMakesAConnectionStale(t *testing.T) {
 	certificates := httptest.NewTLSServer(http.NotFoundHandler())
 	defer certificates.Close()
@@ -186,10 +183,9 @@
 	assert.Equal(t, p.Stats().Reuses, uint64(0))
 }
 
-// Symptom: the connection budget shrinks until the pool is full for good.
-// Sequence: an attempt gives up waiting just as it is handed a connection, or the
-// permission to open one.
-// Cause: what was handed over and nobody took.
+// Guards against a connection budget that shrinks until the pool is full forever. An attempt
+// stops waiting just as it is sent a connection, or the permission to open one, and nobody
+// takes either.
 func TestAbandonedWaitPassesOnItsConnection(t *testing.T) {
 	s := startTarget(t, respondAlways(okResponse))
 	p := newPool(t, s.addr(), nil)
@@ -203,7 +199,7 @@
 
 	_, f = p.acquire(background)
 	assert.Assert(t, f == nil)
-	w.ready <- nil // its place, the connection is gone
+	w.ready <- nil // the connection is closed, its slot is passed on
 	p.abandonWait(w, false)
 	assert.Equal(t, p.Stats().Open, 0)
 	assert.Equal(t, p.Stats().InUse, 0)
--- a/target/control_test.go
+++ b/target/control_test.go
@@ -54,9 +54,8 @@
 	}
 }
 
-// Symptom: a busy target loses its grants.
-// Sequence: work takes every connection, the renewal finds none and the grants lapse.
-// Cause: control and work on one budget with no share set apart.
+// Guards against a busy target losing its grants. If no connections were reserved for control,
+// work could take all of them, and the grants would expire before they are renewed.
 func TestFullPoolDoesNotDelayControl(t *testing.T) {
 	s := startTarget(t, respondAlways(responseOf("200 OK", `{"ready":true}`)))
 	p := newPool(t, s.addr(), func(cfg *PoolConfig) { cfg.MaxConns = 3 })
@@ -99,7 +98,7 @@
 	assert.Assert(t, DigestOf(a) != DigestOf(b))
 	assert.Assert(t, DigestOf(a) != DigestOf(UnitGrant{Unit: "faq/1", Token: 256}))
 	assert.Equal(t, Digest(nil), uint64(0))
-	// FNV-1a of one zero byte and eight more, from the definition in the package.
+	// FNV-1a of a zero byte after the empty name and of the token's eight zero bytes.
 	assert.Equal(t, DigestOf(UnitGrant{}), fnvOfZeroBytes(9))
 }
 
@@ -111,7 +110,7 @@
 	return h
 }
 
-// countedConn counts the writes of one connection.
+// countedConn counts and records the writes of a connection.
 type countedConn struct {
 	net.Conn
 	writes *atomic.Int32
@@ -144,6 +143,6 @@
 	}
 	assert.Equal(t, writes.Load(), int32(2))
 	assert.Assert(t, !strings.Contains(sent.String(), "User-Agent"), sent.String())
-	assert.Equal(t, p.Stats().Open, 0, "control has connections of its own")
+	assert.Equal(t, p.Stats().Open, 0, "control must use its own connections")
 	assert.Equal(t, c.Stats().Open, 1)
 }
--- a/target/fuzz_test.go
+++ b/target/fuzz_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// FuzzParseOrder: headers of an order are refused or read within bounds, and what was
-// read and set again reads the same.
+// FuzzParseOrder checks that request headers are refused or parsed within bounds, and that
+// parsed values survive being set and parsed again.
 func FuzzParseOrder(f *testing.F) {
 	f.Add("id", "faq/7", "12", "8", "250")
 	f.Add("", "", "", "", "")
@@ -25,16 +25,16 @@
 			return
 		}
 		assert.Assert(t, o.Left >= 0, "%v", o.Left)
-		again := make(http.Header)
-		o.Set(again)
-		back, err := ParseOrder(again)
+		header := make(http.Header)
+		o.Set(header)
+		parsed, err := ParseOrder(header)
 		assert.NilError(t, err)
-		assert.Equal(t, back, o)
+		assert.Equal(t, parsed, o)
 	})
 }
 
-// FuzzControlReply: what a target answers to grants and probes is refused or decoded,
-// and never more of it is kept than the limit.
+// FuzzControlReply checks that a target's replies to grants and probes are either refused or
+// decoded, and that replies over the size limit are refused.
 func FuzzControlReply(f *testing.F) {
 	f.Add(200, `{"accepted":true,"term":8,"busy":["faq/1"],"load":0.5}`)
 	f.Add(409, `{"accepted":false,"cause":"term"}`)
@@ -45,8 +45,8 @@
 		for _, reply := range []any{new(GrantReply), new(Health)} {
 			resp := &http.Response{StatusCode: status, Body: io.NopCloser(strings.NewReader(body))}
 			err := decode(resp, reply)
-			fine := status == http.StatusOK || status == http.StatusConflict
-			assert.Assert(t, err != nil || fine && len(body) <= maxControlBytes)
+			allowed := status == http.StatusOK || status == http.StatusConflict
+			assert.Assert(t, err != nil || allowed && len(body) <= maxControlBytes)
 		}
 	})
 }
--- a/target/limits_test.go
+++ b/target/limits_test.go
@@ -20,20 +20,18 @@
 	"tarragongw/core/fault"
 )
 
-// Symptom: a request fails on a connection that was closed long ago.
-// Sequence: the target closes a connection at rest, or writes to it unasked; the
-// pool uses it for the next request.
-// Cause: no look at the connection before its reuse.
+// Guards against a request that fails on a connection that was closed long ago. The target
+// closes an idle connection, or writes to it unasked, and the pool reuses it without a check.
 func TestStaleConnectionsAreFoundBeforeReuse(t *testing.T) {
 	for _, unasked := range []string{"", "HTTP/1.1 408 Request Timeout\r\n\r\n"} {
-		resting := make(chan net.Conn, 1)
-		touched := make(chan struct{})
+		idle := make(chan net.Conn, 1)
+		proceed := make(chan struct{})
 		s := startTarget(t, func(c net.Conn, br *bufio.Reader) {
 			_, _ = http.ReadRequest(br)
 			io.WriteString(c, okResponse)
 			select {
-			case resting <- c:
-				<-touched
+			case idle <- c:
+				<-proceed
 				if unasked != "" {
 					io.WriteString(c, unasked)
 				}
@@ -47,8 +45,8 @@
 		p := newPool(t, s.addr(), nil)
 		_, _, err := sendGet(t, p, background)
 		assert.NilError(t, err)
-		<-resting
-		close(touched)
+		<-idle
+		close(proceed)
 		c := p.idle[0]
 		for c.reusable() {
 			time.Sleep(time.Millisecond)
@@ -74,7 +72,7 @@
 	}
 	use()
 	now = now.Add(time.Minute)
-	stats := use() // rested too long: a new one
+	stats := use() // idle for too long: opens a new connection
 	assert.Equal(t, stats.Dials, uint64(2))
 	for range 10 {
 		now = now.Add(59 * time.Second)
@@ -82,7 +80,7 @@
 	}
 	assert.Equal(t, stats.Dials, uint64(2))
 	now = now.Add(59 * time.Second)
-	stats = use() // over ten minutes old, never idle for one
+	stats = use() // over ten minutes old, never idle for a minute
 	assert.Equal(t, stats.Dials, uint64(3))
 	assert.Equal(t, stats.Aged, uint64(2))
 	p.sweep(now.Add(59 * time.Second))
@@ -95,23 +93,23 @@
 	now = now.Add(10 * time.Minute)
 	_, err := io.ReadAll(resp.Body)
 	assert.NilError(t, err)
-	assert.Equal(t, p.Stats().Open, 0, "it grew too old with the exchange on it")
+	assert.Equal(t, p.Stats().Open, 0, "the connection became too old during the exchange")
 }
 
-// connGauge counts open connections at the target and keeps the highest count.
+// connGauge counts open connections and records the highest count.
 type connGauge struct {
-	mu        sync.Mutex
-	now, high int
+	mu         sync.Mutex
+	open, peak int
 }
 
 func (g *connGauge) add(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.now += n
-	g.high = max(g.high, g.now)
+	g.open += n
+	g.peak = max(g.peak, g.open)
 }
 
-// gaugedConn is a connection that leaves the gauge when it is closed.
+// gaugedConn is a connection that decrements the gauge when it is closed.
 type gaugedConn struct {
 	net.Conn
 	once  sync.Once
@@ -176,7 +174,7 @@
 		}()
 	}
 	wg.Wait()
-	assert.Equal(t, g.high, 6)
+	assert.Equal(t, g.peak, 6)
 	stats := p.Stats()
 	assert.Equal(t, stats.InUse, 0)
 	assert.Equal(t, stats.Waiting, 0)
@@ -192,7 +190,7 @@
 			<-release
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		}, func(t *testing.T, p *Pool) {
-			release = make(chan struct{}) // of the bubble, or its time would stand
+			release = make(chan struct{}) // made inside the synctest bubble, as its fake clock requires
 			first := make(chan *fault.Fault)
 			go func() {
 				_, f := p.Attempt(background, newRequest(t, "HEAD", nil))
@@ -216,50 +214,47 @@
 	}
 }
 
-// Symptom: a target gets work from a router whose right to send has lapsed.
-// Sequence: the router checks its right, opening a connection takes long, the right
-// lapses meanwhile, the request is written.
-// Cause: a check before the connection is there instead of after.
+// Guards against sending work to a target after the router's lease has expired. The router
+// checks its lease before it has a connection, opening one takes long, and the lease expires
+// meanwhile.
 func TestLeaseIsCheckedAfterTheDial(t *testing.T) {
 	s := startTarget(t, respondAlways(okResponse))
-	lapsed := false
+	expired := false
 	p := newPool(t, s.addr(), func(cfg *PoolConfig) {
 		cfg.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
-			lapsed = true
+			expired = true
 			return new(net.Dialer).DialContext(ctx, network, address)
 		}
 	})
-	right := func() *fault.Fault {
-		if lapsed {
-			return fault.New(fault.StaleRoute, "lapsed")
+	checkLease := func() *fault.Fault {
+		if expired {
+			return fault.New(fault.StaleRoute, "expired")
 		}
 		return nil
 	}
-	_, f := p.AttemptOn(background, newRequest(t, "GET", nil), Terms{Allowed: right})
+	_, f := p.AttemptOn(background, newRequest(t, "GET", nil), Terms{Allowed: checkLease})
 	assert.Equal(t, f.Kind, fault.StaleRoute)
 	assert.Equal(t, p.Stats().Idle, 1)
-	lapsed = false
-	resp, f := p.AttemptOn(background, newRequest(t, "GET", nil), Terms{Allowed: right})
+	expired = false
+	resp, f := p.AttemptOn(background, newRequest(t, "GET", nil), Terms{Allowed: checkLease})
 	assert.Assert(t, f == nil)
 	io.ReadAll(resp.Body)
 	assert.Equal(t, p.Stats().Dials, uint64(1))
 }
 
-// Symptom: a key's former owner runs a request that a router sent after its right to send
-// had lapsed.
-// Sequence: the router looks at its right and finds it in force; before the first byte goes
-// out, or between the header and the body, its process is suspended, and the right lapses;
-// the process goes on.
-// Cause: the look and the first byte are apart by the time that it takes to put the header
-// together, with a body also by the start of a goroutine, and the body is written apart
-// from the header.
+// Guards against a key's former holder running a request that a router sent after its lease
+// had expired. The router checks its lease; before the first byte is written, or between the
+// header and the body, its process is suspended until after the lease has expired. There is
+// time for that because the header is built after the check, a request with a body is written
+// by a goroutine that must first be scheduled, and the body is written separately from the
+// header.
 func TestLeaseIsCheckedBeforeEveryWrite(t *testing.T) {
 	for name, c := range map[string]struct {
 		method string
-		// looks is how often the right is found in force.
-		looks int64
-		kind  fault.Kind
-		ran   fault.Ran
+		// checks is how many checks find the lease valid.
+		checks int64
+		kind   fault.Kind
+		ran    fault.Ran
 	}{
 		"before the header":               {"GET", 1, fault.StaleRoute, fault.NotRun},
 		"before the header, with a body":  {"POST", 1, fault.StaleRoute, fault.NotRun},
@@ -268,13 +263,13 @@
 		t.Run(name, func(t *testing.T) {
 			s := startTarget(t, respondAlways(okResponse))
 			p := newPool(t, s.addr(), nil)
-			lapsed := fault.New(fault.StaleRoute, "lapsed")
-			var looks atomic.Int64
-			right := func() *fault.Fault {
-				if looks.Add(1) <= c.looks {
+			expired := fault.New(fault.StaleRoute, "expired")
+			var checks atomic.Int64
+			checkLease := func() *fault.Fault {
+				if checks.Add(1) <= c.checks {
 					return nil
 				}
-				return lapsed
+				return expired
 			}
 			body := func() io.Reader {
 				if c.method == "GET" {
@@ -286,7 +281,7 @@
 			if c.method == "POST" {
 				r.ContentLength = 1
 			}
-			_, f := p.AttemptOn(background, r, Terms{Allowed: right, Still: func(bool) *fault.Fault { return right() }})
+			_, f := p.AttemptOn(background, r, Terms{Allowed: checkLease, Still: func(bool) *fault.Fault { return checkLease() }})
 			assert.Assert(t, f != nil, "the request was sent")
 			assert.Equal(t, f.Kind, c.kind)
 			assert.Equal(t, f.Ran, c.ran)
@@ -367,15 +362,14 @@
 	assert.ErrorContains(t, err, "already")
 }
 
-// Symptom: one answer takes all memory although its header is bounded.
-// Sequence: a target sends a body in chunks and then trailers without an end.
-// Cause: the bound on the header does not hold for what follows the body.
+// Guards against a response that exhausts memory although its header is bounded. A target sends
+// a chunked body and then endless trailers, to which the limit on the header does not apply.
 func TestResponseTrailersAreBounded(t *testing.T) {
 	answer := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n2\r\nok\r\n0\r\nX-Sum: %s\r\n\r\n"
-	for length, whole := range map[int]bool{1 << 10: true, 8 << 10: false} {
+	for length, complete := range map[int]bool{1 << 10: true, 8 << 10: false} {
 		s := startTarget(t, respondAlways(strings.Replace(answer, "%s", strings.Repeat("x", length), 1)))
 		p := newPool(t, s.addr(), nil)
 		_, _, err := sendGet(t, p, background)
-		assert.Equal(t, err == nil, whole, "a trailer of %d bytes: %v", length, err)
+		assert.Equal(t, err == nil, complete, "a trailer of %d bytes: %v", length, err)
 	}
 }
--- a/target/pool_test.go
+++ b/target/pool_test.go
@@ -24,7 +24,7 @@
 		select {
 		case <-p.Drained():
 		case <-time.After(5 * time.Second):
-			t.Errorf("the pool doesn't drain: %+v", p.Stats())
+			t.Errorf("the pool did not drain: %+v", p.Stats())
 		}
 	})
 	return p
@@ -37,7 +37,7 @@
 	return r
 }
 
-// attempt sends a request that must be answered.
+// attempt sends a request and fails the test unless there is a response.
 func attempt(t *testing.T, p *Pool, ctx context.Context, r *http.Request) *http.Response {
 	t.Helper()
 	resp, f := p.Attempt(ctx, r)
@@ -65,16 +65,16 @@
 	assert.Equal(t, s.InUse, 0)
 }
 
-// Whoever reads the metrics can tell why connections are opened: first, beside one in use,
-// after an answer that ended one, and after an exchange that was cut off.
+// Metrics say why connections are opened: as the first one, after a response that closed the
+// previous one, and after an exchange that was cancelled.
 func TestNewConnectionsReportTheirCause(t *testing.T) {
-	gate := make(chan struct{})
+	release := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.Header.Get("Then") {
 		case "close":
 			w.Header().Set("Connection", "close")
 		case "wait":
-			<-gate
+			<-release
 		}
 	}))
 	defer server.Close()
@@ -96,7 +96,7 @@
 	defer cancel()
 	_, f := p.Attempt(ctx, r)
 	assert.Assert(t, f != nil)
-	close(gate)
+	close(release)
 	send("").Body.Close()
 	assert.DeepEqual(t, causes, []OpenCause{OpenedFirst, OpenedEnded, OpenedCancelled})
 }
--- a/target/progress_timeout_test.go
+++ b/target/progress_timeout_test.go
@@ -23,10 +23,9 @@
 	steadySteps    = 16
 )
 
-// Symptom: requests hang on one connection for good while new connections work.
-// Sequence: something between the ends forgets the connection; the request is
-// written, nothing comes back, no error either.
-// Cause: no limit on the silence of a connection with work on it.
+// Guards against requests that hang forever on one connection while new connections work. A
+// middlebox has dropped the connection's state: the request is written, and neither a response
+// nor an error comes back.
 func TestOnlyTheSilentConnectionIsClosed(t *testing.T) {
 	var conns atomic.Int32
 	withFakeTime(t, progressTimeout(shortProgress), func(c net.Conn, br *bufio.Reader) {
@@ -95,9 +94,8 @@
 	})
 }
 
-// Symptom: an upload to a target that stopped reading never ends.
-// Sequence: the target takes the header, the buffers fill, no byte moves.
-// Cause: a limit on the silence of reads alone.
+// Guards against an upload that never ends because the target has stopped reading. The target
+// reads the header, the buffers fill up, and a progress timeout on reads alone doesn't notice.
 func TestTargetThatStopsReadingTimesOut(t *testing.T) {
 	withFakeTime(t, progressTimeout(shortProgress), func(_ net.Conn, br *bufio.Reader) {
 		_, _ = http.ReadRequest(br)
@@ -110,6 +108,7 @@
 	})
 }
 
+// endlessReader is a reader without an end.
 type endlessReader struct{}
 
 func (endlessReader) Read(p []byte) (int, error) { return len(p), nil }
--- a/target/recheck_test.go
+++ b/target/recheck_test.go
@@ -11,25 +11,24 @@
 	"gotest.tools/v3/assert"
 )
 
-// Symptom: work goes to the holder of a certificate that was revoked.
-// Sequence: one connection rests and one has an answer under way; the certificate is
-// refused; the answer ends.
-// Cause: a connection is held against certificates when it is opened only.
+// Guards against sending work to a target whose certificate was revoked. One connection is idle
+// and one has a response in flight when the certificate is refused; both would be used again
+// if certificates were checked only when a connection is opened.
 func TestRefusedCertificateClosesConnectionsOnceIdle(t *testing.T) {
-	hold := make(chan struct{})
+	release := make(chan struct{})
 	server := httptest.NewTLSServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPut {
 			_ = http.NewResponseController(w).Flush()
-			<-hold
+			<-release
 		}
 		_, _ = io.WriteString(w, r.Method)
 	}))
 	defer server.Close()
-	var asked int
+	var checks int
 	var refuse error
 	p := newPool(t, server.Listener.Addr().String(), func(cfg *PoolConfig) {
 		cfg.TLS = func() *tls.Config { return &tls.Config{InsecureSkipVerify: true} }
-		cfg.Accepts = func(*tls.ConnectionState) error { asked++; return refuse }
+		cfg.Accepts = func(*tls.ConnectionState) error { checks++; return refuse }
 	})
 	busy := attempt(t, p, t.Context(), newRequest(t, http.MethodPut, nil))
 	exchange := func() {
@@ -41,13 +40,13 @@
 	p.Recheck()
 	assert.Equal(t, p.Stats().Idle, 1)
 	exchange()
-	assert.Equal(t, asked, 1)
+	assert.Equal(t, checks, 1)
 	assert.Equal(t, p.Stats().Dials, uint64(2))
 
 	refuse = errors.New("revoked")
 	p.Recheck()
 	assert.Equal(t, p.Stats().Open, 1)
-	close(hold)
+	close(release)
 	body, err := io.ReadAll(busy.Body)
 	assert.NilError(t, err)
 	assert.Equal(t, string(body), http.MethodPut)
--- a/target/scripted_target_test.go
+++ b/target/scripted_target_test.go
@@ -14,7 +14,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// scriptedTarget is a target played by a function, one call for each connection.
+// scriptedTarget is a target that serves each connection by a call of a test's function.
 type scriptedTarget struct {
 	listener net.Listener
 	wg       sync.WaitGroup
@@ -22,7 +22,9 @@
 	conns    []net.Conn
 }
 
-func startTarget(t *testing.T, each func(c net.Conn, br *bufio.Reader)) *scriptedTarget {
+// startTarget starts a scriptedTarget that listens on a local port. It is closed when the test
+// ends.
+func startTarget(t *testing.T, handle func(c net.Conn, br *bufio.Reader)) *scriptedTarget {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	s := &scriptedTarget{listener: listener}
@@ -34,35 +36,35 @@
 			if err != nil {
 				return
 			}
-			s.serve(c, each)
+			s.serve(c, handle)
 		}
 	}()
 	t.Cleanup(s.close)
 	return s
 }
 
-// serve plays one connection.
-func (s *scriptedTarget) serve(c net.Conn, each func(c net.Conn, br *bufio.Reader)) {
+// serve serves one connection.
+func (s *scriptedTarget) serve(c net.Conn, handle func(c net.Conn, br *bufio.Reader)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns = append(s.conns, c)
 	s.wg.Go(func() {
 		defer c.Close()
-		each(c, bufio.NewReader(c))
+		handle(c, bufio.NewReader(c))
 	})
 }
 
-// withFakeTime runs the test on a time of its own, with a pool whose target is played over
-// pipes in memory: their deadlines keep that time, so that no busy machine makes a step
-// look like a silence, or a writer late.
-func withFakeTime(t *testing.T, change func(*PoolConfig), each func(c net.Conn, br *bufio.Reader), test func(t *testing.T, p *Pool)) {
+// withFakeTime runs the test in a synctest bubble, with a pool whose target is served over
+// in-memory pipes. Their deadlines follow the bubble's fake clock, so that a busy machine can't
+// cause a progress timeout or a late write.
+func withFakeTime(t *testing.T, change func(*PoolConfig), handle func(c net.Conn, br *bufio.Reader), test func(t *testing.T, p *Pool)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := new(scriptedTarget)
 		t.Cleanup(s.close)
 		test(t, newPool(t, "in memory", func(cfg *PoolConfig) {
 			cfg.Dial = func(context.Context, string, string) (net.Conn, error) {
 				near, far := net.Pipe()
-				s.serve(far, each)
+				s.serve(far, handle)
 				return near, nil
 			}
 			if change != nil {
@@ -90,7 +92,8 @@
 	s.wg.Wait()
 }
 
-// respondAlways answers each request, read whole, with the same bytes.
+// respondAlways returns a handler that reads each request to its end and answers it with the
+// same bytes.
 func respondAlways(answer string) func(net.Conn, *bufio.Reader) {
 	return func(c net.Conn, br *bufio.Reader) {
 		for {
@@ -108,7 +111,7 @@
 	}
 }
 
-// readUntilClosed reads until the other end closes and reports whether it did.
+// readUntilClosed reads until the other end closes the connection, and then closes the channel.
 func readUntilClosed(br *bufio.Reader, closed chan<- struct{}) {
 	_, _ = io.Copy(io.Discard, br)
 	close(closed)
--- a/target/suspend_test.go
+++ b/target/suspend_test.go
@@ -19,32 +19,32 @@
 	"tarragongw/internal/suspendtest"
 )
 
-// headerLeaseEnd has when the right to send the request ends.
+// headerLeaseEnd holds the time at which the lease to send the request expires.
 const headerLeaseEnd = "X-Until"
 
-// A process that is suspended between its look at its right to send and the system call
-// writes the request when it goes on, after the right has ended.
+// Guards against a process that is suspended between checking its lease and the system call,
+// and writes the request when it resumes after the lease has expired.
 func TestSuspendedProcessWritesNothingAfterLeaseExpiry(t *testing.T) {
 	var received suspendtest.Receiver
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		until, err := strconv.ParseInt(r.Header.Get(headerLeaseEnd), 10, 64)
+		expiry, err := strconv.ParseInt(r.Header.Get(headerLeaseEnd), 10, 64)
 		if _, bodyErr := io.Copy(io.Discard, r.Body); err != nil || bodyErr != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		received.Arrived(time.Duration(until))
+		received.Arrived(time.Duration(expiry))
 	}))
 	defer server.Close()
 	received.Run(t, strings.TrimPrefix(server.URL, "http://"))
 }
 
-// A request is reported as not run, or as lost, by whether bytes of it left before the right to
-// send it ended.
+// Whether a request is reported as not run or as lost depends on whether bytes of it were
+// written before the lease expired.
 func TestExpiredLeaseIsNotRunBeforeTheFirstByte(t *testing.T) {
 	for name, c := range map[string]struct {
-		begun bool
-		kind  fault.Kind
-		ran   fault.Ran
+		started bool
+		kind    fault.Kind
+		ran     fault.Ran
 	}{
 		"before the header":               {false, fault.StaleRoute, fault.NotRun},
 		"between the header and the body": {true, fault.TargetLost, fault.RanUnknown},
@@ -54,8 +54,8 @@
 			p := newPool(t, s.addr(), nil)
 			r := newRequest(t, http.MethodPost, io.NopCloser(strings.NewReader("x")))
 			r.ContentLength = 1
-			_, f := p.AttemptOn(background, r, Terms{Until: func(begun bool) time.Duration {
-				if begun == c.begun {
+			_, f := p.AttemptOn(background, r, Terms{Until: func(started bool) time.Duration {
+				if started == c.started {
 					return 0
 				}
 				return math.MaxInt64
@@ -80,9 +80,10 @@
 	sendWhileAllowed(p)
 }
 
+// sendWhileAllowed sends requests forever, each under a lease of its own.
 func sendWhileAllowed(p *Pool) {
 	for i := 0; ; i++ {
-		until := (clock.Boot{}).Now() + suspendtest.Right
+		expiry := (clock.Boot{}).Now() + suspendtest.Right
 		method, body := http.MethodGet, io.Reader(http.NoBody)
 		if i%2 == 1 {
 			method, body = http.MethodPost, strings.NewReader("x")
@@ -91,13 +92,13 @@
 		if err != nil {
 			panic(err)
 		}
-		r.Header.Set(headerLeaseEnd, strconv.FormatInt(int64(until), 10))
+		r.Header.Set(headerLeaseEnd, strconv.FormatInt(int64(expiry), 10))
 		resp, f := p.AttemptOn(context.Background(), r, Terms{Still: func(bool) *fault.Fault {
-			if (clock.Boot{}).Now() >= until {
-				return fault.New(fault.StaleRoute, "lapsed")
+			if (clock.Boot{}).Now() >= expiry {
+				return fault.New(fault.StaleRoute, "expired")
 			}
 			return nil
-		}, Until: func(bool) time.Duration { return until }})
+		}, Until: func(bool) time.Duration { return expiry }})
 		if f == nil {
 			_, _ = io.Copy(io.Discard, resp.Body)
 			resp.Body.Close()
--- a/target/upload_test.go
+++ b/target/upload_test.go
@@ -18,16 +18,15 @@
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// Symptom: a refused upload of a gigabyte is sent to its end before the caller
-// hears of it, or the connection breaks and the refusal is lost.
-// Sequence: the target answers after the header and stops reading.
-// Cause: a client that reads the answer only after the whole request is written.
+// Guards against sending a large upload to its end although the target has refused it, and
+// against losing the refusal when the connection breaks. The target responds after the header
+// and stops reading, and the client reads the response only after writing the whole request.
 func TestEarlyResponseIsReadDuringTheUpload(t *testing.T) {
 	for _, length := range []int64{-1, 1 << 20} {
 		s := startTarget(t, func(conn net.Conn, br *bufio.Reader) {
 			_, _ = http.ReadRequest(br)
 			io.WriteString(conn, "HTTP/1.1 413 Too Large\r\nContent-Length: 2\r\n\r\nno")
-			_, _ = br.Peek(1 << 20) // wait for the close without reading on
+			_, _ = br.Peek(1 << 20) // wait until the connection is closed, without reading further
 		})
 		p := newPool(t, s.addr(), nil)
 		body, caller := io.Pipe()
@@ -38,7 +37,7 @@
 		got, err := io.ReadAll(resp.Body)
 		assert.NilError(t, err)
 		assert.Equal(t, string(got), "no")
-		assert.Equal(t, p.Stats().Open, 0, "the rest of the body would be taken for a request")
+		assert.Equal(t, p.Stats().Open, 0, "the target would take the rest of the body for a request")
 		// The writer is in a read of the caller's body, which only the caller can end.
 		caller.Close()
 	}
@@ -82,19 +81,19 @@
 	s := startTarget(t, func(_ net.Conn, br *bufio.Reader) { readUntilClosed(br, closed) })
 	p := newPool(t, s.addr(), nil)
 	body, caller := io.Pipe()
-	gone := errors.New("caller broke off")
+	bodyErr := errors.New("caller aborted the body")
 	go func() {
 		io.WriteString(caller, "half")
-		caller.CloseWithError(gone)
+		caller.CloseWithError(bodyErr)
 	}()
 	_, f := p.Attempt(background, newRequest(t, "POST", body))
 	faulttest.Is(t, f, fault.CallerGone, fault.RanUnknown)
-	assert.Assert(t, errors.Is(f, gone))
+	assert.Assert(t, errors.Is(f, bodyErr))
 	<-closed
 	assert.Equal(t, p.Stats().Open, 0)
 }
 
-// watchedBody is a body that tells when it is read and that nobody may close.
+// watchedBody is a request body that counts its reads and closes.
 type watchedBody struct {
 	io.Reader
 	reads, closes int
@@ -119,7 +118,7 @@
 
 func TestExpectContinueDelaysTheBody(t *testing.T) {
 	body := func() *watchedBody { return &watchedBody{Reader: strings.NewReader("body")} }
-	t.Run("asked for", func(t *testing.T) {
+	t.Run("requested", func(t *testing.T) {
 		withFakeTime(t, nil, func(conn net.Conn, br *bufio.Reader) {
 			r, err := http.ReadRequest(br)
 			if err != nil {
@@ -147,16 +146,16 @@
 			w := body()
 			_, f := p.Attempt(background, newExpectContinueRequest(t, w))
 			assert.Equal(t, f.Ran, fault.NotRun)
-			assert.Equal(t, w.reads, 0, "the body can be sent to another target")
+			assert.Equal(t, w.reads, 0, "the body must remain available for another target")
 			assert.Equal(t, p.Stats().Open, 0)
 		})
 	})
-	t.Run("neither", func(t *testing.T) {
+	t.Run("no reaction", func(t *testing.T) {
 		withFakeTime(t, nil, respondAlways(okResponse), func(t *testing.T, p *Pool) {
-			began := time.Now()
+			start := time.Now()
 			resp := attempt(t, p, background, newExpectContinueRequest(t, body()))
 			io.ReadAll(resp.Body)
-			assert.Equal(t, time.Since(began), continueTimeout)
+			assert.Equal(t, time.Since(start), continueTimeout)
 		})
 	})
 }
