--- a/target/abort_test.go
+++ b/target/abort_test.go
@@ -38,7 +38,7 @@
 }
 
 // Guards against aborting another caller's request. An exchange ends and its connection carries
-// the next one; then the first exchange is aborted, and its Cut still refers to the connection.
+// the next one; then the first exchange is aborted, and its aborter still refers to the connection.
 func TestAbortAfterTheEndDoesNotAffectTheNextExchange(t *testing.T) {
 	var cut Cut
 	s := startTarget(t, respondAlways(okResponse))
--- a/target/acquire.go
+++ b/target/acquire.go
@@ -115,8 +115,8 @@
 
 // maxIdle returns how long a connection may stay idle.
 func (p *Pool) maxIdle() time.Duration {
-	if targetIdleTimeout := time.Duration(p.targetIdleTimeout.Load()); targetIdleTimeout > 0 && targetIdleTimeout < p.cfg.MaxIdle {
-		return targetIdleTimeout
+	if idleLimit := time.Duration(p.idleLimit.Load()); idleLimit > 0 && idleLimit < p.cfg.MaxIdle {
+		return idleLimit
 	}
 	return p.cfg.MaxIdle
 }
--- a/target/attempt.go
+++ b/target/attempt.go
@@ -83,15 +83,15 @@
 	// sent, the connection is closed, and the attempt ends with that fault or, if started, with
 	// TargetLost.
 	//
-	// Allowed alone is not enough if the process may be suspended: after it returns, the header
-	// is still to be built, by a goroutine that must be scheduled first if there is a body, and
-	// the body is sent in a write of its own. A process that is suspended in between would
-	// resume and write after its lease has expired, and the request would run at the key's
-	// former holder.
+	// The check before the request is not enough if the process may be suspended: after it, the
+	// header is still to be built, for a request with a body by a goroutine that must be
+	// scheduled first, and the body is sent in a write of its own. A process that is suspended
+	// in between would resume and write after its lease has expired, and the request would run
+	// at the key's former holder.
 	Still func(started bool) *fault.Fault
-	// Until, called after Still, returns when the lease to send expires, by clock.Boot. No byte
-	// is handed to the kernel after that time, even if the process is suspended after Still. If
-	// Until is nil, only Still is checked.
+	// Until returns when the lease to send expires, by clock.Boot. It is called after the check
+	// above, right before each write. No byte is handed to the kernel after that time, even if
+	// the process is suspended between the two. Nil means that there is no such time.
 	Until func(started bool) time.Duration
 	// Cut aborts the attempt from outside.
 	Cut *Cut
@@ -134,8 +134,8 @@
 
 // observe evaluates what a response header says about the target.
 func (p *Pool) observe(resp *http.Response) {
-	if targetIdleTimeout := keepAliveTimeout(resp.Header); targetIdleTimeout > 0 {
-		p.targetIdleTimeout.Store(int64(targetIdleTimeout - targetIdleTimeout/idleTimeoutMargin))
+	if idleLimit := keepAliveTimeout(resp.Header); idleLimit > 0 {
+		p.idleLimit.Store(int64(idleLimit - idleLimit/idleTimeoutMargin))
 	}
 	if p.cfg.Dialect.Observe != nil {
 		p.cfg.Dialect.Observe(resp.Header)
@@ -339,13 +339,13 @@
 	x.pool.release(x.conn)
 }
 
-// watch aborts the exchange when its context ends or its Cut is used.
+// watch aborts the exchange when its context ends or its aborter is used.
 func (x *exchange) watch() {
 	x.stopContextWatch = reqctx.AfterFunc(x.ctx, x.conn.abort)
 	x.aborter.bind(x.conn.abort)
 }
 
-// stopWatch ends watch. It reports false if the context or the Cut has aborted the exchange;
+// stopWatch ends watch. It reports false if the context or the aborter has aborted the exchange;
 // the connection is then being closed.
 func (x *exchange) stopWatch() bool {
 	notAborted := x.aborter.unbind()
--- a/target/attempt_test.go
+++ b/target/attempt_test.go
@@ -36,8 +36,8 @@
 
 func TestResponsesThatLeaveTheConnectionReusable(t *testing.T) {
 	cases := []struct {
-		name, method, answer, body string
-		idle                       int
+		name, method, response, body string
+		idle                         int
 	}{
 		{"length", "GET", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "ok", 1},
 		{"chunks", "GET", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", "ok", 1},
@@ -55,7 +55,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := startTarget(t, respondAlways(c.answer))
+			s := startTarget(t, respondAlways(c.response))
 			p := newPool(t, s.addr(), nil)
 			resp, f := p.Attempt(background, newRequest(t, c.method, nil))
 			if c.body == "refused" {
@@ -74,8 +74,8 @@
 
 // Guards against a caller taking a partial response for a complete one. The target's response
 // breaks off within the body, and the end of the stream is taken for the end of the response.
-func TestTruncatedAnswersNeverEndCleanly(t *testing.T) {
-	cases := []struct{ name, answer string }{
+func TestTruncatedResponsesNeverEndCleanly(t *testing.T) {
+	cases := []struct{ name, response string }{
 		{"length", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"},
 		{"mid chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok"},
 		{"no last chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n"},
@@ -87,7 +87,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := startTarget(t, func(conn net.Conn, br *bufio.Reader) {
 				_, _ = http.ReadRequest(br)
-				io.WriteString(conn, c.answer)
+				io.WriteString(conn, c.response)
 			})
 			p := newPool(t, s.addr(), func(cfg *PoolConfig) { cfg.RequireFraming = true })
 			_, body, err := sendGet(t, p, background)
@@ -169,7 +169,7 @@
 }
 
 func TestInvalidResponsesAreTargetLost(t *testing.T) {
-	cases := []struct{ name, answer string }{
+	cases := []struct{ name, response string }{
 		{"endless informational", strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInformational+1)},
 		{"switched", "HTTP/1.1 101 Switching Protocols\r\n\r\n"},
 		{"not HTTP", "hello\r\n\r\n"},
@@ -177,7 +177,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := startTarget(t, respondAlways(c.answer))
+			s := startTarget(t, respondAlways(c.response))
 			p := newPool(t, s.addr(), func(cfg *PoolConfig) { cfg.MaxHeaderBytes = 4096 })
 			_, _, err := sendGet(t, p, background)
 			f := err.(*fault.Fault)
--- a/target/broken_conn_test.go
+++ b/target/broken_conn_test.go
@@ -114,7 +114,7 @@
 	*countingTarget
 	pool      *Pool
 	server    *http.Server
-	served    chan struct{}
+	serveDone chan struct{}
 	last      *breakingConn
 	dialError error
 	// body is the body of each request; empty means none.
@@ -124,10 +124,10 @@
 func newBreakHarness(t *testing.T) *breakHarness {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	b := &breakHarness{countingTarget: &countingTarget{runs: map[string]int{}}, served: make(chan struct{}), body: "a payout of 300"}
+	b := &breakHarness{countingTarget: &countingTarget{runs: map[string]int{}}, serveDone: make(chan struct{}), body: "a payout of 300"}
 	b.server = &http.Server{Handler: b.countingTarget}
 	go func() {
-		defer close(b.served)
+		defer close(b.serveDone)
 		_ = b.server.Serve(listener)
 	}()
 	t.Cleanup(b.shutDown)
@@ -156,7 +156,7 @@
 	if err := b.server.Shutdown(ctx); err != nil {
 		panic(err)
 	}
-	<-b.served
+	<-b.serveDone
 }
 
 // outcome is the result of a request as reported to its sender.
@@ -324,14 +324,14 @@
 	})}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	served := make(chan struct{})
+	serveDone := make(chan struct{})
 	go func() {
-		defer close(served)
+		defer close(serveDone)
 		_ = server.Serve(listener)
 	}()
 	t.Cleanup(func() {
 		server.Close()
-		<-served
+		<-serveDone
 	})
 	return listener.Addr().String(), func() int {
 		mu.Lock()
@@ -345,7 +345,7 @@
 // Transport retries such a request, like any GET, if a reused connection breaks before the
 // response. The first subtest shows that it does, so that the second is known to be able to
 // fail.
-func TestLostAnswerIsNotReplayedAsByTransport(t *testing.T) {
+func TestLostResponseIsNotRetried(t *testing.T) {
 	request := func(address string) *http.Request {
 		r, err := http.NewRequest("POST", "http://"+address+"/payout", nil)
 		assert.NilError(t, err)
--- a/target/config.go
+++ b/target/config.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 )
 
-// Defaults of PoolConfig, used where a field is zero.
+// Defaults of PoolConfig for fields that are zero.
 const (
 	DefaultMaxConns        = 120
 	DefaultControlConns    = 2
--- a/target/conn_test.go
+++ b/target/conn_test.go
@@ -103,11 +103,11 @@
 // unwritableConn is a connection whose writes fail and from which a response can be read.
 type unwritableConn struct {
 	net.Conn
-	answer io.Reader
+	response io.Reader
 }
 
 func (u *unwritableConn) Write([]byte) (int, error)  { return 0, syscall.EPIPE }
-func (u *unwritableConn) Read(b []byte) (int, error) { return u.answer.Read(b) }
+func (u *unwritableConn) Read(b []byte) (int, error) { return u.response.Read(b) }
 
 // Guards against returning a response that doesn't belong to the request. A target sends a
 // response unasked on an idle connection; it arrives after the check of the connection and
@@ -117,7 +117,7 @@
 	p := newPool(t, s.addr(), func(cfg *PoolConfig) {
 		cfg.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			raw, err := new(net.Dialer).DialContext(ctx, network, address)
-			return &unwritableConn{Conn: raw, answer: strings.NewReader(okResponse)}, err
+			return &unwritableConn{Conn: raw, response: strings.NewReader(okResponse)}, err
 		}
 	})
 	_, f := p.Attempt(background, newRequest(t, "PUT", strings.NewReader("body")))
--- a/target/control_test.go
+++ b/target/control_test.go
@@ -16,8 +16,8 @@
 	"tarragongw/core/fault"
 )
 
-func newControl(t *testing.T, answer string) *Control {
-	s := startTarget(t, respondAlways(answer))
+func newControl(t *testing.T, response string) *Control {
+	s := startTarget(t, respondAlways(response))
 	c, err := NewControl(newPool(t, s.addr(), nil))
 	assert.NilError(t, err)
 	t.Cleanup(c.Close)
@@ -38,14 +38,14 @@
 }
 
 func TestInvalidControlRepliesAreErrors(t *testing.T) {
-	for name, answer := range map[string]string{
+	for name, response := range map[string]string{
 		"status":    responseOf("500 No", `{"ready":true}`),
 		"not JSON":  responseOf("200 OK", "ready"),
 		"too large": responseOf("200 OK", `{"ready":true}`+strings.Repeat(" ", maxControlBytes)),
 		"truncated": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\ne\r\n{\"ready\":true}\r\nx\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			health, err := newControl(t, answer).Probe(background)
+			health, err := newControl(t, response).Probe(background)
 			assert.Assert(t, health == nil)
 			f, ok := err.(*fault.Fault)
 			assert.Assert(t, ok, "%v", err)
@@ -62,7 +62,7 @@
 	c, err := NewControl(p)
 	assert.NilError(t, err)
 	t.Cleanup(c.Close)
-	held, f := p.acquire(background)
+	inUse, f := p.acquire(background)
 	assert.Assert(t, f == nil)
 	_, f = p.acquire(background)
 	assert.Equal(t, f.Kind, fault.QueueFull)
@@ -71,7 +71,7 @@
 	health, err := c.Probe(ctx)
 	assert.NilError(t, err)
 	assert.Assert(t, health.Ready)
-	p.release(held)
+	p.release(inUse)
 }
 
 func TestRequestHeadersRoundTrip(t *testing.T) {
--- a/target/limits_test.go
+++ b/target/limits_test.go
@@ -24,13 +24,13 @@
 // closes an idle connection, or writes to it unasked, and the pool reuses it without a check.
 func TestStaleConnectionsAreFoundBeforeReuse(t *testing.T) {
 	for _, unasked := range []string{"", "HTTP/1.1 408 Request Timeout\r\n\r\n"} {
-		idle := make(chan net.Conn, 1)
+		idleConn := make(chan net.Conn, 1)
 		proceed := make(chan struct{})
 		s := startTarget(t, func(c net.Conn, br *bufio.Reader) {
 			_, _ = http.ReadRequest(br)
 			io.WriteString(c, okResponse)
 			select {
-			case idle <- c:
+			case idleConn <- c:
 				<-proceed
 				if unasked != "" {
 					io.WriteString(c, unasked)
@@ -45,7 +45,7 @@
 		p := newPool(t, s.addr(), nil)
 		_, _, err := sendGet(t, p, background)
 		assert.NilError(t, err)
-		<-idle
+		<-idleConn
 		close(proceed)
 		c := p.idle[0]
 		for c.reusable() {
@@ -365,9 +365,9 @@
 // Guards against a response that exhausts memory although its header is bounded. A target sends
 // a chunked body and then endless trailers, to which the limit on the header does not apply.
 func TestResponseTrailersAreBounded(t *testing.T) {
-	answer := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n2\r\nok\r\n0\r\nX-Sum: %s\r\n\r\n"
+	response := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n2\r\nok\r\n0\r\nX-Sum: %s\r\n\r\n"
 	for length, complete := range map[int]bool{1 << 10: true, 8 << 10: false} {
-		s := startTarget(t, respondAlways(strings.Replace(answer, "%s", strings.Repeat("x", length), 1)))
+		s := startTarget(t, respondAlways(strings.Replace(response, "%s", strings.Repeat("x", length), 1)))
 		p := newPool(t, s.addr(), nil)
 		_, _, err := sendGet(t, p, background)
 		assert.Equal(t, err == nil, complete, "a trailer of %d bytes: %v", length, err)
--- a/target/pool.go
+++ b/target/pool.go
@@ -18,9 +18,9 @@
 	// header; see inlineBody.
 	inlineSmallBodies bool
 
-	// targetIdleTimeout is how long the target keeps an idle connection open according to its
+	// idleLimit is how long the target keeps an idle connection open according to its
 	// latest Keep-Alive header, less a margin, in nanoseconds; zero if it hasn't said.
-	targetIdleTimeout atomic.Int64
+	idleLimit atomic.Int64
 
 	// rechecks counts the calls of Recheck.
 	rechecks atomic.Uint64
--- a/target/scripted_target_test.go
+++ b/target/scripted_target_test.go
@@ -92,9 +92,9 @@
 	s.wg.Wait()
 }
 
-// respondAlways returns a handler that reads each request to its end and answers it with the
+// respondAlways returns a handler that reads each request to its end and responds with the
 // same bytes.
-func respondAlways(answer string) func(net.Conn, *bufio.Reader) {
+func respondAlways(response string) func(net.Conn, *bufio.Reader) {
 	return func(c net.Conn, br *bufio.Reader) {
 		for {
 			r, err := http.ReadRequest(br)
@@ -104,7 +104,7 @@
 			if _, err := io.Copy(io.Discard, r.Body); err != nil {
 				return
 			}
-			if _, err := io.WriteString(c, answer); err != nil {
+			if _, err := io.WriteString(c, response); err != nil {
 				return
 			}
 		}
--- a/target/upload_test.go
+++ b/target/upload_test.go
@@ -118,7 +118,7 @@
 
 func TestExpectContinueDelaysTheBody(t *testing.T) {
 	body := func() *watchedBody { return &watchedBody{Reader: strings.NewReader("body")} }
-	t.Run("requested", func(t *testing.T) {
+	t.Run("asked for", func(t *testing.T) {
 		withFakeTime(t, nil, func(conn net.Conn, br *bufio.Reader) {
 			r, err := http.ReadRequest(br)
 			if err != nil {
@@ -150,7 +150,7 @@
 			assert.Equal(t, p.Stats().Open, 0)
 		})
 	})
-	t.Run("no reaction", func(t *testing.T) {
+	t.Run("neither", func(t *testing.T) {
 		withFakeTime(t, nil, respondAlways(okResponse), func(t *testing.T, p *Pool) {
 			start := time.Now()
 			resp := attempt(t, p, background, newExpectContinueRequest(t, body()))
