--- a/target/abort.go
+++ b/target/abort.go
@@ -21,7 +21,7 @@
 // interrupted; the check before the request is written must then refuse the attempt.
 func (c *Cut) Now() { c.For(nil) }
 
-// For is like Now, but sets the fault that the attempt returns if its response has not begun.
+// For aborts the attempt too, and sets the fault that it returns if its response has not begun.
 // The fault's Ran is replaced by what is known about the execution.
 func (c *Cut) For(reason *fault.Fault) {
 	c.mu.Lock()
--- a/target/broken_conn_test.go
+++ b/target/broken_conn_test.go
@@ -54,6 +54,8 @@
 	read      int
 }
 
+// breakAfter makes the connection break after that many more written or read bytes, and resets
+// the counts.
 func (c *breakingConn) breakAfter(writeLeft, readLeft int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/target/suspend_test.go
+++ b/target/suspend_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// sendUntilKilled is the process that TestSuspendedProcessWritesNothingAfterItsRight suspends.
+// sendUntilKilled is the process that TestSuspendedProcessWritesNothingAfterLeaseExpiry suspends.
 func sendUntilKilled(address string) {
 	p, err := New(PoolConfig{Address: address})
 	if err != nil {
