--- a/leasewrite/leasewrite.go
+++ b/leasewrite/leasewrite.go
@@ -29,7 +29,7 @@
 	ErrInterrupted = errors.New("leasewrite: interrupted between clock check and write in every attempt")
 	// ErrUnsupported means that this build, the C library or the kernel does not support
 	// restartable sequences.
-	ErrUnsupported = errors.New("leasewrite: restartable sequences are not supported")
+	ErrUnsupported = errors.New("leasewrite: no restartable sequences")
 )
 
 // GaveUp reports whether err means that Write stopped because it could not guarantee that
