--- a/target/cutoff_test.go
+++ b/target/abort_test.go
@@ -13,13 +13,13 @@
 	"tarragongw/internal/faulttest"
 )
 
-// Symptom: a caller's connection breaks off without an answer when a key moves.
-// Sequence: work runs longer than a closing unit allows; the router cuts it.
-// Cause: the cut looks like a caller that went away, for whom there is no answer.
-func TestCutIsNotTakenForACallerThatLeft(t *testing.T) {
-	t.Run("while the target is at work", func(t *testing.T) {
+// Guards against closing a caller's connection without a response when a key moves. Work runs
+// longer than a unit that is being released allows, the router aborts it, and the abort is
+// taken for a caller that went away, which gets no response.
+func TestAbortIsNotReportedAsCallerGone(t *testing.T) {
+	t.Run("while the target is working", func(t *testing.T) {
 		var cut Cut
-		s := play(t, func(_ net.Conn, br *bufio.Reader) {
+		s := startTarget(t, func(_ net.Conn, br *bufio.Reader) {
 			_, _ = http.ReadRequest(br)
 			cut.Now()
 		})
@@ -29,7 +29,7 @@
 	})
 	t.Run("before a byte was written", func(t *testing.T) {
 		var cut Cut
-		s := play(t, always(okAnswer))
+		s := startTarget(t, respondAlways(okResponse))
 		p := newPool(t, s.addr(), nil)
 		cut.Now()
 		_, f := p.AttemptOn(background, newRequest(t, "GET", nil), Terms{Cut: &cut})
@@ -37,13 +37,11 @@
 	})
 }
 
-// Symptom: a request of another caller is cut off.
-// Sequence: an exchange ends and its connection serves the next; then the first
-// one is cut.
-// Cause: the cut still holds on to the connection.
-func TestCutAfterTheEndHarmsNobody(t *testing.T) {
+// Guards against aborting another caller's request. An exchange ends and its connection carries
+// the next one; then the first exchange is aborted, and its aborter still refers to the connection.
+func TestAbortAfterTheEndDoesNotAffectTheNextExchange(t *testing.T) {
 	var cut Cut
-	s := play(t, always(okAnswer))
+	s := startTarget(t, respondAlways(okResponse))
 	p := newPool(t, s.addr(), nil)
 	resp, f := p.AttemptOn(background, newRequest(t, "GET", nil), Terms{Cut: &cut})
 	assert.Assert(t, f == nil)
@@ -56,11 +54,10 @@
 	assert.Equal(t, p.Stats().Dials, uint64(1))
 }
 
-// Symptom: a caller is refused although the key is served again within a second.
-// Sequence: a grant lapses because its renewal comes late; a request comes first.
-// Cause: the refusal looks like that of a target that does not want the work, which
-// is not waited for.
-func TestGrantThatDoesNotFitIsNotARefusalOfTheWork(t *testing.T) {
+// Guards against refusing a caller although the key is served again within a second. A grant
+// expires because its renewal is late, a request arrives before the renewal, and the refusal is
+// taken for that of a target that does not want the work, for which the router does not wait.
+func TestGrantMismatchIsAStaleRoute(t *testing.T) {
 	for cause, want := range map[string]fault.Kind{
 		CauseUnit:    fault.StaleRoute,
 		CauseToken:   fault.StaleRoute,
@@ -69,7 +66,7 @@
 		"overload":   fault.TargetRefused,
 		"draining":   fault.TargetRefused,
 	} {
-		s := play(t, always("HTTP/1.1 503 No\r\nTarragon-Not-Run: "+cause+"\r\nContent-Length: 0\r\n\r\n"))
+		s := startTarget(t, respondAlways("HTTP/1.1 503 No\r\nTarragon-Not-Run: "+cause+"\r\nContent-Length: 0\r\n\r\n"))
 		_, f := newPool(t, s.addr(), nil).Attempt(background, newRequest(t, "GET", nil))
 		assert.Equal(t, f.Kind, want, cause)
 		assert.Equal(t, f.Ran, fault.NotRun)
--- a/target/acquire.go
+++ b/target/acquire.go
@@ -7,8 +7,8 @@
 	"tarragongw/core/fault"
 )
 
-// waiter is an attempt that waits for a connection. A nil conn handed to it is
-// the permission to open one, already counted.
+// waiter is an attempt that is queued for a connection. A nil conn sent to it is the
+// permission to open one; its slot is already counted.
 type waiter struct {
 	ready chan *conn
 }
@@ -21,15 +21,15 @@
 			p.mu.Unlock()
 			return nil, notRun(fault.TargetUnreachable, nil, "the pool is closed")
 		}
-		if c := p.pop(); c != nil {
+		if c := p.popIdle(); c != nil {
 			p.mu.Unlock()
-			if p.usable(c) {
+			if p.checkReuse(c) {
 				return c, nil
 			}
 			continue
 		}
-		if p.open < p.max {
-			cause := p.opening()
+		if p.open < p.maxWorkConns {
+			cause := p.openCause()
 			p.open++
 			p.inUse++
 			p.mu.Unlock()
@@ -52,28 +52,29 @@
 			return nil, f
 		case dial:
 			return p.dial(ctx)
-		case c != nil && p.usable(c):
+		case c != nil && p.checkReuse(c):
 			return c, nil
 		}
 	}
 }
 
-// opening says why a connection has to be opened now; the lock is held.
-func (p *Pool) opening() OpenCause {
+// openCause returns why a connection has to be opened now. The caller holds mu.
+func (p *Pool) openCause() OpenCause {
 	switch {
 	case p.inUse > 0:
 		return OpenedBeside
 	case p.counts.Dials == 0:
 		return OpenedFirst
-	case p.lost == "":
-		return OpenedBroken // the one before could not be opened
+	case p.lastCloseCause == "":
+		return OpenedBroken // the previous attempt to open one failed
 	default:
-		return p.lost
+		return p.lastCloseCause
 	}
 }
 
-// pop takes the connection that rested last and counts it in use.
-func (p *Pool) pop() *conn {
+// popIdle takes the most recently used idle connection and counts it as in use, or returns
+// nil. The caller holds mu.
+func (p *Pool) popIdle() *conn {
 	n := len(p.idle)
 	if n == 0 {
 		return nil
@@ -85,15 +86,16 @@
 	return c
 }
 
-// usable counts the reuse of a connection that is in use now, or drops it.
-func (p *Pool) usable(c *conn) bool {
+// checkReuse reports whether a connection that is now in use again can take an exchange, and
+// counts the reuse. Otherwise it closes the connection.
+func (p *Pool) checkReuse(c *conn) bool {
 	now := p.cfg.Now()
 	switch {
 	case p.expired(c, now):
-		p.drop(c, &p.counts.Aged, OpenedRested)
+		p.closeInUse(c, &p.counts.Aged, OpenedIdle)
 		return false
-	case !c.alive():
-		p.drop(c, &p.counts.Stale, OpenedStale)
+	case !c.reusable():
+		p.closeInUse(c, &p.counts.Stale, OpenedStale)
 		return false
 	}
 	p.mu.Lock()
@@ -103,44 +105,46 @@
 }
 
 func (p *Pool) expired(c *conn, now time.Time) bool {
-	return now.Sub(c.born) >= p.cfg.MaxAge || now.Sub(c.rested) >= p.maxIdle() || !p.trusts(c, now)
+	return now.Sub(c.opened) >= p.cfg.MaxAge || now.Sub(c.idleSince) >= p.maxIdle() || !p.certAccepted(c, now)
 }
 
-// restMargin is the part, one in so many, by which a connection is closed before the
-// target would: a request on its way just then would be lost, and could not be repeated.
-const restMargin = 5
+// idleTimeoutMargin is the divisor for the margin, as a fraction of the target's idle timeout,
+// by which the pool closes an idle connection before the target does. A request that is sent
+// just as the target closes the connection would be lost, and could not be retried.
+const idleTimeoutMargin = 5
 
-// maxIdle is how long a connection may have rested.
+// maxIdle returns how long a connection may stay idle.
 func (p *Pool) maxIdle() time.Duration {
-	if rest := time.Duration(p.rest.Load()); rest > 0 && rest < p.cfg.MaxIdle {
-		return rest
+	if idleLimit := time.Duration(p.idleLimit.Load()); idleLimit > 0 && idleLimit < p.cfg.MaxIdle {
+		return idleLimit
 	}
 	return p.cfg.MaxIdle
 }
 
-// await waits for a connection or for the permission to open one. With neither
-// and no fault, the pool was closed or the connection is gone: look again.
+// await waits for a connection or for the permission to open one. If it returns none of c,
+// dial and f, the pool has been closed and the caller must start over.
 func (p *Pool) await(ctx context.Context, w *waiter) (c *conn, dial bool, f *fault.Fault) {
-	var late <-chan time.Time
+	var timeout <-chan time.Time
 	if p.cfg.Wait > 0 {
 		timer := time.NewTimer(p.cfg.Wait)
 		defer timer.Stop()
-		late = timer.C
+		timeout = timer.C
 	}
 	select {
 	case c, ok := <-w.ready:
 		return c, ok && c == nil, nil
 	case <-ctx.Done():
-		f = ctxFault(ctx, fault.NotRun)
-	case <-late:
+		f = contextFault(ctx, fault.NotRun)
+	case <-timeout:
 		f = notRun(fault.QueueFull, nil, "no connection of the target came free in time")
 	}
-	p.leave(w, f.Kind == fault.QueueFull)
+	p.abandonWait(w, f.Kind == fault.QueueFull)
 	return nil, false, f
 }
 
-// leave takes a waiter out of the queue, or hands on what it was just given.
-func (p *Pool) leave(w *waiter, full bool) {
+// abandonWait removes a waiter from the queue. If the waiter has just been sent a connection
+// or a slot, it passes that on.
+func (p *Pool) abandonWait(w *waiter, full bool) {
 	p.mu.Lock()
 	if full {
 		p.counts.Full++
@@ -157,17 +161,17 @@
 	switch {
 	case !ok:
 	case c == nil:
-		p.vacate(nil)
+		p.freeSlot(nil)
 	default:
 		p.release(c)
 	}
 }
 
-// dial opens a connection; its place in the budget is taken already.
+// dial opens a connection, whose slot the caller has already taken.
 func (p *Pool) dial(ctx context.Context) (*conn, *fault.Fault) {
-	limited, cancel := context.WithTimeout(ctx, p.cfg.DialTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, p.cfg.DialTimeout)
 	defer cancel()
-	c, err := p.connect(limited)
+	c, err := p.connect(dialCtx)
 	p.mu.Lock()
 	p.counts.Dials++
 	if err != nil {
@@ -177,9 +181,9 @@
 	if err == nil {
 		return c, nil
 	}
-	p.vacate(nil)
+	p.freeSlot(nil)
 	if ctx.Err() != nil {
-		return nil, ctxFault(ctx, fault.NotRun)
+		return nil, contextFault(ctx, fault.NotRun)
 	}
 	return nil, notRun(fault.TargetUnreachable, err, "opening a connection failed")
 }
@@ -189,16 +193,16 @@
 	if err != nil {
 		return nil, err
 	}
-	round := p.round.Load()
+	rechecks := p.rechecks.Load()
 	c := newConn(raw, p.cfg.ProgressTimeout, p.cfg.Now())
 	if p.cfg.TLS == nil {
 		return c, nil
 	}
-	secure := c.startTLS(p.cfg.TLS())
-	if err := secure.HandshakeContext(ctx); err != nil {
+	tlsConn := c.startTLS(p.cfg.TLS())
+	if err := tlsConn.HandshakeContext(ctx); err != nil {
 		raw.Close()
 		return nil, err
 	}
-	c.trust = trustOf(secure.ConnectionState(), round)
+	c.cert = newPeerCert(tlsConn.ConnectionState(), rechecks)
 	return c, nil
 }
--- a/target/attempt.go
+++ b/target/attempt.go
@@ -15,150 +15,155 @@
 	"tarragongw/reqctx"
 )
 
-// maxInformational bounds the 1xx answers before the final one.
+// maxInformational bounds the number of 1xx responses before the final one.
 const maxInformational = 16
 
 var (
-	errTooManyInformational = errors.New("target: too many informational answers")
-	errSwitched             = errors.New("target: the target switched protocols unasked")
-	errUnasked              = errors.New("target: an answer came before the request")
+	errTooManyInformational = errors.New("target: too many informational responses")
+	errSwitchedProtocols    = errors.New("target: the target switched protocols without being asked")
+	errEarlyResponse        = errors.New("target: a response arrived before the request was sent")
 )
 
-// exchange is one request and its answer on one connection. It is the answer's
-// body as well.
+// exchange is one request and its response on one connection. It also serves as the response
+// body.
 type exchange struct {
-	pool   *Pool
-	conn   *conn
-	ctx    context.Context
-	stop   func() bool
-	cut    *Cut
-	upload *upload
-	body   io.ReadCloser
+	pool             *Pool
+	conn             *conn
+	ctx              context.Context
+	stopContextWatch func() bool
+	aborter          *Cut
+	upload           *upload
+	body             io.ReadCloser
 
+	// sentBefore is the connection's count of sent bytes before the request.
 	sentBefore int64
-	malformed  bool
-	unframed   bool
-	// overdue says that an answer to an earlier request came first: the target's count of
-	// answers is off, so that the connection is not used again.
-	overdue bool
-	// keep says that the connection may be used again after the whole answer.
-	keep  bool
-	ended atomic.Bool
-	// closing says that Close has closed the connection.
+	// malformed is set if net/http refused to write the request.
+	malformed bool
+	// unframed is set if the response has neither a length nor chunked encoding.
+	unframed bool
+	// staleResponse is set if a response to an earlier request arrived first. The target's
+	// responses are then out of step with the requests, so the connection is not reused.
+	staleResponse bool
+	// keepConn is set if the connection may be reused after a complete response.
+	keepConn bool
+	ended    atomic.Bool
+	// closing is set when Close has closed the connection.
 	closing atomic.Bool
-	// reading is held by Read and by Close once it has closed the connection, so that
-	// the buffers aren't lent on while a Read is still in them.
-	reading sync.Mutex
-	err     error
+	// readMu is held by Read, and by Close after it has closed the connection, so that the
+	// buffers aren't released while a Read still uses them.
+	readMu  sync.Mutex
+	readErr error
 }
 
-// Attempt implements Attempter. The request is written as it is, so the caller
-// has removed hop-by-hop fields. Attempt reads the request's body, which it never
-// closes; a fault of kind other than TargetRefused that says "not run" has read
-// nothing of it. After a fault the body may still be in one Read that only its
-// owner can end, and no other follows.
+// Attempt implements Attempter. The request is written as it is, so the caller must have
+// removed hop-by-hop fields. Attempt reads the request's body but never closes it. If it
+// returns a fault with Ran NotRun and a Kind other than TargetRefused, it has read nothing of
+// the body. After a fault, one Read of the body may still be in progress, which only the
+// body's owner can end; no other follows.
 //
-// The context bounds the whole exchange, the answer's body included. The caller
-// must read the body to its end or close it. Informational answers other than
-// "100 Continue" go to the context's httptrace.ClientTrace.
+// The context bounds the whole exchange, including the response body. The caller must read
+// the response body to its end or close it. Informational responses are reported to the
+// context's httptrace.ClientTrace.
 func (p *Pool) Attempt(ctx context.Context, r *http.Request) (*http.Response, *fault.Fault) {
 	return p.AttemptOn(ctx, r, Terms{})
 }
 
-// Terms are what an attempt is made under, beyond its context.
+// Terms are the options of an attempt. All fields are optional.
 type Terms struct {
-	// Allowed is asked once there is a connection and right before the request is
-	// written. Where it returns a fault, that fault is the attempt's and the connection
-	// stays usable.
+	// Allowed is called when the connection is ready, right before the request is written. If
+	// it returns a fault, nothing is written, the attempt returns that fault, and the connection
+	// is released for reuse.
 	//
-	// A check before the attempt isn't enough where sending is a right that lapses:
-	// waiting for a connection and opening it may take longer than the right has left,
-	// and the target would get work from a router that may no longer send it.
+	// If sending requires a lease, a check before the attempt is not enough: the lease may
+	// expire while the attempt waits for a connection or opens one, and the target would get
+	// work from a router that may no longer send it.
 	Allowed func() *fault.Fault
-	// Still is asked in the moment in which bytes of the request are handed to the kernel;
-	// begun says that some have been already. Where it returns a fault, nothing more is sent,
-	// the connection is closed, and the attempt ends with that fault or, once begun, as lost.
+	// Still is called right before each write of request bytes to the kernel; started is true if
+	// bytes of the request have been written before. If it returns a fault, nothing more is
+	// sent, the connection is closed, and the attempt ends with that fault or, if started, with
+	// TargetLost.
 	//
-	// Allowed isn't enough where the process may be suspended: after it the header is put
-	// together, for a request with a body in a goroutine that has to be scheduled first, and
-	// the body follows in a write of its own. A process that is suspended in between would
-	// act on a right that has lapsed when it goes on; one would notice a request that runs
-	// at a key's former owner.
-	Still func(begun bool) *fault.Fault
-	// Until returns when the right to send ends, by clock.Boot; no byte is handed to the kernel
-	// later, also where the process is suspended after Still. It is asked after Still. Nil
-	// leaves it at Still.
-	Until func(begun bool) time.Duration
-	// Cut ends the attempt from outside.
+	// The check before the request is not enough if the process may be suspended: after it, the
+	// header is still to be built, for a request with a body by a goroutine that must be
+	// scheduled first, and the body is sent in a write of its own. A process that is suspended
+	// in between would resume and write after its lease has expired, and the request would run
+	// at the key's former holder.
+	Still func(started bool) *fault.Fault
+	// Until returns when the lease to send expires, by clock.Boot. It is called after the check
+	// above, right before each write. No byte is handed to the kernel after that time, even if
+	// the process is suspended between the two. Nil means that there is no such time.
+	Until func(started bool) time.Duration
+	// Cut aborts the attempt from outside.
 	Cut *Cut
 }
 
-// AttemptOn is Attempt under terms.
-func (p *Pool) AttemptOn(ctx context.Context, r *http.Request, terms Terms) (*http.Response, *fault.Fault) {
+// AttemptOn is Attempt with options.
+func (p *Pool) AttemptOn(ctx context.Context, r *http.Request, opts Terms) (*http.Response, *fault.Fault) {
 	if ctx.Err() != nil {
-		return nil, ctxFault(ctx, fault.NotRun)
+		return nil, contextFault(ctx, fault.NotRun)
 	}
 	c, f := p.acquire(ctx)
 	if f != nil {
 		return nil, f
 	}
-	if terms.Allowed != nil {
-		if f := terms.Allowed(); f != nil {
+	if opts.Allowed != nil {
+		if f := opts.Allowed(); f != nil {
 			p.release(c)
 			return nil, f
 		}
 	}
-	c.attach()
-	c.begin(terms)
-	x := &exchange{pool: p, conn: c, ctx: ctx, cut: terms.Cut, sentBefore: c.sent.Load()}
+	c.attachBuffers()
+	c.setOptions(opts)
+	x := &exchange{pool: p, conn: c, ctx: ctx, aborter: opts.Cut, sentBefore: c.sent.Load()}
 	x.watch()
-	resp, err := x.run(r)
+	resp, err := x.roundTrip(r)
 	if err != nil {
 		return nil, x.fail(err)
 	}
 	p.observe(resp)
 	if f := p.cfg.Dialect.refusal(resp); f != nil {
-		x.refuse(resp)
+		x.finishRefused(resp)
 		return nil, f
 	}
 	if err := p.cfg.Dialect.check(resp); err != nil {
-		return nil, x.spoilt(err)
+		return nil, x.failInvalid(err)
 	}
-	x.begin(r, resp)
+	x.startBody(r, resp)
 	return resp, nil
 }
 
-// observe notes what an answer's header says of its target.
+// observe evaluates what a response header says about the target.
 func (p *Pool) observe(resp *http.Response) {
-	if rest := restOf(resp.Header); rest > 0 {
-		p.rest.Store(int64(rest - rest/restMargin))
+	if idleLimit := keepAliveTimeout(resp.Header); idleLimit > 0 {
+		p.idleLimit.Store(int64(idleLimit - idleLimit/idleTimeoutMargin))
 	}
 	if p.cfg.Dialect.Observe != nil {
 		p.cfg.Dialect.Observe(resp.Header)
 	}
 }
 
-// spoilt ends an exchange whose answer can't be the target's.
-func (x *exchange) spoilt(err error) *fault.Fault {
+// failInvalid ends an exchange whose response can't come from the target itself.
+func (x *exchange) failInvalid(err error) *fault.Fault {
 	f := x.fail(err)
 	f.Kind, f.Ran, f.Cause = fault.AnswerInvalid, fault.RanUnknown, err
 	return f
 }
 
-func (x *exchange) run(r *http.Request) (*http.Response, error) {
-	if hasBody(r) && !(x.pool.short && atHand(r)) {
+// roundTrip sends the request and reads the response up to the end of its header.
+func (x *exchange) roundTrip(r *http.Request) (*http.Response, error) {
+	if hasBody(r) && !(x.pool.inlineSmallBodies && inlineBody(r)) {
 		x.upload = startUpload(x.conn, r)
-		return x.readHeader(r)
+		return x.readResponse(r)
 	}
-	if err := x.writeHeader(r); err != nil {
+	if err := x.writeRequest(r); err != nil {
 		return nil, err
 	}
-	return x.readHeader(r)
+	return x.readResponse(r)
 }
 
-// writeHeader writes a request without a body, or with one that is at hand, in the
-// caller's goroutine.
-func (x *exchange) writeHeader(r *http.Request) error {
+// writeRequest writes a request without a body, or with an inline body, in the caller's
+// goroutine.
+func (x *exchange) writeRequest(r *http.Request) error {
 	err := r.Write(x.conn.bw)
 	if err == nil {
 		err = x.conn.bw.Flush()
@@ -167,45 +172,46 @@
 	return err
 }
 
-// readHeader reads up to the end of the final answer's header.
-func (x *exchange) readHeader(r *http.Request) (*http.Response, error) {
+// readResponse reads up to the end of the final response's header.
+func (x *exchange) readResponse(r *http.Request) (*http.Response, error) {
 	x.conn.headerLeft = x.pool.cfg.MaxHeaderBytes
 	defer func() { x.conn.headerLeft = -1 }()
-	overdue := 0
+	staleResponses := 0
 	for range maxInformational {
 		resp, err := http.ReadResponse(x.conn.br, r)
 		if err != nil {
 			return nil, err
 		}
 		if !x.conn.wrote(x.sentBefore) {
-			return nil, errUnasked
+			return nil, errEarlyResponse
 		}
 		switch {
-		case resp.StatusCode >= http.StatusOK && x.pool.cfg.Dialect.foreign(r, resp):
-			if overdue++; overdue > maxOverdue || !passOver(resp) {
-				return nil, errOverdue
+		case resp.StatusCode >= http.StatusOK && x.pool.cfg.Dialect.forOtherRequest(r, resp):
+			if staleResponses++; staleResponses > maxStaleResponses || !skipResponse(resp) {
+				return nil, errStaleResponse
 			}
-			x.overdue = true
+			x.staleResponse = true
 			x.conn.headerLeft = x.pool.cfg.MaxHeaderBytes
 			continue
 		case resp.StatusCode >= http.StatusOK:
-			x.upload.answered()
+			x.upload.responseReceived()
 			return resp, nil
 		case resp.StatusCode == http.StatusSwitchingProtocols:
-			return nil, errSwitched
+			return nil, errSwitchedProtocols
 		case resp.StatusCode == http.StatusContinue:
-			x.upload.goOn()
+			x.upload.continueBody()
 		}
-		if err := x.inform(resp); err != nil {
+		if err := x.trace1xx(resp); err != nil {
 			return nil, err
 		}
 	}
 	return nil, errTooManyInformational
 }
 
-// passOver reads an answer that belongs to an earlier request to its end, after which the
-// one that is waited for comes; without a length it has no end that could be known.
-func passOver(resp *http.Response) bool {
+// skipResponse reads a response to an earlier request to its end, so that the expected one can
+// be read next. It reports false if that fails or if the end can't be determined, because the
+// response has neither a length nor chunked encoding.
+func skipResponse(resp *http.Response) bool {
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
 		return false
 	}
@@ -213,8 +219,8 @@
 	return err == nil
 }
 
-// inform hands an informational answer to who asked for it.
-func (x *exchange) inform(resp *http.Response) error {
+// trace1xx reports an informational response to the context's httptrace.ClientTrace.
+func (x *exchange) trace1xx(resp *http.Response) error {
 	trace := httptrace.ContextClientTrace(x.ctx)
 	if trace == nil || trace.Got1xxResponse == nil {
 		return nil
@@ -222,34 +228,34 @@
 	return trace.Got1xxResponse(resp.StatusCode, textproto.MIMEHeader(resp.Header))
 }
 
-// fail ends an exchange whose answer did not begin.
+// fail ends an exchange that failed before its response began.
 func (x *exchange) fail(err error) *fault.Fault {
-	x.conn.seal()
-	x.upload.end()
-	f := x.faultOf(err)
-	x.cancelWatch()
-	x.discard(f.Kind)
+	x.conn.closeAndWait()
+	x.upload.stop()
+	f := x.requestFault(err)
+	x.stopWatch()
+	x.freeConn(f.Kind)
 	return f
 }
 
-// refuse ends an exchange that the target did not run. The connection is kept
-// where the rest of the answer is here already.
-func (x *exchange) refuse(resp *http.Response) {
+// finishRefused ends an exchange whose request the target did not run. The connection is kept
+// if the rest of the response has been received already.
+func (x *exchange) finishRefused(resp *http.Response) {
 	p := x.pool
 	p.mu.Lock()
 	p.counts.Refused++
 	p.mu.Unlock()
-	x.keep = reusable(resp) && !x.overdue && resp.ContentLength >= 0 && int64(x.conn.br.Buffered()) >= resp.ContentLength
-	if x.keep {
+	x.keepConn = allowsReuse(resp) && !x.staleResponse && resp.ContentLength >= 0 && int64(x.conn.br.Buffered()) >= resp.ContentLength
+	if x.keepConn {
 		_, err := io.Copy(io.Discard, resp.Body)
-		x.keep = err == nil
+		x.keepConn = err == nil
 	}
 	x.finish(fault.TargetRefused)
 }
 
-// begin makes the exchange the answer's body, or ends it where there is none.
-func (x *exchange) begin(r *http.Request, resp *http.Response) {
-	x.keep = reusable(resp) && !r.Close && !x.overdue
+// startBody makes the exchange the response body, or ends it if there is no body.
+func (x *exchange) startBody(r *http.Request, resp *http.Response) {
+	x.keepConn = allowsReuse(resp) && !r.Close && !x.staleResponse
 	if resp.Body == http.NoBody {
 		x.finish(fault.Internal)
 		return
@@ -259,8 +265,8 @@
 	resp.Body = x
 }
 
-// reusable reports whether the header allows another request on the connection.
-func reusable(resp *http.Response) bool {
+// allowsReuse reports whether the response header allows another request on the connection.
+func allowsReuse(resp *http.Response) bool {
 	if resp.Close {
 		return false
 	}
@@ -268,13 +274,13 @@
 	return hasLength || resp.Body == http.NoBody
 }
 
-// Read implements io.Reader for the answer's body. An answer that breaks off ends
-// with a *fault.Fault that wraps io.ErrUnexpectedEOF, never with io.EOF.
+// Read implements io.Reader for the response body. If the response is truncated, it returns a
+// *fault.Fault that wraps io.ErrUnexpectedEOF, never io.EOF.
 func (x *exchange) Read(b []byte) (int, error) {
-	x.reading.Lock()
-	defer x.reading.Unlock()
-	if x.err != nil {
-		return 0, x.err
+	x.readMu.Lock()
+	defer x.readMu.Unlock()
+	if x.readErr != nil {
+		return 0, x.readErr
 	}
 	if x.ended.Load() {
 		return 0, http.ErrBodyReadAfterClose
@@ -283,13 +289,13 @@
 	if err == nil {
 		return n, nil
 	}
-	x.err = x.endOf(err)
-	return n, x.err
+	x.readErr = x.finishRead(err)
+	return n, x.readErr
 }
 
-// endOf ends the exchange at an error or the end of the answer's body and returns
-// what the reader is told.
-func (x *exchange) endOf(err error) error {
+// finishRead ends the exchange at an error or at the end of the response body. It returns the
+// error for the reader.
+func (x *exchange) finishRead(err error) error {
 	if err == io.EOF && x.unframed && x.pool.cfg.RequireFraming {
 		err = errUnframed
 	}
@@ -297,70 +303,70 @@
 		x.finish(fault.Internal)
 		return io.EOF
 	}
-	f := x.cutShort(err)
-	x.keep = false
+	f := x.bodyFault(err)
+	x.keepConn = false
 	x.finish(f.Kind)
 	return f
 }
 
-// Close implements io.Closer. Before the answer's end it closes the connection,
-// and with it whatever of the answer is still to come.
+// Close implements io.Closer. If the response has not been read to its end, Close closes the
+// connection.
 func (x *exchange) Close() error {
 	if x.ended.Load() {
 		return nil
 	}
 	x.closing.Store(true)
 	x.conn.abort()
-	x.reading.Lock()
-	defer x.reading.Unlock()
+	x.readMu.Lock()
+	defer x.readMu.Unlock()
 	x.finish(fault.CallerGone)
 	return nil
 }
 
-// finish ends the exchange once: its connection rests or is closed.
+// finish ends the exchange, once, and releases its connection for reuse or closes it.
 func (x *exchange) finish(kind fault.Kind) {
 	if !x.ended.CompareAndSwap(false, true) {
 		return
 	}
-	whole := x.cancelWatch() && x.keep && !x.closing.Load() && x.upload.sent()
-	if !whole || x.conn.br.Buffered() > 0 {
+	reuse := x.stopWatch() && x.keepConn && !x.closing.Load() && x.upload.waitSent()
+	if !reuse || x.conn.br.Buffered() > 0 {
 		x.conn.abort()
-		x.upload.end()
-		x.discard(kind)
+		x.upload.stop()
+		x.freeConn(kind)
 		return
 	}
-	x.conn.detach()
+	x.conn.releaseBuffers()
 	x.pool.release(x.conn)
 }
 
-// watch ends the exchange with its context or its Cut.
+// watch aborts the exchange when its context ends or its aborter is used.
 func (x *exchange) watch() {
-	x.stop = reqctx.AfterFunc(x.ctx, x.conn.abort)
-	x.cut.bind(x.conn.abort)
+	x.stopContextWatch = reqctx.AfterFunc(x.ctx, x.conn.abort)
+	x.aborter.bind(x.conn.abort)
 }
 
-// cancelWatch stops watching; false means that the context or the Cut has ended the
-// exchange and the connection is being closed.
-func (x *exchange) cancelWatch() bool {
-	unharmed := x.cut.unbind()
-	return x.stop() && unharmed
+// stopWatch ends watch. It reports false if the context or the aborter has aborted the exchange;
+// the connection is then being closed.
+func (x *exchange) stopWatch() bool {
+	notAborted := x.aborter.unbind()
+	return x.stopContextWatch() && notAborted
 }
 
-// discard frees the place of a closed connection and counts why.
-func (x *exchange) discard(kind fault.Kind) {
+// freeConn frees the slot of a closed connection and counts the reason.
+func (x *exchange) freeConn(kind fault.Kind) {
 	p := x.pool
 	count, cause := &p.counts.Broken, OpenedBroken
 	switch {
-	case x.conn.silent.Load():
+	case x.conn.timedOut.Load():
 		count = &p.counts.Silent
 	case kind == fault.CallerGone || kind == fault.DeadlineExceeded:
 		count, cause = &p.counts.Cancelled, OpenedCancelled
 	case kind == fault.TargetRefused || kind == fault.Internal:
 		count, cause = nil, OpenedEnded
 	}
-	p.lose(cause)
-	if x.upload.done() {
-		x.conn.detach()
+	p.recordClose(cause)
+	if x.upload.writerDone() {
+		x.conn.releaseBuffers()
 	}
-	p.vacate(count)
+	p.freeSlot(count)
 }
--- a/target/bench_unix_test.go
+++ b/target/bench_unix_test.go
@@ -18,24 +18,24 @@
 	"gotest.tools/v3/assert"
 )
 
-// sender sends one request and reads its answer to the end.
-type sender func(r *http.Request) error
+// sendFunc sends a request and reads the response to its end.
+type sendFunc func(r *http.Request) error
 
 func benchServer(b *testing.B) string {
-	answer := []byte(strings.Repeat("x", 512))
+	response := []byte(strings.Repeat("x", 512))
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		_, _ = w.Write(answer)
+		_, _ = w.Write(response)
 	}))
 	b.Cleanup(server.Close)
 	return server.Listener.Addr().String()
 }
 
-func poolSender(b *testing.B, address string) sender {
+func poolSender(b *testing.B, address string) sendFunc {
 	return newPoolSender(b, PoolConfig{Address: address, MaxConns: 130, Wait: -1})
 }
 
-func newPoolSender(b *testing.B, cfg PoolConfig) sender {
+func newPoolSender(b *testing.B, cfg PoolConfig) sendFunc {
 	p, err := New(cfg)
 	assert.NilError(b, err)
 	b.Cleanup(p.Close)
@@ -52,11 +52,11 @@
 	}
 }
 
-func transportSender(b *testing.B, _ string) sender {
+func transportSender(b *testing.B, _ string) sendFunc {
 	return newTransportSender(b, 128)
 }
 
-func newTransportSender(b *testing.B, conns int) sender {
+func newTransportSender(b *testing.B, conns int) sendFunc {
 	t := &http.Transport{MaxConnsPerHost: conns, MaxIdleConnsPerHost: conns, DisableCompression: true}
 	b.Cleanup(t.CloseIdleConnections)
 	return func(r *http.Request) error {
@@ -72,12 +72,12 @@
 	}
 }
 
-// BenchmarkExchange compares the pool with net/http's Transport against one
-// server in one process; the server's own cost is in both.
+// BenchmarkExchange compares the pool with net/http's Transport. Client and server run in the
+// same process, so both results include the server's cost.
 func BenchmarkExchange(b *testing.B) {
 	kinds := []struct {
 		name string
-		make func(*testing.B, string) sender
+		make func(*testing.B, string) sendFunc
 	}{{"pool", poolSender}, {"transport", transportSender}}
 	bodies := []struct {
 		name string
@@ -106,8 +106,8 @@
 	}
 }
 
-// cpuTime returns the processor time of the process, client and server together.
-// It varies less than elapsed time on a machine that others use as well.
+// cpuTime returns the CPU time of the process, client and server together. On a shared machine
+// it varies less than elapsed time.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -129,13 +129,13 @@
 	return r
 }
 
-// BenchmarkIdleConnection reports the memory of a connection at rest, server side
-// included; "raw" is a bare net.Conn, so the difference to it is the client's share.
+// BenchmarkIdleConnection reports the memory of an idle connection, including the server side.
+// "raw" is a plain net.Conn, so the difference to it is the client's share.
 func BenchmarkIdleConnection(b *testing.B) {
 	const conns = 500
 	kinds := []struct {
 		name string
-		make func(*testing.B, string) sender
+		make func(*testing.B, string) sendFunc
 	}{{"raw", rawSender}, {"pool", wideSender}, {"transport", wideTransport}}
 	for _, kind := range kinds {
 		b.Run(kind.name, func(b *testing.B) {
@@ -146,13 +146,13 @@
 	}
 }
 
-// idleBytes returns what open connections at rest take beyond what was there before.
-func idleBytes(b *testing.B, make func(*testing.B, string) sender, conns int) float64 {
+// idleBytes returns the memory that idle connections take.
+func idleBytes(b *testing.B, make func(*testing.B, string) sendFunc, conns int) float64 {
 	var arrived, done sync.WaitGroup
 	arrived.Add(conns)
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		arrived.Done()
-		arrived.Wait() // all at once, so that each needs a connection of its own
+		arrived.Wait() // all requests are in flight at once, so that each needs a connection
 	}))
 	b.Cleanup(server.Close)
 	address := server.Listener.Addr().String()
@@ -171,7 +171,7 @@
 	return float64(memory()) - float64(before)
 }
 
-// memory returns the bytes of live heap and of stacks.
+// memory returns the bytes in use by the heap and by stacks.
 func memory() uint64 {
 	runtime.GC()
 	runtime.GC() // the second empties the sync.Pools
@@ -180,7 +180,7 @@
 	return m.HeapAlloc + m.StackInuse
 }
 
-func rawSender(b *testing.B, address string) sender {
+func rawSender(b *testing.B, address string) sendFunc {
 	return func(r *http.Request) error {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
@@ -195,10 +195,10 @@
 	}
 }
 
-func wideSender(b *testing.B, address string) sender {
+func wideSender(b *testing.B, address string) sendFunc {
 	return newPoolSender(b, PoolConfig{Address: address, MaxConns: 1000, Wait: -1})
 }
 
-func wideTransport(b *testing.B, _ string) sender {
+func wideTransport(b *testing.B, _ string) sendFunc {
 	return newTransportSender(b, 1000)
 }
--- a/target/cut_test.go
+++ b/target/broken_conn_test.go
@@ -19,14 +19,14 @@
 	"tarragongw/internal/faulttest"
 )
 
-// counter is a target that counts how often each request id ran. It runs a
-// request once it has the whole body.
-type counter struct {
+// countingTarget is a target that counts how often it ran each request id. It runs a request
+// when it has received the whole body.
+type countingTarget struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-func (c *counter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *countingTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -37,14 +37,15 @@
 	fmt.Fprintf(w, "got %d bytes", len(body))
 }
 
-func (c *counter) of(id string) int {
+func (c *countingTarget) runsOf(id string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.runs[id]
 }
 
-// cutter is a connection that breaks after a number of bytes; negative means never.
-type cutter struct {
+// breakingConn is a connection that breaks after a number of bytes; a negative number means
+// never.
+type breakingConn struct {
 	net.Conn
 	mu        sync.Mutex
 	writeLeft int
@@ -53,19 +54,21 @@
 	read      int
 }
 
-func (c *cutter) arm(writeLeft, readLeft int) {
+// breakAfter makes the connection break after that many more written or read bytes, and resets
+// the counts.
+func (c *breakingConn) breakAfter(writeLeft, readLeft int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.writeLeft, c.readLeft = writeLeft, readLeft
 	c.written, c.read = 0, 0
 }
 
-func (c *cutter) Write(b []byte) (int, error) {
+func (c *breakingConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	allowed := len(b)
-	cut := c.writeLeft >= 0 && allowed > c.writeLeft
-	if cut {
+	breaks := c.writeLeft >= 0 && allowed > c.writeLeft
+	if breaks {
 		allowed = c.writeLeft
 	}
 	n := 0
@@ -77,19 +80,20 @@
 	if c.writeLeft >= 0 {
 		c.writeLeft -= n
 	}
-	if cut && err == nil {
+	if breaks && err == nil {
 		c.Conn.Close()
 		err = syscall.ECONNRESET
 	}
 	return n, err
 }
 
-func (c *cutter) Read(b []byte) (int, error) {
+func (c *breakingConn) Read(b []byte) (int, error) {
 	c.mu.Lock()
 	left := c.readLeft
 	c.mu.Unlock()
 	if left == 0 {
-		// The next byte is on its way, so the request has run, and gets lost here.
+		// Wait until the next byte of the response arrives, so that the request has run, and
+		// discard it.
 		_, _ = c.Conn.Read(make([]byte, 1))
 		c.Conn.Close()
 		return 0, syscall.ECONNRESET
@@ -107,69 +111,70 @@
 	return n, err
 }
 
-// cutBench is a target with a pool whose connections can be cut.
-type cutBench struct {
-	*counter
-	pool   *Pool
-	server *http.Server
-	served chan struct{}
-	last   *cutter
-	refuse error
-	// body is that of each request; "" means none.
+// breakHarness is a target with a pool whose connections can be made to break.
+type breakHarness struct {
+	*countingTarget
+	pool      *Pool
+	server    *http.Server
+	serveDone chan struct{}
+	last      *breakingConn
+	dialError error
+	// body is the body of each request; empty means none.
 	body string
 }
 
-func newCutBench(t *testing.T) *cutBench {
+func newBreakHarness(t *testing.T) *breakHarness {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	b := &cutBench{counter: &counter{runs: map[string]int{}}, served: make(chan struct{}), body: "a payout of 300"}
-	b.server = &http.Server{Handler: b.counter}
+	b := &breakHarness{countingTarget: &countingTarget{runs: map[string]int{}}, serveDone: make(chan struct{}), body: "a payout of 300"}
+	b.server = &http.Server{Handler: b.countingTarget}
 	go func() {
-		defer close(b.served)
+		defer close(b.serveDone)
 		_ = b.server.Serve(listener)
 	}()
-	t.Cleanup(b.settle)
+	t.Cleanup(b.shutDown)
 	b.pool = newPool(t, listener.Addr().String(), func(c *PoolConfig) {
 		c.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
-			if b.refuse != nil {
-				return nil, b.refuse
+			if b.dialError != nil {
+				return nil, b.dialError
 			}
 			raw, err := new(net.Dialer).DialContext(ctx, network, address)
 			if err != nil {
 				return nil, err
 			}
-			b.last = &cutter{Conn: raw, writeLeft: -1, readLeft: -1}
+			b.last = &breakingConn{Conn: raw, writeLeft: -1, readLeft: -1}
 			return b.last, nil
 		}
 	})
 	return b
 }
 
-// settle waits until the target has ended all it was sent, so that no count can grow.
-func (b *cutBench) settle() {
+// shutDown waits until the target has finished all requests that it received, so that the
+// counts are final.
+func (b *breakHarness) shutDown() {
 	b.pool.CloseIdle()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	if err := b.server.Shutdown(ctx); err != nil {
 		panic(err)
 	}
-	<-b.served
+	<-b.serveDone
 }
 
-// outcome is what the sender of a request is told.
+// outcome is the result of a request as reported to its sender.
 type outcome struct {
 	id   string
 	kind fault.Kind
 	ran  fault.Ran
-	// answered means a whole answer.
+	// answered is set if a complete response was received.
 	answered bool
 }
 
-// send sends one at-most-once write and reads the answer to its end.
-func (b *cutBench) send(t *testing.T, id string) outcome {
+// send sends a write request and reads the response to its end.
+func (b *breakHarness) send(t *testing.T, id string) outcome {
 	r := newRequest(t, "POST", strings.NewReader(b.body))
 	r.Header.Set(HeaderRequestID, id)
-	// With this field, or with GET, net/http's Transport would feel free to replay.
+	// With this field, or with GET, net/http's Transport would retry the request.
 	r.Header.Set("Idempotency-Key", id)
 	resp, f := b.pool.Attempt(context.Background(), r)
 	if f != nil {
@@ -182,29 +187,29 @@
 	}
 	f = err.(*fault.Fault)
 	if !errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) {
-		t.Errorf("%s: a cut answer ended with %v", id, err)
+		t.Errorf("%s: a truncated response ended with %v", id, err)
 	}
 	return outcome{id: id, kind: f.Kind, ran: f.Ran}
 }
 
-// reused brings a connection to rest in the pool, so that the next request reuses it.
-// One whose answer came before its writer had ended is closed and not rested; then
-// the next request would go over a new connection, which nobody cuts.
-func (b *cutBench) reused(t *testing.T, id string) {
+// warmConnection leaves an idle connection in the pool, so that the next request reuses it. If
+// a response arrives before the writer has finished, the connection may be closed; then the
+// next request would use a new connection, which isn't set to break.
+func (b *breakHarness) warmConnection(t *testing.T, id string) {
 	for try := 0; try == 0 || b.pool.Stats().Idle == 0; try++ {
-		assert.Assert(t, try < maxWarming, "no connection came to rest")
+		assert.Assert(t, try < maxWarmUpRequests, "no connection became idle")
 		o := b.send(t, fmt.Sprintf("%s.%02d", id, try))
 		assert.Assert(t, o.answered, "%+v", o)
 	}
 }
 
-// maxWarming bounds the requests that it takes to bring a connection to rest.
-const maxWarming = 50
+// maxWarmUpRequests bounds the requests that warmConnection sends.
+const maxWarmUpRequests = 50
 
-// check holds the outcome against the count: this is what must always hold.
-func (b *cutBench) check(t *testing.T, o outcome) {
+// checkRuns checks the reported outcome of a request against how often the target ran it.
+func (b *breakHarness) checkRuns(t *testing.T, o outcome) {
 	t.Helper()
-	runs := b.of(o.id)
+	runs := b.runsOf(o.id)
 	switch {
 	case runs > 1:
 		t.Errorf("%s ran %d times", o.id, runs)
@@ -215,35 +220,34 @@
 	}
 }
 
-// Symptom: a payout is released twice, or a refused one is released all the same.
-// Sequence: a connection that was used before breaks after any byte of the request
-// or of the answer.
-// Cause: a client that sends the request again by itself, or that takes a broken
-// connection for a proof that the target did nothing.
-func TestCutAfterEveryByteOfAReusedConnection(t *testing.T) {
+// Guards against running a request twice, and against running one that was reported as not run.
+// A reused connection breaks after any byte of the request or of the response, and the client
+// retries the request by itself, or takes the broken connection as proof that the target did
+// nothing.
+func TestReusedConnectionThatBreaksAfterAnyByte(t *testing.T) {
 	for _, body := range []string{"a payout of 300", ""} {
 		t.Run(fmt.Sprintf("body of %d", len(body)), func(t *testing.T) {
-			b := newCutBench(t)
+			b := newBreakHarness(t)
 			b.body = body
-			cutEverywhere(t, b)
+			breakAfterEveryByte(t, b)
 		})
 	}
 }
 
-func cutEverywhere(t *testing.T, b *cutBench) {
-	// All ids have one length, so that all requests have.
-	b.reused(t, "warm-a-0000")
-	b.last.arm(-1, -1)
-	b.reused(t, "warm-a-0001")
-	requestBytes, answerBytes := b.last.written, b.last.read
-	assert.Assert(t, requestBytes > 140 && answerBytes > 100)
+func breakAfterEveryByte(t *testing.T, b *breakHarness) {
+	// All ids have the same length, so that all requests have the same length too.
+	b.warmConnection(t, "warm-a-0000")
+	b.last.breakAfter(-1, -1)
+	b.warmConnection(t, "warm-a-0001")
+	requestBytes, responseBytes := b.last.written, b.last.read
+	assert.Assert(t, requestBytes > 140 && responseBytes > 100)
 
 	var outcomes []outcome
 	for n := range requestBytes + 1 {
-		b.reused(t, fmt.Sprintf("warm-w-%04d", n))
-		b.last.arm(n, -1)
+		b.warmConnection(t, fmt.Sprintf("warm-w-%04d", n))
+		b.last.breakAfter(n, -1)
 		o := b.send(t, fmt.Sprintf("cut--w-%04d.00", n))
-		b.last.arm(-1, -1)
+		b.last.breakAfter(-1, -1)
 		outcomes = append(outcomes, o)
 		switch {
 		case n == 0:
@@ -257,14 +261,14 @@
 		}
 	}
 	headerEnd := 0
-	for n := range answerBytes + 1 {
-		b.reused(t, fmt.Sprintf("warm-r-%04d", n))
-		b.last.arm(-1, n)
+	for n := range responseBytes + 1 {
+		b.warmConnection(t, fmt.Sprintf("warm-r-%04d", n))
+		b.last.breakAfter(-1, n)
 		o := b.send(t, fmt.Sprintf("cut--r-%04d.00", n))
-		b.last.arm(-1, -1)
+		b.last.breakAfter(-1, -1)
 		outcomes = append(outcomes, o)
 		switch {
-		case n == answerBytes:
+		case n == responseBytes:
 			assert.Assert(t, o.answered, "%+v after %d bytes", o, n)
 		case o.kind == fault.AnswerTruncated:
 			assert.Equal(t, o.ran, fault.RanFully)
@@ -274,61 +278,62 @@
 			assert.Equal(t, o.ran, fault.RanUnknown, "after %d bytes", n)
 		}
 	}
-	assert.Equal(t, answerBytes-headerEnd, len(fmt.Sprintf("got %d bytes", len(b.body))))
-	b.settle()
+	assert.Equal(t, responseBytes-headerEnd, len(fmt.Sprintf("got %d bytes", len(b.body))))
+	b.shutDown()
 	for _, o := range outcomes {
-		b.check(t, o)
+		b.checkRuns(t, o)
 	}
-	for n := range answerBytes + 1 {
-		assert.Equal(t, b.of(fmt.Sprintf("cut--r-%04d.00", n)), 1, "answer cut after %d bytes", n)
+	for n := range responseBytes + 1 {
+		assert.Equal(t, b.runsOf(fmt.Sprintf("cut--r-%04d.00", n)), 1, "response broken off after %d bytes", n)
 	}
 }
 
 func TestFaultBeforeTheFirstByteIsNotRun(t *testing.T) {
-	b := newCutBench(t)
-	b.refuse = syscall.ECONNREFUSED
+	b := newBreakHarness(t)
+	b.dialError = syscall.ECONNREFUSED
 	o := b.send(t, "before dial")
 	assert.Equal(t, o.kind, fault.TargetUnreachable)
 	assert.Equal(t, o.ran, fault.NotRun)
 
-	b.refuse = nil
-	b.reused(t, "warm")
-	b.last.arm(0, -1)
+	b.dialError = nil
+	b.warmConnection(t, "warm")
+	b.last.breakAfter(0, -1)
 	o2 := b.send(t, "dialled, nothing written")
 	assert.Equal(t, o2.ran, fault.NotRun)
-	b.settle()
-	b.check(t, o)
-	b.check(t, o2)
+	b.shutDown()
+	b.checkRuns(t, o)
+	b.checkRuns(t, o2)
 	assert.Equal(t, b.pool.Stats().DialErrors, uint64(1))
 }
 
-// lossy is a target that reads each request, counts it, and from the second of a
-// connection on closes without an answer.
-func lossy(t *testing.T) (address string, seen func() int) {
+// startLossyTarget starts a target that responds to the first request of each connection and
+// closes the connection without a response on later ones. received returns how many requests
+// it has received.
+func startLossyTarget(t *testing.T) (address string, received func() int) {
 	var mu sync.Mutex
 	count := 0
 	answered := map[string]bool{}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		count++
-		second := answered[r.RemoteAddr]
+		reused := answered[r.RemoteAddr]
 		answered[r.RemoteAddr] = true
 		mu.Unlock()
-		if second {
+		if reused {
 			panic(http.ErrAbortHandler)
 		}
 		io.WriteString(w, "done")
 	})}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	served := make(chan struct{})
+	serveDone := make(chan struct{})
 	go func() {
-		defer close(served)
+		defer close(serveDone)
 		_ = server.Serve(listener)
 	}()
 	t.Cleanup(func() {
 		server.Close()
-		<-served
+		<-serveDone
 	})
 	return listener.Addr().String(), func() int {
 		mu.Lock()
@@ -337,13 +342,12 @@
 	}
 }
 
-// Symptom: a write that its caller marked with a key for deduplication runs twice.
-// Sequence: the target reads the request on a reused connection, runs it and breaks
-// the connection before it answers.
-// Cause: net/http's Transport replays a request with an Idempotency-Key, as any GET,
-// when a reused connection breaks before the answer. The first half of the test
-// shows that it does, and so that the second half could fail.
-func TestLostAnswerIsNotReplayedAsByTransport(t *testing.T) {
+// Guards against running a request with an Idempotency-Key twice. The target reads the request
+// on a reused connection, runs it and breaks the connection before it responds. net/http's
+// Transport retries such a request, like any GET, if a reused connection breaks before the
+// response. The first subtest shows that it does, so that the second is known to be able to
+// fail.
+func TestLostResponseIsNotRetried(t *testing.T) {
 	request := func(address string) *http.Request {
 		r, err := http.NewRequest("POST", "http://"+address+"/payout", nil)
 		assert.NilError(t, err)
@@ -351,7 +355,7 @@
 		return r
 	}
 	t.Run("net/http", func(t *testing.T) {
-		address, seen := lossy(t)
+		address, received := startLossyTarget(t)
 		transport := &http.Transport{}
 		defer transport.CloseIdleConnections()
 		for range 2 {
@@ -360,16 +364,16 @@
 			io.Copy(io.Discard, resp.Body)
 			resp.Body.Close()
 		}
-		assert.Equal(t, seen(), 3) // two requests
+		assert.Equal(t, received(), 3) // for two requests
 	})
 	t.Run("pool", func(t *testing.T) {
-		address, seen := lossy(t)
+		address, received := startLossyTarget(t)
 		p := newPool(t, address, nil)
 		resp := attempt(t, p, context.Background(), request(address))
 		io.Copy(io.Discard, resp.Body)
 		_, f := p.Attempt(context.Background(), request(address))
 		faulttest.Is(t, f, fault.TargetLost, fault.RanUnknown)
-		assert.Equal(t, seen(), 2)
+		assert.Equal(t, received(), 2)
 		assert.Equal(t, p.Stats().Reuses, uint64(1))
 	})
 }
--- a/target/conn.go
+++ b/target/conn.go
@@ -17,66 +17,74 @@
 )
 
 var (
-	errSealed         = errors.New("target: connection sealed")
-	errLapsed         = errors.New("target: the right to send has lapsed")
-	errHeaderTooLarge = errors.New("target: header of the answer is too large")
+	errWritesClosed   = errors.New("target: connection closed for writing")
+	errLeaseExpired   = errors.New("target: the lease to send has expired")
+	errHeaderTooLarge = errors.New("target: the response header is too large")
 )
 
-// rearmShare is the part of the progress timeout by which a deadline is set
-// further than needed, so that most reads and writes needn't set a new one.
-const rearmShare = 4
+// deadlineSlack is the divisor for the extra time, as a fraction of the progress timeout, by
+// which a deadline is set later than needed, so that most reads and writes needn't set a new
+// one.
+const deadlineSlack = 4
 
-// conn is one connection. Its Read and Write work on the raw connection, below
-// TLS, and roll the progress deadlines; work goes through stream.
+// conn is one connection. Its Read and Write work on the raw connection, below TLS, and extend
+// the progress deadlines; requests and responses go through stream.
 type conn struct {
 	raw    net.Conn
 	stream net.Conn
-	sock   syscall.RawConn
-	peek   func(fd uintptr)
-	peeked bool
-
-	trust  trust
-	born   time.Time
-	rested time.Time
-
-	progress   time.Duration
-	readUntil  time.Time
-	writeUntil time.Time
-	// received and sent count raw bytes; a change excuses the other direction's silence.
+	// sock is the raw connection's socket, nil if it has none. inspectSocket, passed to
+	// sock.Control, stores its result in socketClean.
+	sock          syscall.RawConn
+	inspectSocket func(fd uintptr)
+	socketClean   bool
+
+	cert      peerCert
+	opened    time.Time
+	idleSince time.Time
+
+	progressTimeout time.Duration
+	readUntil       time.Time
+	writeUntil      time.Time
+	// received and sent count raw bytes. Progress in one direction extends the timeout of the
+	// other.
 	received atomic.Int64
 	sent     atomic.Int64
-	// paused says that the request's body waits for the caller, not for the target.
-	paused atomic.Bool
-	// silent is set when the progress timeout ended a read or write.
-	silent atomic.Bool
+	// timeoutPaused suspends the progress timeout while the request's body is waiting for the
+	// caller or for "100 Continue".
+	timeoutPaused atomic.Bool
+	// timedOut is set when a read or write ended at the progress timeout.
+	timedOut atomic.Bool
 	// writeFailed is set when a write on the raw connection failed.
 	writeFailed atomic.Bool
 
-	// headerLeft bounds what may be read while the header is awaited; negative means no bound.
+	// headerLeft is how many bytes may still be read of the response header; negative means no
+	// limit.
 	headerLeft int64
-	probing    bool
-
-	writeMu sync.Mutex
-	sealed  bool
-	// terms are those of the exchange, begun says that bytes of it have been written, and
-	// refused is why no more may be. All are guarded by writeMu.
-	terms   Terms
-	begun   bool
-	refused *fault.Fault
-	abort   func()
+	// skipRawRead makes Read return "would block" without reading; see noBufferedTLSData.
+	skipRawRead bool
+
+	writeMu      sync.Mutex
+	writesClosed bool
+	// opts are those of the current exchange; started is set once bytes of its request have
+	// been written; writeFault is why no more may be written. All are guarded by writeMu.
+	opts       Terms
+	started    bool
+	writeFault *fault.Fault
+	// abort closes the raw connection.
+	abort func()
 
 	br *bufio.Reader
 	bw *bufio.Writer
 }
 
-func newConn(raw net.Conn, progress time.Duration, now time.Time) *conn {
-	c := &conn{raw: raw, progress: progress, born: now, headerLeft: -1}
+func newConn(raw net.Conn, progressTimeout time.Duration, now time.Time) *conn {
+	c := &conn{raw: raw, progressTimeout: progressTimeout, opened: now, headerLeft: -1}
 	c.stream = c
 	c.abort = func() { raw.Close() }
 	if sc, ok := raw.(syscall.Conn); ok {
 		if sock, err := sc.SyscallConn(); err == nil {
 			c.sock = sock
-			c.peek = func(fd uintptr) { c.peeked = quiet(fd) }
+			c.inspectSocket = func(fd uintptr) { c.socketClean = openAndEmpty(fd) }
 		}
 	}
 	return c
@@ -84,7 +92,7 @@
 
 // Read implements net.Conn on the raw connection.
 func (c *conn) Read(b []byte) (int, error) {
-	if c.probing {
+	if c.skipRawRead {
 		return 0, os.ErrDeadlineExceeded
 	}
 	if c.headerLeft == 0 {
@@ -95,7 +103,7 @@
 	}
 	for {
 		sent := c.sent.Load()
-		c.rearm(&c.readUntil, c.raw.SetReadDeadline)
+		c.extendDeadline(&c.readUntil, c.raw.SetReadDeadline)
 		n, err := c.raw.Read(b)
 		if n > 0 {
 			c.received.Add(int64(n))
@@ -106,39 +114,39 @@
 		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return n, err
 		}
-		if c.paused.Load() || c.sent.Load() != sent {
+		if c.timeoutPaused.Load() || c.sent.Load() != sent {
 			continue
 		}
-		c.silent.Store(true)
+		c.timedOut.Store(true)
 		return 0, err
 	}
 }
 
-// Write implements net.Conn on the raw connection. It counts the bytes that the
-// kernel took, which is what a "not run" rests on.
+// Write implements net.Conn on the raw connection. It counts the bytes that the kernel
+// accepted; fault.NotRun is reported on the basis of this count.
 func (c *conn) Write(b []byte) (int, error) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
-	if c.sealed {
-		return 0, errSealed
+	if c.writesClosed {
+		return 0, errWritesClosed
 	}
 	total := 0
 	for {
 		received := c.received.Load()
-		c.rearm(&c.writeUntil, c.raw.SetWriteDeadline)
-		if !c.mayWrite() { // last, so that as little as can be lies between the look and the bytes
-			return total, errLapsed
+		c.extendDeadline(&c.writeUntil, c.raw.SetWriteDeadline)
+		if !c.checkWrite() { // last, to keep the time between the check and the write short
+			return total, errLeaseExpired
 		}
 		n, err := c.writeRaw(b[total:])
 		total += n
 		c.sent.Add(int64(n))
-		c.begun = c.begun || n > 0
+		c.started = c.started || n > 0
 		if err == nil {
 			return total, nil
 		}
 		if leasewrite.GaveUp(err) {
-			c.refuse(fault.Wrap(fault.StaleRoute, err, "the right to send has lapsed"))
-			return total, errLapsed
+			c.stopWrites(fault.Wrap(fault.StaleRoute, err, "the right to send has lapsed"))
+			return total, errLeaseExpired
 		}
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			c.writeFailed.Store(true)
@@ -147,84 +155,87 @@
 		if n > 0 || c.received.Load() != received {
 			continue
 		}
-		c.silent.Store(true)
+		c.timedOut.Store(true)
 		c.writeFailed.Store(true)
 		return total, err
 	}
 }
 
-// writeRaw writes without a look at the terms other than until when the right to send lasts.
+// writeRaw writes to the raw connection, under the exchange's lease if it has one.
 func (c *conn) writeRaw(b []byte) (int, error) {
-	if c.terms.Until == nil || c.sock == nil {
+	if c.opts.Until == nil || c.sock == nil {
 		return c.raw.Write(b)
 	}
-	return leasewrite.Write(c.sock, b, c.terms.Until(c.begun))
+	return leasewrite.Write(c.sock, b, c.opts.Until(c.started))
 }
 
-// begin sets the terms of an exchange.
-func (c *conn) begin(terms Terms) {
+// setOptions sets the options of the next exchange.
+func (c *conn) setOptions(opts Terms) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
-	c.terms, c.begun = terms, false
+	c.opts, c.started = opts, false
 }
 
-// mayWrite asks whether the terms still hold. The lock is held.
-func (c *conn) mayWrite() bool {
-	if c.terms.Still == nil {
+// checkWrite reports whether the exchange may still write; if not, it stops all writes. The
+// caller holds writeMu.
+func (c *conn) checkWrite() bool {
+	if c.opts.Still == nil {
 		return true
 	}
-	if f := c.terms.Still(c.begun); f != nil {
-		c.refuse(f)
+	if f := c.opts.Still(c.started); f != nil {
+		c.stopWrites(f)
 		return false
 	}
 	return true
 }
 
-// refuse ends the connection before another byte is written. The lock is held.
-func (c *conn) refuse(f *fault.Fault) {
-	c.refused = f
-	c.sealed = true
+// stopWrites closes the connection, so that no further byte is written. The caller holds
+// writeMu.
+func (c *conn) stopWrites(f *fault.Fault) {
+	c.writeFault = f
+	c.writesClosed = true
 	c.raw.Close()
 }
 
-// refusal returns what refused a write of the exchange; nil where none was refused.
-func (c *conn) refusal() *fault.Fault {
+// refusedWrite returns the fault for which a write of the exchange was refused, or nil.
+func (c *conn) refusedWrite() *fault.Fault {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
-	if c.refused != nil && c.begun {
-		return fault.Wrap(fault.TargetLost, c.refused, "the right to send lapsed before the whole request was written")
+	if c.writeFault != nil && c.started {
+		return fault.Wrap(fault.TargetLost, c.writeFault, "the right to send lapsed before the whole request was written")
 	}
-	return c.refused
+	return c.writeFault
 }
 
-func (c *conn) rearm(until *time.Time, set func(time.Time) error) {
-	if c.progress <= 0 {
+// extendDeadline sets a new deadline if the one set last, until, is less than the progress
+// timeout away.
+func (c *conn) extendDeadline(until *time.Time, set func(time.Time) error) {
+	if c.progressTimeout <= 0 {
 		return
 	}
 	now := time.Now()
-	if until.Sub(now) >= c.progress {
+	if until.Sub(now) >= c.progressTimeout {
 		return
 	}
-	*until = now.Add(c.progress + c.progress/rearmShare)
+	*until = now.Add(c.progressTimeout + c.progressTimeout/deadlineSlack)
 	// An error means the connection is closed, which the read or write reports.
 	_ = set(*until)
 }
 
-// seal closes the connection, waits for a write under way and lets no other
-// follow. The count of sent bytes is final afterwards.
+// closeAndWait closes the connection, waits for a write in progress and allows no further
+// writes. The count of sent bytes is final afterwards.
 //
-// Without it the count could be read as zero while the writer's goroutine hands the
-// header to the kernel, and a request that ran would be reported as not run.
-func (c *conn) seal() {
+// Otherwise the count could be read as zero while the writer goroutine hands the header to
+// the kernel, and a request that ran would be reported as not run.
+func (c *conn) closeAndWait() {
 	c.raw.Close()
 	c.writeMu.Lock()
-	c.sealed = true
+	c.writesClosed = true
 	c.writeMu.Unlock()
 }
 
-// wrote reports whether more than the count before has been sent. An answer can
-// come back before the writer's goroutine has counted what it sent, so a write
-// under way is waited for.
+// wrote reports whether the count of sent bytes exceeds before. A response can arrive before
+// the writer goroutine has counted what it sent, so wrote waits for a write in progress.
 func (c *conn) wrote(before int64) bool {
 	if c.sent.Load() > before {
 		return true
@@ -234,8 +245,8 @@
 	return c.sent.Load() > before
 }
 
-// ReadFrom implements io.ReaderFrom, by which bufio hands over the body of an
-// upload: it saves the copy through the small buffer and most of the writes.
+// ReadFrom implements io.ReaderFrom, which bufio uses for the body of an upload. It avoids
+// copying through bufio's small buffer and saves most of the write calls.
 func (c *conn) ReadFrom(r io.Reader) (int64, error) {
 	b := copyBuffers.Get().(*[copyBufferSize]byte)
 	defer copyBuffers.Put(b)
@@ -262,29 +273,29 @@
 
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// alive reports whether a connection that rested may be used again: neither
-// closed by the target nor holding bytes that nobody asked for.
-func (c *conn) alive() bool {
+// reusable reports whether an idle connection may be used again: the target has neither
+// closed it nor sent bytes on it unasked.
+func (c *conn) reusable() bool {
 	if c.sock != nil {
-		c.peeked = false
-		if err := c.sock.Control(c.peek); err != nil || !c.peeked {
+		c.socketClean = false
+		if err := c.sock.Control(c.inspectSocket); err != nil || !c.socketClean {
 			return false
 		}
 	}
-	return c.stream == net.Conn(c) || c.nothingDecrypted()
+	return c.stream == net.Conn(c) || c.noBufferedTLSData()
 }
 
-// nothingDecrypted reports whether TLS holds no record that it read ahead. The
-// raw read answers "would block" meanwhile, an error that TLS doesn't remember.
-func (c *conn) nothingDecrypted() bool {
-	c.probing = true
+// noBufferedTLSData reports whether TLS has buffered no data ahead of the reader. Meanwhile
+// raw reads return "would block", an error that TLS doesn't treat as permanent.
+func (c *conn) noBufferedTLSData() bool {
+	c.skipRawRead = true
 	var b [1]byte
 	n, err := c.stream.Read(b[:])
-	c.probing = false
+	c.skipRawRead = false
 	return n == 0 && errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// startTLS puts a TLS client on the connection.
+// startTLS makes the connection's stream a TLS client.
 func (c *conn) startTLS(config *tls.Config) *tls.Conn {
 	t := tls.Client(c, config)
 	c.stream = t
@@ -296,18 +307,18 @@
 	writers = sync.Pool{New: func() any { return bufio.NewWriter(nil) }}
 )
 
-// attach lends buffers to the connection for one exchange; a connection at rest
-// holds none, which keeps thousands of them small.
-func (c *conn) attach() {
+// attachBuffers gives the connection buffers for one exchange. Idle connections have none,
+// which saves memory when there are thousands of them.
+func (c *conn) attachBuffers() {
 	c.br = readers.Get().(*bufio.Reader)
 	c.br.Reset(c.stream)
 	c.bw = writers.Get().(*bufio.Writer)
 	c.bw.Reset(c.stream)
 }
 
-// detach gives the buffers back. It must not be called while the writer's
+// releaseBuffers returns the buffers to their pools. It must not be called while the writer
 // goroutine may still use them.
-func (c *conn) detach() {
+func (c *conn) releaseBuffers() {
 	c.br.Reset(eofReader{})
 	readers.Put(c.br)
 	c.bw.Reset(io.Discard)
@@ -319,8 +330,8 @@
 
 func (eofReader) Read([]byte) (int, error) { return 0, io.EOF }
 
-// Close, LocalAddr and the rest complete net.Conn for TLS. TLS sets a write
-// deadline only around its closing alert.
+// The following methods complete net.Conn for TLS, which sets a write deadline only for its
+// closing alert.
 func (c *conn) Close() error                       { return c.raw.Close() }
 func (c *conn) LocalAddr() net.Addr                { return c.raw.LocalAddr() }
 func (c *conn) RemoteAddr() net.Addr               { return c.raw.RemoteAddr() }
--- a/target/control_test.go
+++ b/target/control_test.go
@@ -16,36 +16,36 @@
 	"tarragongw/core/fault"
 )
 
-func newControl(t *testing.T, answer string) *Control {
-	s := play(t, always(answer))
+func newControl(t *testing.T, response string) *Control {
+	s := startTarget(t, respondAlways(response))
 	c, err := NewControl(newPool(t, s.addr(), nil))
 	assert.NilError(t, err)
 	t.Cleanup(c.Close)
 	return c
 }
 
-func answerOf(status, body string) string {
+func responseOf(status, body string) string {
 	return "HTTP/1.1 " + status + "\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
-func TestGrantRepliesAreTakenFromAcceptanceAndRefusal(t *testing.T) {
+func TestGrantRepliesAreDecodedWhenAcceptedOrRefused(t *testing.T) {
 	for _, status := range []string{"200 OK", "409 Conflict"} {
-		c := newControl(t, answerOf(status, `{"accepted":false,"term":9,"cause":"term"}`))
+		c := newControl(t, responseOf(status, `{"accepted":false,"term":9,"cause":"term"}`))
 		reply, err := c.Grant(background, &GrantBatch{Term: 8})
 		assert.NilError(t, err)
 		assert.DeepEqual(t, reply, &GrantReply{Term: 9, Cause: "term"})
 	}
 }
 
-func TestControlRepliesThatCannotBeTaken(t *testing.T) {
-	for name, answer := range map[string]string{
-		"status":    answerOf("500 No", `{"ready":true}`),
-		"not JSON":  answerOf("200 OK", "ready"),
-		"too large": answerOf("200 OK", `{"ready":true}`+strings.Repeat(" ", maxControlBytes)),
+func TestInvalidControlRepliesAreErrors(t *testing.T) {
+	for name, response := range map[string]string{
+		"status":    responseOf("500 No", `{"ready":true}`),
+		"not JSON":  responseOf("200 OK", "ready"),
+		"too large": responseOf("200 OK", `{"ready":true}`+strings.Repeat(" ", maxControlBytes)),
 		"truncated": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\ne\r\n{\"ready\":true}\r\nx\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			health, err := newControl(t, answer).Probe(background)
+			health, err := newControl(t, response).Probe(background)
 			assert.Assert(t, health == nil)
 			f, ok := err.(*fault.Fault)
 			assert.Assert(t, ok, "%v", err)
@@ -54,16 +54,15 @@
 	}
 }
 
-// Symptom: a busy target loses its grants.
-// Sequence: work takes every connection, the renewal finds none and the grants lapse.
-// Cause: control and work on one budget with no share set apart.
-func TestWorkThatFillsThePoolDoesNotHoldBackControl(t *testing.T) {
-	s := play(t, always(answerOf("200 OK", `{"ready":true}`)))
+// Guards against a busy target losing its grants. If no connections were reserved for control,
+// work could take all of them, and the grants would expire before they are renewed.
+func TestFullPoolDoesNotDelayControl(t *testing.T) {
+	s := startTarget(t, respondAlways(responseOf("200 OK", `{"ready":true}`)))
 	p := newPool(t, s.addr(), func(cfg *PoolConfig) { cfg.MaxConns = 3 })
 	c, err := NewControl(p)
 	assert.NilError(t, err)
 	t.Cleanup(c.Close)
-	held, f := p.acquire(background)
+	inUse, f := p.acquire(background)
 	assert.Assert(t, f == nil)
 	_, f = p.acquire(background)
 	assert.Equal(t, f.Kind, fault.QueueFull)
@@ -72,10 +71,10 @@
 	health, err := c.Probe(ctx)
 	assert.NilError(t, err)
 	assert.Assert(t, health.Ready)
-	p.release(held)
+	p.release(inUse)
 }
 
-func TestOrderSurvivesItsHeader(t *testing.T) {
+func TestRequestHeadersRoundTrip(t *testing.T) {
 	h := http.Header{HeaderDeadline: {"1"}, HeaderUnit: {"forged"}}
 	sent := Order{RequestID: "a", Unit: "faq/1", Token: 1 << 63, Term: 7}
 	sent.Set(h)
@@ -92,18 +91,18 @@
 	assert.ErrorContains(t, err, HeaderToken)
 }
 
-func TestDigestIsOfTheSet(t *testing.T) {
+func TestDigestDoesNotDependOnOrder(t *testing.T) {
 	a, b := UnitGrant{Unit: "faq/1", Token: 1}, UnitGrant{Unit: "faq/2", Token: 1}
 	assert.Equal(t, Digest([]UnitGrant{a, b}), Digest([]UnitGrant{b, a}))
 	assert.Equal(t, Digest([]UnitGrant{a, b}), DigestOf(a)+DigestOf(b))
 	assert.Assert(t, DigestOf(a) != DigestOf(b))
 	assert.Assert(t, DigestOf(a) != DigestOf(UnitGrant{Unit: "faq/1", Token: 256}))
 	assert.Equal(t, Digest(nil), uint64(0))
-	// FNV-1a of one zero byte and eight more, from the definition in the package.
-	assert.Equal(t, DigestOf(UnitGrant{}), fnvOfZeros(9))
+	// FNV-1a of a zero byte after the empty name and of the token's eight zero bytes.
+	assert.Equal(t, DigestOf(UnitGrant{}), fnvOfZeroBytes(9))
 }
 
-func fnvOfZeros(n int) uint64 {
+func fnvOfZeroBytes(n int) uint64 {
 	h := uint64(14695981039346656037)
 	for range n {
 		h *= 1099511628211
@@ -111,7 +110,7 @@
 	return h
 }
 
-// countedConn counts the writes of one connection.
+// countedConn counts and records the writes of a connection.
 type countedConn struct {
 	net.Conn
 	writes *atomic.Int32
@@ -124,8 +123,8 @@
 	return c.Conn.Write(b)
 }
 
-func TestRenewalLeavesInOneWriteAndNamesNoAgent(t *testing.T) {
-	s := play(t, always(answerOf("200 OK", `{"accepted":true,"term":8}`)))
+func TestRenewalIsOneWriteWithoutUserAgent(t *testing.T) {
+	s := startTarget(t, respondAlways(responseOf("200 OK", `{"accepted":true,"term":8}`)))
 	var writes atomic.Int32
 	var sent bytes.Buffer
 	p := newPool(t, s.addr(), func(cfg *PoolConfig) {
@@ -144,6 +143,6 @@
 	}
 	assert.Equal(t, writes.Load(), int32(2))
 	assert.Assert(t, !strings.Contains(sent.String(), "User-Agent"), sent.String())
-	assert.Equal(t, p.Stats().Open, 0, "control has connections of its own")
+	assert.Equal(t, p.Stats().Open, 0, "control must use its own connections")
 	assert.Equal(t, c.Stats().Open, 1)
 }
--- a/target/rest.go
+++ b/target/release.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// release brings a connection in use to rest, or hands it to a waiter.
+// release passes a connection in use to a waiter or makes it idle.
 func (p *Pool) release(c *conn) {
 	now := p.cfg.Now()
-	if now.Sub(c.born) >= p.cfg.MaxAge || !p.trusts(c, now) {
-		p.drop(c, &p.counts.Aged, OpenedRested)
+	if now.Sub(c.opened) >= p.cfg.MaxAge || !p.certAccepted(c, now) {
+		p.closeInUse(c, &p.counts.Aged, OpenedIdle)
 		return
 	}
-	c.rested = now
+	c.idleSince = now
 	p.mu.Lock()
 	if w := p.nextWaiter(); w != nil {
 		p.mu.Unlock()
@@ -19,7 +19,7 @@
 	p.inUse--
 	if p.closed {
 		p.open--
-		p.signalDrained()
+		p.closeDrainedLocked()
 		p.mu.Unlock()
 		c.raw.Close()
 		return
@@ -29,22 +29,24 @@
 	p.mu.Unlock()
 }
 
-// drop closes a connection in use, counts why and frees its place. The next one that is
-// opened is opened for the cause.
-func (p *Pool) drop(c *conn, count *uint64, cause OpenCause) {
+// closeInUse closes a connection in use, increments count and frees the slot. cause becomes
+// the reason for opening the next connection.
+func (p *Pool) closeInUse(c *conn, count *uint64, cause OpenCause) {
 	c.raw.Close()
-	p.lose(cause)
-	p.vacate(count)
+	p.recordClose(cause)
+	p.freeSlot(count)
 }
 
-func (p *Pool) lose(cause OpenCause) {
+// recordClose stores why a connection was closed, as the reason for opening the next one.
+func (p *Pool) recordClose(cause OpenCause) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lost = cause
+	p.lastCloseCause = cause
 }
 
-// vacate gives the place of a connection in use to a waiter or back to the budget.
-func (p *Pool) vacate(count *uint64) {
+// freeSlot passes the slot of a closed connection that was in use to a waiter, or returns it
+// to the budget. It increments count, if not nil.
+func (p *Pool) freeSlot(count *uint64) {
 	p.mu.Lock()
 	if count != nil {
 		*count++
@@ -56,7 +58,7 @@
 	}
 	p.inUse--
 	p.open--
-	p.signalDrained()
+	p.closeDrainedLocked()
 	p.mu.Unlock()
 }
 
@@ -69,7 +71,8 @@
 	return w
 }
 
-// armSweeper starts the timer that closes connections which rested too long.
+// armSweeper starts the timer that closes connections that have been idle for too long. The
+// caller holds mu.
 func (p *Pool) armSweeper() {
 	if p.sweeper != nil {
 		return
@@ -87,7 +90,8 @@
 	}
 }
 
-// sweep closes the connections that rested or lived too long at the time now.
+// sweep closes the idle connections that are past their idle time, age or certificate at the
+// time now.
 func (p *Pool) sweep(now time.Time) {
 	p.mu.Lock()
 	var old []*conn
@@ -104,7 +108,7 @@
 	p.open -= len(old)
 	p.counts.Aged += uint64(len(old))
 	if len(old) > 0 {
-		p.lost = OpenedRested
+		p.lastCloseCause = OpenedIdle
 	}
 	p.mu.Unlock()
 	closeAll(old)
