--- a/core/model/change.go
+++ b/core/model/change.go
@@ -2,16 +2,17 @@
 
 import "fmt"
 
-// ValidateChange checks what must not change between two accepted revisions.
-// The division and the hash slots of a service are fixed for life: with another
-// number of slots every key would belong to another unit at once, while
-// the routers that still hold the old revision send it to the old owner.
+// ValidateChange returns a problem for each property that must not differ between
+// an accepted revision and its successor. The division and the number of hash slots
+// of a service cannot be changed after its creation: with another number of slots,
+// every key would belong to another unit at once, while routers that still have the
+// old revision would send its requests to the old owner.
 func ValidateChange(old, new *Model) []Problem {
 	var problems []Problem
 	for i := range new.Services {
 		s := &new.Services[i]
-		before := old.Service(s.Name)
-		if before == nil {
+		previous := old.Service(s.Name)
+		if previous == nil {
 			continue
 		}
 		add := func(field, text string) {
@@ -20,10 +21,10 @@
 				Mend: "create a service with another name and hand requests to it with to_service",
 			})
 		}
-		if s.Division != before.Division {
-			add("division", fmt.Sprintf("it is fixed for life and was %s", before.Division))
-		} else if s.HashSlots != before.HashSlots {
-			add("hash_slots", fmt.Sprintf("it is fixed for life and was %d", before.HashSlots))
+		if s.Division != previous.Division {
+			add("division", fmt.Sprintf("it is fixed for life and was %s", previous.Division))
+		} else if s.HashSlots != previous.HashSlots {
+			add("hash_slots", fmt.Sprintf("it is fixed for life and was %d", previous.HashSlots))
 		}
 	}
 	return problems
--- a/core/model/difference.go
+++ b/core/model/difference.go
@@ -5,48 +5,49 @@
 	"reflect"
 )
 
-// Difference is what a new model has otherwise than an old one.
+// Difference holds the objects that differ between an old and a new model.
 type Difference struct {
-	// Services names those that differ themselves, or in their targets, ranges or
-	// selectors, by the old model or by the new one.
+	// Services is the set of names of the services that differ themselves, or of which
+	// a target, key range or selector differs, in the old or in the new model.
 	Services map[string]bool
-	// Targets and Callers say that some of them differ.
+	// Targets and Callers report whether any target or any caller differs.
 	Targets, Callers bool
-	// Gone says that the new model lacks a service. What names it may be wrong now
-	// without having changed.
+	// Gone reports whether the new model lacks a service of the old one. An object that
+	// refers to that service may have become invalid without having changed itself.
 	Gone bool
-	// Before has the objects of the old model that are not the same in the new one, After
-	// those of the new one that are not the same in the old one.
+	// Before holds the objects of the old model that the new one lacks or has with other
+	// values; After holds those of the new model that the old one lacks or has with other
+	// values.
 	Before, After Model
 }
 
-// Compare returns the difference between two models, which must be sorted.
+// Compare returns the difference between two models, both of which must be sorted.
 func Compare(old, new *Model) *Difference {
 	d := &Difference{Services: map[string]bool{}}
 	b, a := &d.Before, &d.After
 	compare(old.Services, new.Services, serviceName, sameService, func(before, after *Service) {
-		note(d, before, after, serviceName, &b.Services, &a.Services)
+		recordChange(d, before, after, serviceName, &b.Services, &a.Services)
 		d.Gone = d.Gone || after == nil
 	})
 	compare(old.Targets, new.Targets, targetName, sameTarget, func(before, after *Target) {
-		note(d, before, after, func(t *Target) string { return t.Service }, &b.Targets, &a.Targets)
+		recordChange(d, before, after, func(t *Target) string { return t.Service }, &b.Targets, &a.Targets)
 	})
 	compare(old.Ranges, new.Ranges, rangeName, sameRange, func(before, after *KeyRange) {
-		note(d, before, after, func(r *KeyRange) string { return r.Service }, &b.Ranges, &a.Ranges)
+		recordChange(d, before, after, func(r *KeyRange) string { return r.Service }, &b.Ranges, &a.Ranges)
 	})
 	compare(old.Callers, new.Callers, callerName, sameCaller, func(before, after *Caller) {
-		note(d, before, after, nil, &b.Callers, &a.Callers)
+		recordChange(d, before, after, nil, &b.Callers, &a.Callers)
 	})
 	compare(old.Selectors, new.Selectors, selectorName, sameSelector, func(before, after *Selector) {
-		note(d, before, after, func(s *Selector) string { return s.Service }, &b.Selectors, &a.Selectors)
+		recordChange(d, before, after, func(s *Selector) string { return s.Service }, &b.Selectors, &a.Selectors)
 	})
 	d.Targets = len(b.Targets)+len(a.Targets) > 0
 	d.Callers = len(b.Callers)+len(a.Callers) > 0
 	return d
 }
 
-// Undo returns the old model: d is the difference from it to new. revision is the old
-// model's.
+// Undo returns the old model, given the new model from which d was computed and the
+// revision of the old model.
 func (d *Difference) Undo(new *Model, revision uint64) *Model {
 	b, a := &d.Before, &d.After
 	return &Model{
@@ -59,7 +60,8 @@
 	}
 }
 
-// undo takes the objects of after out of a list and puts those of before in.
+// undo returns list without the objects named in after and with those of before added.
+// All three lists must be sorted by name.
 func undo[T any](list, before, after []T, name func(*T) string) []T {
 	if len(before)+len(after) == 0 {
 		return list
@@ -78,13 +80,15 @@
 	return append(old, before...)
 }
 
-// note files an object that differs; nil stands for the side that has none.
-func note[T any](d *Difference, before, after *T, service func(*T) string, olds, news *[]T) {
+// recordChange adds an object that differs to the lists of before and after, and its
+// service, if service is not nil, to d.Services. before or after is nil if that model
+// lacks the object.
+func recordChange[T any](d *Difference, before, after *T, service func(*T) string, befores, afters *[]T) {
 	if before != nil {
-		*olds = append(*olds, *before)
+		*befores = append(*befores, *before)
 	}
 	if after != nil {
-		*news = append(*news, *after)
+		*afters = append(*afters, *after)
 	}
 	for _, object := range []*T{before, after} {
 		if object != nil && service != nil {
@@ -93,9 +97,9 @@
 	}
 }
 
-// compare calls differs for each name with objects that are not the same; nil stands for
-// the side that has none.
-func compare[T any](old, new []T, name func(*T) string, same func(a, b *T) bool, differs func(before, after *T)) {
+// compare calls report for each name under which the two sorted lists have objects that
+// differ; before or after is nil if that list has no object of the name.
+func compare[T any](old, new []T, name func(*T) string, same func(a, b *T) bool, report func(before, after *T)) {
 	if len(old) > 0 && len(old) == len(new) && &old[0] == &new[0] {
 		return
 	}
@@ -103,14 +107,14 @@
 	for i < len(old) || j < len(new) {
 		switch {
 		case j == len(new) || i < len(old) && name(&old[i]) < name(&new[j]):
-			differs(&old[i], nil)
+			report(&old[i], nil)
 			i++
 		case i == len(old) || name(&old[i]) > name(&new[j]):
-			differs(nil, &new[j])
+			report(nil, &new[j])
 			j++
 		default:
 			if !same(&old[i], &new[j]) {
-				differs(&old[i], &new[j])
+				report(&old[i], &new[j])
 			}
 			i, j = i+1, j+1
 		}
@@ -123,8 +127,8 @@
 func callerName(c *Caller) string     { return c.Name }
 func selectorName(s *Selector) string { return s.Name }
 
-// Services and selectors are few. The other kinds are compared field by field, which
-// takes a tenth of the time.
+// Services and selectors are few, so reflection is fast enough for them. The other kinds
+// are compared field by field, which takes a tenth of the time.
 
 func sameService(a, b *Service) bool   { return reflect.DeepEqual(a, b) }
 func sameSelector(a, b *Selector) bool { return reflect.DeepEqual(a, b) }
@@ -146,25 +150,25 @@
 
 func sameLabels(a, b Labels) bool { return (a == nil) == (b == nil) && maps.Equal(a, b) }
 
-// SameRun says whether count objects of a kind are the same in two models, from places
-// that both have.
-func SameRun(kind ObjectKind, a *Model, from int, b *Model, at, count int) bool {
+// SameRun reports whether the count objects of the kind that start at index aStart of a
+// equal those that start at index bStart of b. Both models must have that many objects.
+func SameRun(kind ObjectKind, a *Model, aStart int, b *Model, bStart, count int) bool {
 	switch kind {
 	case KindService:
-		return sameRun(a.Services[from:from+count], b.Services[at:at+count], sameService)
+		return sameObjects(a.Services[aStart:aStart+count], b.Services[bStart:bStart+count], sameService)
 	case KindTarget:
-		return sameRun(a.Targets[from:from+count], b.Targets[at:at+count], sameTarget)
+		return sameObjects(a.Targets[aStart:aStart+count], b.Targets[bStart:bStart+count], sameTarget)
 	case KindRange:
-		return sameRun(a.Ranges[from:from+count], b.Ranges[at:at+count], sameRange)
+		return sameObjects(a.Ranges[aStart:aStart+count], b.Ranges[bStart:bStart+count], sameRange)
 	case KindCaller:
-		return sameRun(a.Callers[from:from+count], b.Callers[at:at+count], sameCaller)
+		return sameObjects(a.Callers[aStart:aStart+count], b.Callers[bStart:bStart+count], sameCaller)
 	case KindSelector:
-		return sameRun(a.Selectors[from:from+count], b.Selectors[at:at+count], sameSelector)
+		return sameObjects(a.Selectors[aStart:aStart+count], b.Selectors[bStart:bStart+count], sameSelector)
 	}
 	return false
 }
 
-func sameRun[T any](a, b []T, same func(a, b *T) bool) bool {
+func sameObjects[T any](a, b []T, same func(a, b *T) bool) bool {
 	for i := range a {
 		if !same(&a[i], &b[i]) {
 			return false
--- a/core/model/difference_test.go
+++ b/core/model/difference_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// other sets a value to another one of its type.
-func other(t *testing.T, v reflect.Value) {
+// changeValue replaces v by another value of the same type.
+func changeValue(t *testing.T, v reflect.Value) {
 	t.Helper()
 	switch v.Kind() {
 	case reflect.String:
@@ -22,29 +22,30 @@
 	case reflect.Map:
 		v.Set(reflect.ValueOf(Labels{"a": "c"}))
 	case reflect.Struct:
-		other(t, v.Field(0))
+		changeValue(t, v.Field(0))
 	default:
-		t.Fatalf("%s: teach this test the kind", v.Type())
+		t.Fatalf("changeValue does not support the type %s", v.Type())
 	}
 }
 
-func everyFieldCounts[T any](t *testing.T, base T, same func(a, b *T) bool) {
+// assertEveryFieldCompared checks that same reports a difference in any single field.
+func assertEveryFieldCompared[T any](t *testing.T, base T, same func(a, b *T) bool) {
 	t.Helper()
-	again := base
-	assert.Assert(t, same(&base, &again))
+	unchanged := base
+	assert.Assert(t, same(&base, &unchanged))
 	for i := range reflect.TypeFor[T]().NumField() {
 		changed := base
-		other(t, reflect.ValueOf(&changed).Elem().Field(i))
+		changeValue(t, reflect.ValueOf(&changed).Elem().Field(i))
 		assert.Assert(t, !same(&base, &changed), "%T: %s", base, reflect.TypeFor[T]().Field(i).Name)
 	}
 }
 
-// Symptom: a router goes on with an old value of a field that was changed.
-// Sequence: a field is added to the model later on, and a change sets it.
-// Cause: the comparison, which is by hand, does not know the field.
-func TestEveryFieldCountsAsDifference(t *testing.T) {
+// The fields of targets, ranges and callers are compared by handwritten code. If a field
+// added to the model were missing there, a change of it would not be noticed, and a router
+// would go on with the old value.
+func TestCompareSeesEveryField(t *testing.T) {
 	labels := Labels{"a": "b"}
-	everyFieldCounts(t, Target{Labels: labels}, sameTarget)
-	everyFieldCounts(t, KeyRange{Labels: labels}, sameRange)
-	everyFieldCounts(t, Caller{Labels: labels}, sameCaller)
+	assertEveryFieldCompared(t, Target{Labels: labels}, sameTarget)
+	assertEveryFieldCompared(t, KeyRange{Labels: labels}, sameRange)
+	assertEveryFieldCompared(t, Caller{Labels: labels}, sameCaller)
 }
--- a/core/model/limits.go
+++ b/core/model/limits.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Limits of a model. They keep the packed encoding within one value of the store
-// (a megabyte) and the work of compiling it bounded.
+// Limits of a model. They keep its compressed encoding within the size of one value of
+// the store (one megabyte) and bound the work of compiling it.
 const (
 	MaxServices  = 256
 	MaxTargets   = 20480
@@ -20,7 +20,7 @@
 	// MaxHosts bounds the hosts of one service.
 	MaxHosts = 32
 
-	// The lengths are in bytes.
+	// All lengths are in bytes.
 	MaxNameLength   = 63
 	MaxCallerLength = 128
 	MaxLabelLength  = 63
@@ -47,10 +47,11 @@
 	// MaxWeight bounds weights.
 	MaxWeight = 1000.0
 
-	// MinTimeout and MaxTimeout bound a service's times.
+	// MinTimeout and MaxTimeout bound the timeouts of a service.
 	MinTimeout = time.Millisecond
 	MaxTimeout = time.Hour
-	// MinYieldAfter keeps owners from giving up at a short hiccup of the store.
+	// MinYieldAfter keeps owners from giving up their units when the store is
+	// unreachable for a moment only.
 	MinYieldAfter = 100 * time.Millisecond
 	MaxYieldAfter = 24 * time.Hour
 )
--- a/core/model/index.go
+++ b/core/model/lookup.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Sort puts every list of the model in order of name.
+// Sort sorts every list of the model by name.
 func (m *Model) Sort() {
 	slices.SortStableFunc(m.Services, func(a, b Service) int { return cmp.Compare(a.Name, b.Name) })
 	slices.SortStableFunc(m.Targets, func(a, b Target) int { return cmp.Compare(a.Name, b.Name) })
@@ -14,19 +14,19 @@
 	slices.SortStableFunc(m.Selectors, func(a, b Selector) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Name returns the name of an object of a kind.
-func (m *Model) Name(kind ObjectKind, at int) string {
+// Name returns the name of the object of the kind at the given index.
+func (m *Model) Name(kind ObjectKind, index int) string {
 	switch kind {
 	case KindService:
-		return m.Services[at].Name
+		return m.Services[index].Name
 	case KindTarget:
-		return m.Targets[at].Name
+		return m.Targets[index].Name
 	case KindRange:
-		return m.Ranges[at].Name
+		return m.Ranges[index].Name
 	case KindCaller:
-		return m.Callers[at].Name
+		return m.Callers[index].Name
 	case KindSelector:
-		return m.Selectors[at].Name
+		return m.Selectors[index].Name
 	}
 	return ""
 }
@@ -62,7 +62,7 @@
 	return r.To == "" || key < r.To || r.Single() && key == r.From
 }
 
-// Overlaps reports whether some key lies in both ranges.
+// Overlaps reports whether any key lies in both ranges.
 func (r *KeyRange) Overlaps(o *KeyRange) bool {
 	return r.Contains(o.From) || o.Contains(r.From)
 }
--- a/core/model/model.go
+++ b/core/model/model.go
@@ -1,14 +1,14 @@
-// Package model holds the operators' model: services, targets, key ranges,
-// callers and selectors, as validated and compiled. It does no I/O. A Model is
-// immutable once built.
+// Package model defines the operators' configuration: services, targets, key ranges,
+// callers and selectors. It validates and compares configurations and does no I/O. A
+// Model is immutable once built.
 package model
 
 import "time"
 
-// Labels are the tags on an object.
+// Labels are the labels of an object: keys with their values.
 type Labels map[string]string
 
-// Model is one whole revision of the operators' configuration.
+// Model is one complete revision of the operators' configuration.
 type Model struct {
 	// Revision grows by one with each accepted change.
 	Revision uint64 `json:"revision"`
@@ -20,7 +20,7 @@
 	Selectors []Selector `json:"selectors,omitempty"`
 }
 
-// Division says how a service's work is divided between its targets.
+// Division determines how the requests of a service are divided among its targets.
 type Division uint8
 
 const (
@@ -30,10 +30,10 @@
 	Any
 )
 
-// Source is where a field of a request is found.
+// Source is the part of a request from which a field is read.
 type Source uint8
 
-// The places that a rule may read.
+// The parts of a request that a rule can read.
 const (
 	FromNone Source = iota
 	FromHeader
@@ -41,69 +41,73 @@
 	FromQuery
 )
 
-// Extract is a rule that finds one field of a request.
+// Extract is a rule for extracting one field from a request.
 type Extract struct {
-	// From is the place that is read.
+	// From is the part of the request that is read.
 	From Source `json:"from"`
-	// Name is the header's or query parameter's name.
+	// Name is the name of the header or query parameter.
 	Name string `json:"name"`
-	// Segment is the index of the path segment, from zero, after the prefix.
+	// Segment is the index of the path segment, counted from zero after the prefix.
 	Segment int `json:"segment,omitempty"`
-	// Default is used where the request does not carry the field.
+	// Default is the value for requests that do not have the field.
 	Default string `json:"default,omitempty"`
 }
 
-// Isolation says what other data centres may do with the keys of one that is
-// cut off.
+// Isolation determines whether other data centres may take over the keys of a data
+// centre that is cut off.
 type Isolation struct {
-	// Keep leaves the keys with their owners for as long as the cut lasts.
+	// Keep leaves the keys with their owners until the data centre is connected again.
 	Keep bool `json:"keep,omitempty"`
-	// YieldAfter is how long owners go on without the store before they stop and
-	// others may take over; only used where Keep is false.
+	// YieldAfter is how long owners continue without the store before they stop and
+	// others may take over; it is used only if Keep is false.
 	YieldAfter time.Duration `json:"yield_after_ns,omitempty"`
 }
 
-// Weights are the relative costs of the three measures.
+// Weights are the relative costs of load imbalance, of changes of owner (churn) and of
+// keys that are unavailable.
 type Weights struct {
 	Imbalance   float64 `json:"imbalance,omitempty"`
 	Churn       float64 `json:"churn,omitempty"`
 	Unavailable float64 `json:"unavailable,omitempty"`
 }
 
-// Service is one service that callers ask for.
+// Service is one service to which callers send requests.
 type Service struct {
 	Name     string   `json:"name"`
 	Labels   Labels   `json:"labels,omitempty"`
 	Division Division `json:"division"`
-	// HashSlots is the number of hash slots of the key space; fixed for life.
+	// HashSlots is the number of hash slots of the key space. It cannot be changed after
+	// the service has been created.
 	HashSlots uint32 `json:"hash_slots,omitempty"`
-	// Hosts and PathPrefix select the service; an empty list of hosts matches all.
+	// Hosts and PathPrefix determine which requests belong to the service; an empty list
+	// of hosts matches every host.
 	Hosts      []string `json:"hosts,omitempty"`
 	PathPrefix string   `json:"path_prefix,omitempty"`
-	// StripPrefix removes the prefix before the request goes to the target.
+	// StripPrefix removes the prefix before a request is forwarded to a target.
 	StripPrefix bool    `json:"strip_prefix,omitempty"`
 	Key         Extract `json:"key,omitzero"`
 	Caller      Extract `json:"caller,omitzero"`
 	Class       Extract `json:"class,omitzero"`
 	Deadline    Extract `json:"deadline,omitzero"`
 	Repeatable  Extract `json:"repeatable,omitzero"`
-	// Timeout is the deadline of requests that carry none.
+	// Timeout applies to requests that have no deadline of their own.
 	Timeout time.Duration `json:"timeout_ns,omitempty"`
-	// ProgressTimeout is the longest silence of a connection with work on it.
+	// ProgressTimeout is the longest time for which a connection with a request in flight
+	// may be silent.
 	ProgressTimeout time.Duration `json:"progress_timeout_ns,omitempty"`
-	// QueueLength bounds the requests that wait for one target.
+	// QueueLength is the maximum number of requests queued for one target.
 	QueueLength int `json:"queue_length,omitempty"`
-	// BatchShare is the least share of slots, from 0 to 1, that waiting batch work gets.
+	// BatchShare is the minimum share of slots, from 0 to 1, for queued batch requests.
 	BatchShare float64   `json:"batch_share,omitempty"`
 	Isolation  Isolation `json:"isolation,omitzero"`
 	Weights    Weights   `json:"weights,omitzero"`
 }
 
-// GrantCheck says what a target does with grants by itself.
+// GrantCheck describes which checks of grants a target makes itself.
 type GrantCheck struct {
-	// ChecksTokens means the target refuses requests and grants with an old term or token.
+	// ChecksTokens means that the target refuses requests and grants with an old term or token.
 	ChecksTokens bool `json:"checks_tokens,omitempty"`
-	// Expires means the target stops serving a unit by itself when its grant lapses.
+	// Expires means that the target itself stops serving a unit when its grant expires.
 	Expires bool `json:"expires,omitempty"`
 }
 
@@ -115,18 +119,19 @@
 	// Address is host:port.
 	Address string `json:"address,omitempty"`
 	Labels  Labels `json:"labels,omitempty"`
-	// Slots is the number of requests it works on at once; zero means unknown.
+	// Slots is the number of requests that the target processes concurrently; zero means
+	// unknown.
 	Slots int `json:"slots,omitempty"`
-	// Connections bounds the connections of all routers together.
+	// Connections is the maximum number of connections from all routers together.
 	Connections int        `json:"connections,omitempty"`
 	Grants      GrantCheck `json:"grants,omitzero"`
-	// Drain marks a target that is leaving.
+	// Drain marks a target that is being drained: it gets no new work.
 	Drain bool `json:"drain,omitempty"`
 }
 
 // KeyRange is a named range of keys of one service, From inclusive and To
-// exclusive in byte order; an empty To means no upper end. A range with From
-// equal to To is a single key.
+// exclusive in byte order; an empty To means no upper bound. A range with From
+// equal to To contains that single key.
 type KeyRange struct {
 	Name    string `json:"name"`
 	Service string `json:"service,omitempty"`
@@ -135,18 +140,18 @@
 	Labels  Labels `json:"labels,omitempty"`
 }
 
-// Caller gives labels to a caller's name.
+// Caller sets the labels and the weight of the caller with the name.
 type Caller struct {
 	Name   string `json:"name"`
 	Labels Labels `json:"labels,omitempty"`
-	// Weight is its share relative to other callers; 1 where not set.
+	// Weight is the share of the caller relative to other callers; 1 if not set.
 	Weight float64 `json:"weight,omitempty"`
 }
 
 // Op is the operator of one requirement of a label expression.
 type Op uint8
 
-// The set operators.
+// The operators.
 const (
 	Equals Op = iota
 	NotEquals
@@ -163,24 +168,27 @@
 	Values []string `json:"values,omitempty"`
 }
 
-// Expr is the conjunction of its requirements; empty matches everything.
+// Expr is a conjunction of requirements; an empty Expr matches everything.
 type Expr []Requirement
 
-// Selector says which callers and which keys go where. Exactly one of Targets,
-// ToService and Refuse acts.
+// Selector restricts the targets of the requests that it matches by caller and key,
+// hands them to another service or refuses them: exactly one of Targets, ToService and
+// Refuse is set.
 type Selector struct {
 	Name    string `json:"name"`
 	Service string `json:"service,omitempty"`
-	// Priority decides between selectors that overlap; the highest wins and
-	// equals that overlap are refused.
+	// Priority decides between selectors that overlap: the highest wins. A model in which
+	// selectors of equal priority overlap is refused.
 	Priority int `json:"priority,omitempty"`
 	// Callers and Keys are conditions on the labels of the caller and of the key's range.
 	Callers Expr `json:"callers,omitempty"`
 	Keys    Expr `json:"keys,omitempty"`
-	// Targets restricts placement to the targets that match.
-	Targets   Expr   `json:"targets,omitempty"`
+	// Targets restricts the keys to targets that match.
+	Targets Expr `json:"targets,omitempty"`
+	// ToService hands the requests to another service.
 	ToService string `json:"to_service,omitempty"`
-	Refuse    bool   `json:"refuse,omitempty"`
+	// Refuse refuses the requests.
+	Refuse bool `json:"refuse,omitempty"`
 }
 
 // Service returns the service with the name, or nil.
--- a/core/model/problem.go
+++ b/core/model/problem.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// ObjectKind names one of the kinds of objects of the model. Its value is the
-// name of the table in settings files.
+// ObjectKind is a kind of object of the model. Its value is the name of the TOML table
+// in configuration files.
 type ObjectKind string
 
 // The kinds of objects.
@@ -15,16 +15,16 @@
 	KindSelector ObjectKind = "selector"
 )
 
-// Kinds lists the kinds of objects in the order in which they are shown.
+// Kinds lists the kinds of objects in the order in which they are displayed.
 var Kinds = []ObjectKind{KindService, KindTarget, KindRange, KindCaller, KindSelector}
 
-// Ref names one object of the model.
+// Ref identifies one object of the model.
 type Ref struct {
 	Kind ObjectKind
 	Name string
 }
 
-// String returns kind "name", or the kind alone where there is no name.
+// String returns the kind and the quoted name, or the kind alone if there is no name.
 func (r Ref) String() string {
 	if r.Name == "" {
 		return string(r.Kind)
@@ -32,19 +32,20 @@
 	return string(r.Kind) + " " + quote(r.Name)
 }
 
-// Problem is one reason for which a model is refused.
+// Problem is one reason why a model is refused.
 type Problem struct {
-	// Object is the object at fault; Field is its field, empty where none fits.
+	// Object is the object at fault and Field its field, empty if the problem does not
+	// concern a single field.
 	Object Ref
 	Field  string
-	// Others are the further objects at fault, for instance the second of two that overlap.
+	// Others are the other objects at fault, for instance the second of two that overlap.
 	Others []Ref
-	// Text says what is wrong and Mend what to do about it.
+	// Text describes the problem and Mend how to fix it.
 	Text string
 	Mend string
 }
 
-// Error implements error: the object, its field, what is wrong and the mend.
+// Error returns the object, the field, the description of the problem and how to fix it.
 func (p Problem) Error() string {
 	var b strings.Builder
 	if p.Object.Kind != "" {
@@ -63,5 +64,6 @@
 	return b.String()
 }
 
-// quote puts a name in double quotes without escaping, as names are checked.
+// quote puts a name in double quotes. It does not escape anything, because names are
+// validated.
 func quote(name string) string { return `"` + name + `"` }
--- a/core/model/text.go
+++ b/core/model/text.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// divisionNames are the names of divisions in settings files and records.
+// divisionNames are the names of divisions in configuration files and stored records.
 var divisionNames = []string{ByKey: "by-key", Any: "any"}
 
-// sourceNames are the names of sources in settings files and records.
+// sourceNames are the names of sources in configuration files and stored records.
 var sourceNames = []string{FromNone: "none", FromHeader: "header", FromPath: "path", FromQuery: "query"}
 
-// opNames are the names of operators in selectors and records.
+// opNames are the names of operators in selectors and stored records.
 var opNames = []string{Equals: "=", NotEquals: "!=", In: "in", NotIn: "notin", Exists: "exists", NotExists: "!exists"}
 
-// String returns the name used in settings files.
+// String returns the name used in configuration files.
 func (d Division) String() string { return nameOf(divisionNames, uint8(d)) }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -28,7 +28,7 @@
 	return err
 }
 
-// String returns the name used in settings files.
+// String returns the name used in configuration files.
 func (s Source) String() string { return nameOf(sourceNames, uint8(s)) }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -54,8 +54,8 @@
 	return err
 }
 
-// Values returns how many values the operator takes at least and at most.
-func (o Op) Values() (least, most int) {
+// Values returns the minimum and the maximum number of values that the operator takes.
+func (o Op) Values() (lower, upper int) {
 	switch o {
 	case Equals, NotEquals:
 		return 1, 1
--- a/core/model/validate_test.go
+++ b/core/model/validate_test.go
@@ -26,11 +26,11 @@
 	m.Selectors = []Selector{{Name: "s", Service: "a", Priority: MaxPriority + 1, Refuse: true, Callers: long}}
 	m.Services = []Service{{Name: "a", Division: Any, PathPrefix: "/", Timeout: MinTimeout, ProgressTimeout: MinTimeout, QueueLength: 1, Isolation: Isolation{Keep: true}, Key: Extract{From: FromPath, Segment: MaxSegment + 1}}}
 	m.Ranges = []KeyRange{{Name: "r", Service: "a", From: strings.Repeat("k", MaxKeyLength+1), To: "l\xff"}}
-	var texts []string
+	var messages []string
 	for _, p := range Validate(m) {
-		texts = append(texts, p.Error())
+		messages = append(messages, p.Error())
 	}
-	assert.DeepEqual(t, texts, []string{
+	assert.DeepEqual(t, messages, []string{
 		"caller: there are 4097; keep at most 4096",
 		`service "a": key.segment: 32 is not allowed; use 0 to 31`,
 		`range "r": from: the text has 1025 bytes; keep it to 1024 bytes`,
--- a/core/model/validateservice.go
+++ b/core/model/validateservice.go
@@ -10,7 +10,7 @@
 	v.name(s.Name)
 	v.labels(s.Labels)
 	if s.Division > Any {
-		v.add("division", "use by-key or any", "the division %d does not exist", s.Division)
+		v.addProblem("division", "use by-key or any", "the division %d does not exist", s.Division)
 	}
 	v.hashSlots(s)
 	v.hosts(s.Hosts)
@@ -26,7 +26,7 @@
 	v.integer("queue_length", s.QueueLength, 1, MaxQueueLength)
 	v.number("batch_share", s.BatchShare, 0, 1)
 	if s.Isolation.Keep && s.Isolation.YieldAfter != 0 {
-		v.add("isolation", "set keep = false, or leave yield_after out", "yield_after has no effect where keep is true")
+		v.addProblem("isolation", "set keep = false, or leave yield_after out", "yield_after has no effect where keep is true")
 	}
 	if !s.Isolation.Keep {
 		v.duration("isolation.yield_after", s.Isolation.YieldAfter, MinYieldAfter, MaxYieldAfter)
@@ -39,60 +39,61 @@
 func (v *validator) hashSlots(s *Service) {
 	if s.Division != ByKey {
 		if s.HashSlots != 0 {
-			v.add("hash_slots", "leave it out, or set division = \"by-key\"", "a service that is not divided by key has no hash slots")
+			v.addProblem("hash_slots", "leave it out, or set division = \"by-key\"", "a service that is not divided by key has no hash slots")
 		}
 		return
 	}
 	if s.HashSlots < MinHashSlots || s.HashSlots > MaxHashSlots || s.HashSlots&(s.HashSlots-1) != 0 {
-		v.add("hash_slots", fmt.Sprintf("use a power of two from %d to %d", MinHashSlots, MaxHashSlots), "%d is not allowed", s.HashSlots)
+		v.addProblem("hash_slots", fmt.Sprintf("use a power of two from %d to %d", MinHashSlots, MaxHashSlots), "%d is not allowed", s.HashSlots)
 	}
 	if s.Key.From == FromNone {
-		v.add("key", "add a rule, for instance key = { from = \"path\", segment = 0 }", "a service that is divided by key needs a rule that finds the key")
+		v.addProblem("key", "add a rule, for instance key = { from = \"path\", segment = 0 }", "a service that is divided by key needs a rule that finds the key")
 	}
 	if s.Key.Default != "" {
-		v.add("key.default", "leave it out; a request without a key is refused", "a default key would send all requests without one to one owner")
+		v.addProblem("key.default", "leave it out; a request without a key is refused", "a default key would send all requests without one to one owner")
 	}
 }
 
 func (v *validator) defaults(s *Service) {
 	if d := s.Class.Default; d != "" && d != "interactive" && d != "batch" {
-		v.add("class.default", "use interactive or batch", "%q is not a class", d)
+		v.addProblem("class.default", "use interactive or batch", "%q is not a class", d)
 	}
 	if d := s.Repeatable.Default; d != "" && d != "true" && d != "false" {
-		v.add("repeatable.default", "use \"true\" or \"false\", or leave it out so that the method decides", "%q is neither true nor false", d)
+		v.addProblem("repeatable.default", "use \"true\" or \"false\", or leave it out so that the method decides", "%q is neither true nor false", d)
 	}
 	if s.Deadline.Default != "" {
-		v.add("deadline.default", "set timeout", "the deadline of requests that carry none is the service's timeout")
+		v.addProblem("deadline.default", "set timeout", "the deadline of requests that carry none is the service's timeout")
 	}
 }
 
 func (v *validator) prefix(s *Service) {
 	p := s.PathPrefix
 	if !strings.HasPrefix(p, "/") || len(p) > MaxPrefixLength || strings.ContainsAny(p, "?#% ") {
-		v.add("path_prefix", fmt.Sprintf("use a path such as \"/%s\", at most %d bytes, without ?, #, %% and spaces", s.Name, MaxPrefixLength), "%q is not a path prefix", p)
+		v.addProblem("path_prefix", fmt.Sprintf("use a path such as \"/%s\", at most %d bytes, without ?, #, %% and spaces", s.Name, MaxPrefixLength), "%q is not a path prefix", p)
 	}
 }
 
 func (v *validator) hosts(hosts []string) {
 	if len(hosts) > MaxHosts {
-		v.add("hosts", fmt.Sprintf("keep at most %d", MaxHosts), "there are %d hosts", len(hosts))
+		v.addProblem("hosts", fmt.Sprintf("keep at most %d", MaxHosts), "there are %d hosts", len(hosts))
 	}
 	seen := make(map[string]bool, len(hosts))
 	for _, host := range hosts {
 		if !validName(host, MaxHostLength, hostChar) {
-			v.add("hosts", "write the host in lower case and without a port", "%q is not a host name", host)
+			v.addProblem("hosts", "write the host in lower case and without a port", "%q is not a host name", host)
 		}
 		if seen[host] {
-			v.add("hosts", "name each host once", "the host %q is there twice", host)
+			v.addProblem("hosts", "name each host once", "the host %q is there twice", host)
 		}
 		seen[host] = true
 	}
 }
 
-// routes refuses two services that the same request would match.
+// duplicateRoutes adds a problem for each two services with the same host and prefix:
+// a request could match both.
 func (v *validator) routes() {
 	type route struct{ host, prefix string }
-	first := make(map[route]string)
+	serviceOf := make(map[route]string)
 	for i := range v.model.Services {
 		s := &v.model.Services[i]
 		hosts := s.Hosts
@@ -102,16 +103,16 @@
 		prefix := strings.TrimSuffix(s.PathPrefix, "/")
 		for _, host := range hosts {
 			r := route{host, prefix}
-			other, taken := first[r]
-			if !taken {
-				first[r] = s.Name
+			other, found := serviceOf[r]
+			if !found {
+				serviceOf[r] = s.Name
 				continue
 			}
 			if other == s.Name {
 				continue
 			}
 			v.object = Ref{KindService, s.Name}
-			v.add("path_prefix", "give one of them another prefix or other hosts", "%s has the same prefix and host", Ref{KindService, other})
+			v.addProblem("path_prefix", "give one of them another prefix or other hosts", "%s has the same prefix and host", Ref{KindService, other})
 			v.problems[len(v.problems)-1].Others = []Ref{{KindService, other}}
 		}
 	}
