--- a/telemetry/admin.go
+++ b/telemetry/admin.go
@@ -11,11 +11,11 @@
 	"sync"
 )
 
-// Check returns nil, or the cause for which the process is not live or ready.
+// Check returns nil, or an error with the reason why the process is not live or ready.
 type Check func() error
 
 // Admin is the admin endpoint: health, metrics, profiles, build info and status.
-// It carries no authentication; the router puts its guard of roles in front.
+// It does not authenticate clients; the router puts its role check in front of it.
 type Admin struct {
 	mux      *http.ServeMux
 	patterns []string
@@ -26,8 +26,8 @@
 	status map[string]func() any
 }
 
-// NewAdmin returns the endpoint; metrics serves /metrics. Without any check the
-// process is live and ready.
+// NewAdmin returns the endpoint; metrics serves /metrics. As long as no checks have been
+// added, the process counts as live and ready.
 func NewAdmin(metrics http.Handler) *Admin {
 	a := &Admin{
 		mux:    http.NewServeMux(),
@@ -53,42 +53,44 @@
 	a.mux.HandleFunc(pattern, handler)
 }
 
-// Patterns returns the patterns of the endpoint's own pages, as http.ServeMux takes
-// them.
+// Patterns returns the patterns, in the syntax of http.ServeMux, of the pages that Admin
+// serves itself, without those added by Handle.
 func (a *Admin) Patterns() []string { return slices.Clone(a.patterns) }
 
 // ServeHTTP implements http.Handler.
 func (a *Admin) ServeHTTP(w http.ResponseWriter, r *http.Request) { a.mux.ServeHTTP(w, r) }
 
-// Handle adds a page of another package.
+// Handle adds a page that another package serves.
 func (a *Admin) Handle(pattern string, handler http.Handler) { a.mux.Handle(pattern, handler) }
 
-// AddLive adds a check to /livez: where it fails, the process is to be replaced.
+// AddLive adds a check to /livez. If it fails, the process should be restarted.
 func (a *Admin) AddLive(name string, check Check) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.live[name] = check
 }
 
-// AddReady adds a check to /readyz: where it fails, the balancer is to send no work.
+// AddReady adds a check to /readyz. If it fails, the load balancer should not send
+// requests to this process.
 func (a *Admin) AddReady(name string, check Check) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ready[name] = check
 }
 
-// AddStatus adds a section to /status; f returns what is encoded as JSON.
-func (a *Admin) AddStatus(name string, f func() any) {
+// AddStatus adds a section to /status; provider returns the value to be encoded as JSON.
+func (a *Admin) AddStatus(name string, provider func() any) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.status[name] = f
+	a.status[name] = provider
 }
 
-// Causes returns the failed checks of /readyz, each as "name: cause", in order of name.
-func (a *Admin) Causes() []string { return a.failed(a.ready) }
+// Causes returns the failed checks of /readyz, each as "name: cause", sorted by name.
+func (a *Admin) Causes() []string { return a.failedChecks(a.ready) }
 
-// failed runs the checks without the lock, so that a slow one does not hold up others.
-func (a *Admin) failed(checks map[string]Check) []string {
+// failedChecks runs the checks and returns those that fail. It does not hold the lock
+// meanwhile, so that a slow check does not block other calls.
+func (a *Admin) failedChecks(checks map[string]Check) []string {
 	a.mu.Lock()
 	current := make(map[string]Check, len(checks))
 	for name, check := range checks {
@@ -106,7 +108,7 @@
 }
 
 func (a *Admin) serveChecks(w http.ResponseWriter, checks map[string]Check) {
-	causes := a.failed(checks)
+	causes := a.failedChecks(checks)
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	if len(causes) == 0 {
 		fmt.Fprintln(w, "ok")
@@ -121,18 +123,18 @@
 func (a *Admin) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	a.mu.Lock()
 	providers := make(map[string]func() any, len(a.status))
-	for name, f := range a.status {
-		providers[name] = f
+	for name, provider := range a.status {
+		providers[name] = provider
 	}
 	a.mu.Unlock()
 	sections := make(map[string]any, len(providers))
-	for name, f := range providers {
-		sections[name] = f()
+	for name, provider := range providers {
+		sections[name] = provider()
 	}
 	writeJSON(w, sections)
 }
 
-// Version is the build info of the process.
+// Version is the build information of the process.
 type Version struct {
 	Module   string `json:"module"`
 	Version  string `json:"version"`
@@ -142,7 +144,7 @@
 	Modified bool   `json:"modified,omitempty"`
 }
 
-// ReadVersion returns what the toolchain recorded about the build.
+// ReadVersion returns the build information that the Go toolchain put into the binary.
 func ReadVersion() Version {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -171,6 +173,6 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// An error here means that the client has gone; there is nobody left to tell.
+	// An error means that the client has closed the connection and cannot be notified.
 	_, _ = w.Write(append(data, '\n'))
 }
--- a/telemetry/admin_test.go
+++ b/telemetry/admin_test.go
@@ -20,7 +20,7 @@
 	return recorder.Code, recorder.Body.String()
 }
 
-func TestReadinessNamesEveryCause(t *testing.T) {
+func TestReadinessListsEveryFailedCheck(t *testing.T) {
 	a := NewAdmin(http.NotFoundHandler())
 	status, body := fetch(a, "/readyz")
 	assert.Equal(t, status, http.StatusOK)
@@ -46,7 +46,7 @@
 }
 
 func TestAdminPages(t *testing.T) {
-	m := newQuiet(Config{})
+	m := newForTest(Config{})
 	defer m.Close()
 	a := NewAdmin(m.Handler())
 	since := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
@@ -86,14 +86,14 @@
 	assert.ErrorContains(t, err, "want debug, info, warn or error")
 }
 
-// stalled is an output that takes nothing until it is released.
-type stalled struct {
+// stalledWriter is an output whose writes block until release is closed.
+type stalledWriter struct {
 	entered chan struct{}
 	release chan struct{}
 	lines   bytes.Buffer
 }
 
-func (s *stalled) Write(line []byte) (int, error) {
+func (s *stalledWriter) Write(line []byte) (int, error) {
 	select {
 	case s.entered <- struct{}{}:
 	default:
@@ -102,11 +102,11 @@
 	return s.lines.Write(line)
 }
 
-// Symptom: a router is alive and renews no grant.
-// Sequence: the reader of its log hangs, the pipe fills, the next log line blocks.
-// Cause: writing the log straight to an output that may stall.
+// If log lines were written directly to the output, a hung reader of the log would let
+// the pipe fill up, the next log line would block, and the router would run on without
+// renewing its grants.
 func TestStalledOutputDropsLinesInsteadOfBlocking(t *testing.T) {
-	output := &stalled{entered: make(chan struct{}, 1), release: make(chan struct{})}
+	output := &stalledWriter{entered: make(chan struct{}, 1), release: make(chan struct{})}
 	w := NewWriter(output, 2)
 	for _, line := range []string{"1\n", "2\n", "3\n", "4\n", "5\n"} {
 		_, err := w.Write([]byte(line))
--- a/telemetry/callers.go
+++ b/telemetry/callers.go
@@ -2,59 +2,62 @@
 
 import "math/rand/v2"
 
-// Folding of callers. Callers name themselves, so their number is not ours to
-// bound, and a series once made stays until the process ends. The first half of
-// the labels of a service go to the first callers that ask, so that a small
-// fleet sees all of its callers at once. The other half go to callers that show
-// real traffic, found by a space-saving sketch over a sample of the requests: a
-// caller with more than one in sketchFactor times TopCallers of the folded
-// requests is found whatever the others do. A flood of invented names can use up
-// the first half but not the second.
+// Callers choose their own names, so their number is unbounded, and a series exists until
+// the process ends. Therefore only TopCallers callers of a service get a label of their
+// own; all others are aggregated under the label "other". The first half of the labels is
+// given to the first callers that send a request, so that a small deployment sees all of
+// its callers immediately. The other half is given to callers with substantial traffic,
+// which a space-saving sketch finds in a sample of the aggregated requests: it finds every
+// caller that sends more than one in countersPerLabel times TopCallers of these requests,
+// whatever the other callers send. A flood of invented names can use up the first half of
+// the labels but not the second.
 
 const (
-	// sketchFactor is the number of counters of the sketch for each label.
-	sketchFactor = 4
-	// promoteAfter is the number of sampled requests that earn a label.
-	promoteAfter = 8
-	// decayAfter is the number of sampled requests after which all counts are halved,
-	// so that old traffic does not add up to a label.
-	decayAfter = 4096
-	// sampleMask makes the default sample one in 16.
+	// countersPerLabel is the number of counters of the sketch per label.
+	countersPerLabel = 4
+	// labelThreshold is the number of sampled requests after which a caller gets a label.
+	labelThreshold = 8
+	// halvingPeriod is the number of sampled requests after which all counts are halved,
+	// so that a caller does not reach labelThreshold by requests spread over a long time.
+	halvingPeriod = 4096
+	// sampleMask selects one in 16 requests for the default sample.
 	sampleMask = 15
 )
 
 func sampleOneIn16() bool { return rand.Uint32()&sampleMask == 0 }
 
-// caller returns the histograms of the caller, the shared ones where it is folded.
-func (s *service) caller(cfg Config, name string) *latencies {
+// callerLatencies returns the histograms of the caller, or those of the label "other" if
+// the caller has no label of its own.
+func (s *service) callerLatencies(cfg Config, name string) *latencies {
 	if l, ok := s.callers.get(name); ok {
 		return l
 	}
 	if name == otherLabel || s.callers.len() >= cfg.TopCallers {
-		return s.other
+		return s.otherCallers
 	}
-	if s.callers.len() < (cfg.TopCallers+1)/2 || (cfg.Sample() && s.deserves(name)) {
-		return s.admit(cfg, name)
+	if s.callers.len() < (cfg.TopCallers+1)/2 || (cfg.Sample() && s.qualifies(name)) {
+		return s.addCaller(cfg, name)
 	}
-	return s.other
+	return s.otherCallers
 }
 
-// admit gives the caller a label of its own where one is left.
-func (s *service) admit(cfg Config, name string) *latencies {
-	l, ok := s.callers.add(name, cfg.TopCallers, func() *latencies {
-		return newLatencies(s.scope, label(name))
+// addCaller gives the caller a label of its own if there are any left.
+func (s *service) addCaller(cfg Config, name string) *latencies {
+	l, ok := s.callers.getOrAdd(name, cfg.TopCallers, func() *latencies {
+		return newLatencies(s.scope, labelValue(name))
 	})
 	if !ok {
-		return s.other
+		return s.otherCallers
 	}
 	return l
 }
 
-// deserves counts one sampled request and says whether the caller earned a label.
-func (s *service) deserves(name string) bool {
+// qualifies counts one sampled request and reports whether the caller has sent enough of
+// them to get a label.
+func (s *service) qualifies(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sketch.add(name) >= promoteAfter
+	return s.sketch.add(name) >= labelThreshold
 }
 
 // sketch counts the most frequent names with a fixed number of counters, by the
@@ -62,53 +65,54 @@
 type sketch struct {
 	capacity int
 	added    int
-	entries  map[string]*entry
+	entries  map[string]*sketchEntry
 }
 
-type entry struct {
+type sketchEntry struct {
 	count int
-	// surplus is the most by which count may be too high.
-	surplus int
+	// overestimate is the maximum by which count may be too high.
+	overestimate int
 }
 
 func newSketch(capacity int) sketch {
-	return sketch{capacity: capacity, entries: make(map[string]*entry, capacity)}
+	return sketch{capacity: capacity, entries: make(map[string]*sketchEntry, capacity)}
 }
 
-// add counts the name once and returns the least that it can have been counted.
+// add counts the name once and returns a lower bound of the number of times that it has
+// been counted.
 func (s *sketch) add(name string) int {
 	s.added++
-	if s.added%decayAfter == 0 {
+	if s.added%halvingPeriod == 0 {
 		s.halve()
 	}
 	if e, ok := s.entries[name]; ok {
 		e.count++
-		return e.count - e.surplus
+		return e.count - e.overestimate
 	}
-	surplus := 0
+	overestimate := 0
 	if len(s.entries) >= s.capacity {
-		surplus = s.evict()
+		overestimate = s.evict()
 	}
-	s.entries[name] = &entry{count: surplus + 1, surplus: surplus}
+	s.entries[name] = &sketchEntry{count: overestimate + 1, overestimate: overestimate}
 	return 1
 }
 
-// evict removes one of the least counted names and returns its count.
+// evict removes a name with the lowest count and returns that count.
 func (s *sketch) evict() int {
 	var name string
-	least := -1
+	lowest := -1
 	for candidate, e := range s.entries {
-		if least < 0 || e.count < least {
-			name, least = candidate, e.count
+		if lowest < 0 || e.count < lowest {
+			name, lowest = candidate, e.count
 		}
 	}
 	delete(s.entries, name)
-	return least
+	return lowest
 }
 
 func (s *sketch) halve() {
 	for _, e := range s.entries {
 		e.count /= 2
-		e.surplus /= 2
+		e.overestimate /= 2
 	}
 }
--- a/telemetry/gauge.go
+++ b/telemetry/gauge.go
@@ -7,9 +7,9 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Gauge is a value that goes up and down. It is carried over to tally at each
-// interval: updates from several goroutines straight to a tally gauge could be
-// stored out of order and leave an old value standing.
+// Gauge is a value that can go up and down. It is copied to a tally gauge at each
+// reporting interval: if several goroutines updated the tally gauge directly, their
+// updates could be stored out of order, which would leave an outdated value.
 type Gauge struct{ value atomic.Int64 }
 
 // Add adds n, which may be negative.
@@ -21,38 +21,39 @@
 // Value returns the value.
 func (g *Gauge) Value() int64 { return g.value.Load() }
 
-// Gauge returns a new gauge with the name and tags; the same name and tags must
-// be asked for once only.
+// Gauge returns a new gauge with the name and tags. It must be called only once for the
+// same name and tags.
 func (t *Telemetry) Gauge(name string, tags map[string]string) *Gauge {
 	return t.gauges.add(t.scope.Tagged(tags).Gauge(name))
 }
 
-// GaugeFunc reads f at each interval. It must be quick and must not block.
+// GaugeFunc adds a gauge whose value is read from f at each reporting interval. f must be
+// fast and must not block.
 func (t *Telemetry) GaugeFunc(name string, tags map[string]string, f func() float64) {
 	t.gauges.addFunc(t.scope.Tagged(tags).Gauge(name), f)
 }
 
-// gauges are all gauges with where their values come from.
+// gauges is the list of all gauges and of the functions that return their values.
 type gauges struct {
 	mu   sync.Mutex
-	list []source
+	list []gaugeSource
 }
 
-type source struct {
+type gaugeSource struct {
 	gauge tally.Gauge
 	read  func() float64
 }
 
-func (g *gauges) add(to tally.Gauge) *Gauge {
+func (g *gauges) add(tallyGauge tally.Gauge) *Gauge {
 	gauge := &Gauge{}
-	g.addFunc(to, func() float64 { return float64(gauge.Value()) })
+	g.addFunc(tallyGauge, func() float64 { return float64(gauge.Value()) })
 	return gauge
 }
 
-func (g *gauges) addFunc(to tally.Gauge, read func() float64) {
+func (g *gauges) addFunc(tallyGauge tally.Gauge, read func() float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.list = append(g.list, source{gauge: to, read: read})
+	g.list = append(g.list, gaugeSource{gauge: tallyGauge, read: read})
 }
 
 func (g *gauges) update() {
--- a/telemetry/log.go
+++ b/telemetry/log.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 )
 
-// LogConfig holds the settings of the log.
+// LogConfig configures the log.
 type LogConfig struct {
 	// Level is debug, info, warn or error. Default info.
 	Level string
@@ -28,13 +28,13 @@
 	if cfg.Output == nil {
 		cfg.Output = os.Stderr
 	}
-	options := &slog.HandlerOptions{Level: level, ReplaceAttr: plainError}
+	options := &slog.HandlerOptions{Level: level, ReplaceAttr: errorAsMessage}
 	return slog.New(slog.NewTextHandler(cfg.Output, options)), nil
 }
 
-// plainError logs an error as its message. The handler would take the verbose form,
-// with which package errors writes a whole stack into the line.
-func plainError(_ []string, a slog.Attr) slog.Attr {
+// errorAsMessage replaces an error by its message. The handler itself would use the
+// verbose format, in which package errors includes a complete stack trace.
+func errorAsMessage(_ []string, a slog.Attr) slog.Attr {
 	if err, ok := a.Value.Any().(error); ok {
 		return slog.String(a.Key, err.Error())
 	}
--- a/telemetry/request.go
+++ b/telemetry/request.go
@@ -11,7 +11,7 @@
 	"tarragongw/core/request"
 )
 
-// CodeOK is the code of a request that got its whole answer.
+// CodeOK is the code of a request that was answered completely.
 const CodeOK = "ok"
 
 // latencyBuckets are the upper bounds of the latency histograms.
@@ -25,7 +25,8 @@
 
 const ranCount = int(fault.RanFully) + 1
 
-// codeNames are the codes that get a series; index 0 stands for all others.
+// codeNames are the codes that have a series of their own; index 0 stands for all others.
+// codeIndex holds their indices.
 var codeNames, codeIndex = indexCodes()
 
 func indexCodes() ([]string, map[string]int) {
@@ -40,18 +41,18 @@
 	return names, index
 }
 
-// Request counts one request and its latency, seen from the caller's side. Code
-// is CodeOK or the code of a fault. It takes no lock and allocates nothing once
-// the combination of labels has been seen.
+// Request records one request and its latency as seen by the caller; code is CodeOK or the
+// code of a fault. Once the combination of labels has been seen, it takes no lock and
+// allocates nothing.
 func (t *Telemetry) Request(service, caller string, class request.Class, code string, ran fault.Ran, d time.Duration) {
 	s := t.service(service)
 	i := classIndex(class)
-	s.caller(t.cfg, caller)[i].RecordDuration(d)
+	s.callerLatencies(t.cfg, caller)[i].RecordDuration(d)
 	s.outcomes[i].counter(s.scope, classes[i], code, ran).Inc(1)
-	t.totals.count(class, code, ran, d)
+	t.totals.record(class, code, ran, d)
 }
 
-// Retry counts one further attempt of a request; code is the fault of the one before.
+// Retry counts one retry of a request; code is the fault of the previous attempt.
 func (t *Telemetry) Retry(service, code string) {
 	s := t.service(service)
 	lazyCounter(&s.retries[codeIndex[code]], func() tally.Counter {
@@ -59,7 +60,7 @@
 	}).Inc(1)
 }
 
-// InFlight returns the gauge of requests that are in flight for the service.
+// InFlight returns the gauge of the number of requests in flight for the service.
 func (t *Telemetry) InFlight(service string) *Gauge { return t.service(service).inFlight }
 
 func classIndex(c request.Class) int {
@@ -69,47 +70,47 @@
 	return 0
 }
 
-// latencies are the histograms of one caller, by class.
+// latencies are the latency histograms of one caller by class.
 type latencies [len(classes)]tally.Histogram
 
 // service holds the pre-resolved metrics of one service.
 type service struct {
-	scope    tally.Scope
-	callers  table[string, *latencies]
-	other    *latencies
-	outcomes [len(classes)]outcomes
-	retries  []atomic.Pointer[tally.Counter]
-	inFlight *Gauge
-
-	// mu guards the sketch that finds callers who deserve a label.
+	scope        tally.Scope
+	callers      cowMap[string, *latencies]
+	otherCallers *latencies
+	outcomes     [len(classes)]outcomes
+	retries      []atomic.Pointer[tally.Counter]
+	inFlight     *Gauge
+
+	// mu guards sketch, which finds the callers to give a label to.
 	mu     sync.Mutex
 	sketch sketch
 }
 
-// service returns the metrics of the service, those of "other" where there are
-// too many.
+// service returns the metrics of the service, or those of the label "other" if the service
+// is not among the first MaxServices.
 func (t *Telemetry) service(name string) *service {
 	if s, ok := t.services.get(name); ok {
 		return s
 	}
-	if s, ok := t.services.add(name, t.cfg.MaxServices, func() *service { return t.newService(name) }); ok {
+	if s, ok := t.services.getOrAdd(name, t.cfg.MaxServices, func() *service { return t.newService(name) }); ok {
 		return s
 	}
 	if s, ok := t.services.get(otherLabel); ok {
 		return s
 	}
-	s, _ := t.services.add(otherLabel, t.cfg.MaxServices+1, func() *service { return t.newService(otherLabel) })
+	s, _ := t.services.getOrAdd(otherLabel, t.cfg.MaxServices+1, func() *service { return t.newService(otherLabel) })
 	return s
 }
 
 func (t *Telemetry) newService(name string) *service {
-	scope := t.scope.Tagged(map[string]string{"service": label(name)})
+	scope := t.scope.Tagged(map[string]string{"service": labelValue(name)})
 	s := &service{
-		scope:    scope,
-		other:    newLatencies(scope, otherLabel),
-		retries:  make([]atomic.Pointer[tally.Counter], len(codeNames)),
-		inFlight: t.gauges.add(scope.Gauge("requests_in_flight")),
-		sketch:   newSketch(sketchFactor * t.cfg.TopCallers),
+		scope:        scope,
+		otherCallers: newLatencies(scope, otherLabel),
+		retries:      make([]atomic.Pointer[tally.Counter], len(codeNames)),
+		inFlight:     t.gauges.add(scope.Gauge("requests_in_flight")),
+		sketch:       newSketch(countersPerLabel * t.cfg.TopCallers),
 	}
 	for i := range s.outcomes {
 		s.outcomes[i].counters = make([][ranCount]atomic.Pointer[tally.Counter], len(codeNames))
@@ -143,24 +144,25 @@
 	})
 }
 
-// lazyCounter returns the counter in p, which it makes at its first use. Two
-// that make it at once get the same from tally.
-func lazyCounter(p *atomic.Pointer[tally.Counter], make func() tally.Counter) tally.Counter {
+// lazyCounter returns the counter in p and creates it on first use. Goroutines that create
+// it concurrently get the same counter from tally.
+func lazyCounter(p *atomic.Pointer[tally.Counter], create func() tally.Counter) tally.Counter {
 	if c := p.Load(); c != nil {
 		return *c
 	}
-	c := make()
+	c := create()
 	p.Store(&c)
 	return c
 }
 
-// label makes a name fit for a label's value; tally replaces odd characters.
-func label(name string) string {
+// labelValue returns the label value for a name: "none" for an empty name, and at most
+// maxLabelLength bytes of a long one. tally replaces characters that are not allowed.
+func labelValue(name string) string {
 	if name == "" {
 		return "none"
 	}
-	if len(name) > labelLength {
-		return name[:labelLength]
+	if len(name) > maxLabelLength {
+		return name[:maxLabelLength]
 	}
 	return name
 }
--- a/telemetry/store.go
+++ b/telemetry/store.go
@@ -6,43 +6,44 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// storeCall is one combination of labels of calls to the platform.
-type storeCall struct{ kind, outcome string }
+// storeCallLabels is one combination of labels of calls to the store.
+type storeCallLabels struct{ kind, outcome string }
 
 type storeMetrics struct {
 	count   tally.Counter
 	latency tally.Histogram
 }
 
-// maxStoreCalls bounds the combinations: both lists are closed, but a mistake in
-// one of them must not become a series for each call.
-const maxStoreCalls = 128
+// maxStoreSeries is the maximum number of combinations of labels. There are only a fixed
+// number of kinds and outcomes, but if a value that differs for each call were passed by
+// mistake, every call would otherwise create a series.
+const maxStoreSeries = 128
 
-// StoreCall counts one call to the platform and its latency.
+// StoreCall records one call to the store and its latency.
 func (t *Telemetry) StoreCall(kind, outcome string, d time.Duration) {
-	call := storeCall{kind: kind, outcome: outcome}
-	m, ok := t.calls.get(call)
+	labels := storeCallLabels{kind: kind, outcome: outcome}
+	m, ok := t.storeCalls.get(labels)
 	if !ok {
-		m = t.newStoreCall(call)
+		m = t.addStoreCall(labels)
 	}
 	m.count.Inc(1)
 	m.latency.RecordDuration(d)
 }
 
-func (t *Telemetry) newStoreCall(call storeCall) *storeMetrics {
-	m, ok := t.calls.add(call, maxStoreCalls, func() *storeMetrics { return t.storeMetrics(call) })
+func (t *Telemetry) addStoreCall(labels storeCallLabels) *storeMetrics {
+	m, ok := t.storeCalls.getOrAdd(labels, maxStoreSeries, func() *storeMetrics { return t.newStoreMetrics(labels) })
 	if ok {
 		return m
 	}
-	other := storeCall{kind: otherLabel, outcome: otherLabel}
-	m, _ = t.calls.add(other, maxStoreCalls+1, func() *storeMetrics { return t.storeMetrics(other) })
+	other := storeCallLabels{kind: otherLabel, outcome: otherLabel}
+	m, _ = t.storeCalls.getOrAdd(other, maxStoreSeries+1, func() *storeMetrics { return t.newStoreMetrics(other) })
 	return m
 }
 
-func (t *Telemetry) storeMetrics(call storeCall) *storeMetrics {
-	kind := t.scope.Tagged(map[string]string{"kind": call.kind})
+func (t *Telemetry) newStoreMetrics(labels storeCallLabels) *storeMetrics {
+	kind := t.scope.Tagged(map[string]string{"kind": labels.kind})
 	return &storeMetrics{
-		count:   kind.Tagged(map[string]string{"outcome": call.outcome}).Counter("store_calls_total"),
+		count:   kind.Tagged(map[string]string{"outcome": labels.outcome}).Counter("store_calls_total"),
 		latency: kind.Histogram("store_call_seconds", latencyBuckets),
 	}
 }
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -1,7 +1,7 @@
 // Package telemetry provides the router's logs, metrics and admin endpoint.
 //
-// Metrics go through tally and are scraped in Prometheus text form. The number
-// of series is bounded by the settings, whatever callers do: see Config.
+// Metrics are collected by tally and served in the Prometheus text format. Config bounds
+// the number of series, whatever names callers use.
 package telemetry
 
 import (
@@ -18,21 +18,23 @@
 	"tarragongw/core/request"
 )
 
-// Config holds the settings of the metrics.
+// Config configures the metrics.
 type Config struct {
-	// Prefix begins the name of each metric. Default "tarragongw".
+	// Prefix is the prefix of the name of every metric. Default "tarragongw".
 	Prefix string
-	// Tags are added to each metric, such as the router and its data centre.
+	// Tags are added to every metric, for instance the router and its data centre.
 	Tags map[string]string
-	// Interval is how often counts are carried over to what is scraped. Default 1 s.
+	// Interval is the reporting interval: the values to be scraped are updated once per
+	// interval. Default 1 s.
 	Interval time.Duration
-	// TopCallers is the number of callers of one service with series of their own; all
-	// others share the label "other". Default 50.
+	// TopCallers is the maximum number of callers of one service with series of their own;
+	// all others are aggregated under the label "other". Default 50.
 	TopCallers int
-	// MaxServices is the number of services with series of their own. Default 128.
+	// MaxServices is the maximum number of services with series of their own; all others
+	// are aggregated under the label "other". Default 128.
 	MaxServices int
-	// Sample decides whether a request of a folded caller is counted towards a label
-	// of its own. Default: one in 16 at random.
+	// Sample decides whether a request of a caller without a label of its own counts
+	// towards getting one. Default: one in 16 at random.
 	Sample func() bool
 }
 
@@ -41,9 +43,10 @@
 	defaultInterval    = time.Second
 	defaultTopCallers  = 50
 	defaultMaxServices = 128
-	// labelLength bounds a label's value in bytes.
-	labelLength = 64
-	// otherLabel is the label that all folded names share.
+	// maxLabelLength is the maximum length of a label value in bytes.
+	maxLabelLength = 64
+	// otherLabel is the label value under which all names without a label of their own are
+	// aggregated.
 	otherLabel = "other"
 )
 
@@ -68,19 +71,19 @@
 
 // Telemetry holds the metrics of one router. It is safe for concurrent use.
 type Telemetry struct {
-	cfg      Config
-	scope    tally.Scope
-	closer   io.Closer
-	reporter promreporter.Reporter
-	services table[string, *service]
-	calls    table[storeCall, *storeMetrics]
-	gauges   gauges
-	totals   *totals
-	stop     chan struct{}
-	done     sync.WaitGroup
+	cfg        Config
+	scope      tally.Scope
+	closer     io.Closer
+	reporter   promreporter.Reporter
+	services   cowMap[string, *service]
+	storeCalls cowMap[storeCallLabels, *storeMetrics]
+	gauges     gauges
+	totals     *totals
+	stop       chan struct{}
+	done       sync.WaitGroup
 }
 
-// New returns running metrics; Close ends them.
+// New returns a new Telemetry and starts its reporting; Close stops it.
 func New(cfg Config) *Telemetry {
 	cfg = cfg.withDefaults()
 	registry := prometheus.NewRegistry()
@@ -92,24 +95,25 @@
 		Tags:                   cfg.Tags,
 		CachedReporter:         reporter,
 		Separator:              promreporter.DefaultSeparator,
-		SanitizeOptions:        &sanitize,
+		SanitizeOptions:        &sanitizeOptions,
 		OmitCardinalityMetrics: true,
 	}
 	t := &Telemetry{cfg: cfg, reporter: reporter, stop: make(chan struct{}), totals: newTotals()}
 	t.scope, t.closer = tally.NewRootScope(options, cfg.Interval)
 	t.done.Add(1)
-	go t.sample()
+	go t.updateGauges()
 	return t
 }
 
-// Scope returns the scope for metrics of other packages. Each name must always
-// come with the same set of tag names, and tag values must be few.
+// Scope returns the scope for metrics of other packages. A metric must always be used with
+// the same set of tag names, and the number of tag values must be small.
 func (t *Telemetry) Scope() tally.Scope { return t.scope }
 
-// Handler serves the metrics in Prometheus text form.
+// Handler returns a handler that serves the metrics in the Prometheus text format.
 func (t *Telemetry) Handler() http.Handler { return t.reporter.HTTPHandler() }
 
-// Close carries over the last counts and stops. The handler goes on serving them.
+// Close reports the last values and stops the reporting. The handler continues to serve
+// these values.
 func (t *Telemetry) Close() error {
 	close(t.stop)
 	t.done.Wait()
@@ -117,8 +121,8 @@
 	return t.closer.Close()
 }
 
-// sample carries the gauges over to tally.
-func (t *Telemetry) sample() {
+// updateGauges copies the gauges to tally at each reporting interval until Close.
+func (t *Telemetry) updateGauges() {
 	defer t.done.Done()
 	ticker := time.NewTicker(t.cfg.Interval)
 	defer ticker.Stop()
@@ -132,12 +136,13 @@
 	}
 }
 
-// classes are the priority classes; they index the handles of a caller.
+// classes are the priority classes. A class's index here is its index in latencies,
+// service.outcomes and totals.latency.
 var classes = [...]request.Class{request.Interactive, request.Batch}
 
-// sanitize is the reporter's default but for values: names of services, callers
-// and addresses keep their usual punctuation, so that they can be matched.
-var sanitize = tally.SanitizeOptions{
+// sanitizeOptions are the reporter's defaults except for values: names of services and
+// callers and addresses keep their usual punctuation, so that queries can match them.
+var sanitizeOptions = tally.SanitizeOptions{
 	NameCharacters: promreporter.DefaultSanitizerOpts.NameCharacters,
 	KeyCharacters:  promreporter.DefaultSanitizerOpts.KeyCharacters,
 	ValueCharacters: tally.ValidCharacters{
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -19,17 +19,17 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// everySample counts each request of a folded caller.
-func everySample() bool { return true }
+// sampleAll samples every request of a caller without a label.
+func sampleAll() bool { return true }
 
-// newQuiet returns metrics whose interval does not end within a test: Close
-// carries the counts over.
-func newQuiet(cfg Config) *Telemetry {
+// newForTest returns metrics whose reporting interval does not end within a test: the
+// values are reported by Close only.
+func newForTest(cfg Config) *Telemetry {
 	cfg.Interval = time.Hour
 	return New(cfg)
 }
 
-// scrape closes the metrics and returns what a scrape then sees.
+// scrape closes the metrics and returns their text as scraped after that.
 func scrape(t *testing.T, m *Telemetry) string {
 	t.Helper()
 	assert.NilError(t, m.Close())
@@ -40,17 +40,17 @@
 	return string(body)
 }
 
-func assertLine(t *testing.T, scraped, line string) {
+func assertHasLine(t *testing.T, scraped, line string) {
 	t.Helper()
 	for _, l := range strings.Split(scraped, "\n") {
 		if l == line {
 			return
 		}
 	}
-	t.Fatalf("no line %q in:\n%s", line, grep(scraped, strings.SplitN(line, "{", 2)[0]))
+	t.Fatalf("no line %q in:\n%s", line, matchingLines(scraped, strings.SplitN(line, "{", 2)[0]))
 }
 
-func grep(scraped, text string) string {
+func matchingLines(scraped, text string) string {
 	var found []string
 	for _, l := range strings.Split(scraped, "\n") {
 		if strings.Contains(l, text) {
@@ -61,7 +61,7 @@
 }
 
 func TestRequestIsCountedByItsLabels(t *testing.T) {
-	m := newQuiet(Config{Tags: map[string]string{"router": "r1"}})
+	m := newForTest(Config{Tags: map[string]string{"router": "r1"}})
 	for range 3 {
 		m.Request("faq-viewer", "ramen-1", request.Interactive, CodeOK, fault.RanFully, 3*time.Millisecond)
 	}
@@ -69,35 +69,35 @@
 	m.Request("faq-viewer", "ramen-1", request.Batch, "invented", fault.RanUnknown, time.Second)
 	m.Retry("faq-viewer", fault.TargetLost.String())
 	scraped := scrape(t, m)
-	assertLine(t, scraped, `tarragongw_requests_total{class="interactive",code="ok",ran="ran",router="r1",service="faq-viewer"} 3`)
-	assertLine(t, scraped, `tarragongw_requests_total{class="batch",code="queue_full",ran="not-run",router="r1",service="faq-viewer"} 1`)
-	assertLine(t, scraped, `tarragongw_requests_total{class="batch",code="other",ran="unknown",router="r1",service="faq-viewer"} 1`)
-	assertLine(t, scraped, `tarragongw_retries_total{code="target_lost",router="r1",service="faq-viewer"} 1`)
+	assertHasLine(t, scraped, `tarragongw_requests_total{class="interactive",code="ok",ran="ran",router="r1",service="faq-viewer"} 3`)
+	assertHasLine(t, scraped, `tarragongw_requests_total{class="batch",code="queue_full",ran="not-run",router="r1",service="faq-viewer"} 1`)
+	assertHasLine(t, scraped, `tarragongw_requests_total{class="batch",code="other",ran="unknown",router="r1",service="faq-viewer"} 1`)
+	assertHasLine(t, scraped, `tarragongw_retries_total{code="target_lost",router="r1",service="faq-viewer"} 1`)
 	const histogram = `tarragongw_request_seconds_bucket{caller="ramen-1",class="interactive",router="r1",service="faq-viewer",le=`
-	assertLine(t, scraped, histogram+`"0.002"} 0`)
-	assertLine(t, scraped, histogram+`"0.004"} 3`)
+	assertHasLine(t, scraped, histogram+`"0.002"} 0`)
+	assertHasLine(t, scraped, histogram+`"0.004"} 3`)
 }
 
 func TestStoreCallsAndGauges(t *testing.T) {
-	m := newQuiet(Config{})
+	m := newForTest(Config{})
 	m.StoreCall("cas", "conflict", time.Millisecond)
 	inFlight := m.InFlight("faq-viewer")
 	inFlight.Add(5)
 	m.InFlight("faq-viewer").Add(-2)
 	m.GaugeFunc("config_revision", nil, func() float64 { return 42 })
 	scraped := scrape(t, m)
-	assertLine(t, scraped, `tarragongw_store_calls_total{kind="cas",outcome="conflict"} 1`)
-	assertLine(t, scraped, `tarragongw_store_call_seconds_count{kind="cas"} 1`)
-	assertLine(t, scraped, `tarragongw_requests_in_flight{service="faq-viewer"} 3`)
-	assertLine(t, scraped, `tarragongw_config_revision 42`)
+	assertHasLine(t, scraped, `tarragongw_store_calls_total{kind="cas",outcome="conflict"} 1`)
+	assertHasLine(t, scraped, `tarragongw_store_call_seconds_count{kind="cas"} 1`)
+	assertHasLine(t, scraped, `tarragongw_requests_in_flight{service="faq-viewer"} 3`)
+	assertHasLine(t, scraped, `tarragongw_config_revision 42`)
 }
 
-// Symptom: the router's memory and the scrapes grow without bound.
-// Sequence: a caller invents a new name, or service, or code for each request.
-// Cause: labels taken over from requests as they come.
-func TestLabelsAreFolded(t *testing.T) {
+// If names were copied from requests to labels without a limit, a caller that sends a new
+// name, service or code with each request would make the router's memory and the scrapes
+// grow without bound.
+func TestNumberOfSeriesIsBounded(t *testing.T) {
 	const callers, services = 10, 4
-	m := newQuiet(Config{TopCallers: callers, MaxServices: services, Sample: everySample})
+	m := newForTest(Config{TopCallers: callers, MaxServices: services, Sample: sampleAll})
 	for i := range 5000 {
 		m.Request("s0", fmt.Sprintf("caller-%d", i), request.Interactive, CodeOK, fault.RanFully, time.Millisecond)
 		m.Request(fmt.Sprintf("s%d", i%100), "a", request.Interactive, CodeOK, fault.RanFully, time.Millisecond)
@@ -107,24 +107,23 @@
 	assert.Equal(t, s.callers.len(), callers/2)
 	assert.Equal(t, m.services.len(), services+1)
 	scraped := scrape(t, m)
-	assertLine(t, scraped, `tarragongw_request_seconds_count{caller="other",class="interactive",service="s0"} 4996`)
-	assertLine(t, scraped, `tarragongw_request_seconds_count{caller="a",class="interactive",service="other"} 4800`)
-	assert.Equal(t, strings.Count(scraped, "tarragongw_store_calls_total{"), maxStoreCalls+1)
+	assertHasLine(t, scraped, `tarragongw_request_seconds_count{caller="other",class="interactive",service="s0"} 4996`)
+	assertHasLine(t, scraped, `tarragongw_request_seconds_count{caller="a",class="interactive",service="other"} 4800`)
+	assert.Equal(t, strings.Count(scraped, "tarragongw_store_calls_total{"), maxStoreSeries+1)
 }
 
-// Symptom: the callers that matter are invisible behind "other".
-// Sequence: a flood of invented names comes first, the real callers after it.
-// Cause: labels given to whoever comes first.
+// If labels were given only to the first callers, a flood of invented names could use all
+// of them up, and the callers with most of the traffic would be aggregated under "other".
 //
-// The sketch promises to find a caller with more than one in sketchFactor times
-// TopCallers of the folded requests, here one in 40; each busy one has one in 30.
-func TestBusyCallersGetLabelsUnderAFlood(t *testing.T) {
-	const callers, flood = 10, 2000
-	m := newQuiet(Config{TopCallers: callers, Sample: everySample})
+// The sketch finds every caller that sends more than one in countersPerLabel times
+// TopCallers of the aggregated requests, here one in 40; each busy caller sends one in 30.
+func TestBusyCallersGetLabelsDespiteInventedNames(t *testing.T) {
+	const callers, invented = 10, 2000
+	m := newForTest(Config{TopCallers: callers, Sample: sampleAll})
 	defer m.Close()
 	for i := range 20000 {
 		m.Request("s", fmt.Sprintf("invented-%d", i), request.Interactive, CodeOK, fault.RanFully, 0)
-		if i >= flood && i%2 == 0 {
+		if i >= invented && i%2 == 0 {
 			m.Request("s", fmt.Sprintf("busy-%d", i/2%callers), request.Interactive, CodeOK, fault.RanFully, 0)
 		}
 	}
@@ -139,17 +138,17 @@
 	assert.Equal(t, busy, callers/2)
 }
 
-func TestOddNamesAreMadeFit(t *testing.T) {
-	m := newQuiet(Config{})
+func TestInvalidLabelValuesAreSanitized(t *testing.T) {
+	m := newForTest(Config{})
 	m.Request("s", "", request.Interactive, CodeOK, fault.RanFully, 0)
 	m.Request("s", "a\xff\"b\n"+strings.Repeat("x", 1000), request.Class(9), CodeOK, fault.Ran(9), 0)
 	scraped := scrape(t, m)
-	assertLine(t, scraped, `tarragongw_request_seconds_count{caller="none",class="interactive",service="s"} 1`)
-	assert.Assert(t, strings.Contains(scraped, `caller="a__b_`+strings.Repeat("x", labelLength-5)+`"`), grep(scraped, "_count"))
+	assertHasLine(t, scraped, `tarragongw_request_seconds_count{caller="none",class="interactive",service="s"} 1`)
+	assert.Assert(t, strings.Contains(scraped, `caller="a__b_`+strings.Repeat("x", maxLabelLength-5)+`"`), matchingLines(scraped, "_count"))
 }
 
 func TestConcurrentRequestsAreAllCounted(t *testing.T) {
-	m := newQuiet(Config{})
+	m := newForTest(Config{})
 	var workers sync.WaitGroup
 	for w := range 8 {
 		workers.Add(1)
@@ -161,7 +160,7 @@
 		}()
 	}
 	workers.Wait()
-	assertLine(t, scrape(t, m), `tarragongw_requests_total{class="batch",code="ok",ran="ran",service="s"} 8000`)
+	assertHasLine(t, scrape(t, m), `tarragongw_requests_total{class="batch",code="ok",ran="ran",service="s"} 8000`)
 }
 
 func BenchmarkRequest(b *testing.B) {
@@ -184,7 +183,7 @@
 	})
 }
 
-func BenchmarkRequestOfFoldedCaller(b *testing.B) {
+func BenchmarkRequestOfCallerWithoutLabel(b *testing.B) {
 	m := New(Config{})
 	defer m.Close()
 	names := make([]string, 100_000)
--- a/telemetry/totals.go
+++ b/telemetry/totals.go
@@ -9,8 +9,8 @@
 	"tarragongw/core/request"
 )
 
-// totals are counts over all services and callers since the start. tally hands its
-// counts over and forgets them; the history needs them again.
+// totals are counts over all services and callers since the start of the process. They are
+// kept here for the history, because tally does not keep counts that it has reported.
 type totals struct {
 	latency [len(classes)][]atomic.Uint64
 	refused []atomic.Uint64
@@ -25,9 +25,10 @@
 	return t
 }
 
-// count takes in one request. Only whole answers have a latency: a refusal within
-// microseconds would make a router that refuses everything look quick.
-func (t *totals) count(class request.Class, code string, ran fault.Ran, d time.Duration) {
+// record counts one request. Only requests that were answered completely count towards the
+// latency: refusals within microseconds would make a router that refuses everything look
+// fast.
+func (t *totals) record(class request.Class, code string, ran fault.Ran, d time.Duration) {
 	switch {
 	case code == CodeOK:
 		i := sort.Search(len(latencyBuckets), func(i int) bool { return d <= latencyBuckets[i] })
@@ -39,26 +40,27 @@
 	}
 }
 
-// Totals are counts since the start, over all services and callers.
+// Totals are counts over all services and callers since the start of the process.
 type Totals struct {
-	// Latency counts whole answers by class and bound; see LatencyBounds.
+	// Latency counts the requests that were answered completely, by class (see Classes) and
+	// latency bucket (see LatencyBounds).
 	Latency [][]uint64
-	// Refused counts requests that were refused as not run and Failed those that may
-	// have run, by code; see Codes.
+	// Refused counts the requests that were not run and Failed those that failed but may
+	// have run, both by code (see Codes).
 	Refused []uint64
 	Failed  []uint64
 }
 
-// Totals returns the counts.
+// Totals returns a copy of the current counts.
 func (t *Telemetry) Totals() Totals {
-	out := Totals{Refused: load(t.totals.refused), Failed: load(t.totals.failed)}
+	out := Totals{Refused: loadCounts(t.totals.refused), Failed: loadCounts(t.totals.failed)}
 	for i := range t.totals.latency {
-		out.Latency = append(out.Latency, load(t.totals.latency[i]))
+		out.Latency = append(out.Latency, loadCounts(t.totals.latency[i]))
 	}
 	return out
 }
 
-func load(counts []atomic.Uint64) []uint64 {
+func loadCounts(counts []atomic.Uint64) []uint64 {
 	out := make([]uint64, len(counts))
 	for i := range counts {
 		out[i] = counts[i].Load()
@@ -66,10 +68,10 @@
 	return out
 }
 
-// Codes names the counts of Totals by code.
+// Codes returns the codes that index Totals.Refused and Totals.Failed.
 func Codes() []string { return append([]string(nil), codeNames...) }
 
-// Classes names the rows of Totals.Latency.
+// Classes returns the names of the classes that index Totals.Latency.
 func Classes() []string {
 	var out []string
 	for _, class := range classes {
@@ -78,6 +80,6 @@
 	return out
 }
 
-// LatencyBounds are the upper bounds of the counts of Totals.Latency; one further
-// count takes what is above the last.
+// LatencyBounds returns the upper bounds of the buckets of Totals.Latency. One additional
+// bucket counts the requests above the last bound.
 func LatencyBounds() []time.Duration { return append([]time.Duration(nil), latencyBuckets...) }
--- a/telemetry/writer.go
+++ b/telemetry/writer.go
@@ -7,15 +7,16 @@
 	"time"
 )
 
-// defaultLines is the number of lines that wait for a slow output.
-const defaultLines = 1024
+// defaultBufferedLines is the default number of lines that are buffered while the output is
+// slow.
+const defaultBufferedLines = 1024
 
-// Writer passes lines on to an output without making who logs wait.
+// Writer forwards lines to an output without blocking the goroutine that logs them.
 //
-// An output may stall for good: a pipe whose reader hangs, a full terminal
-// buffer. Written to directly, the first duty that logs then stops, and with it
-// the renewal of grants; one would notice routers that are alive and do nothing.
-// The writer drops lines instead and counts them; show Dropped as a metric.
+// An output may block forever: a pipe whose reader hangs, a full terminal buffer. If the
+// log were written to it directly, the first goroutine that logs would block, and with it
+// the renewal of grants: the router would be alive but do nothing. Writer drops lines
+// instead and counts them; Dropped should be exported as a metric.
 type Writer struct {
 	output  io.Writer
 	lines   chan []byte
@@ -25,11 +26,11 @@
 	done    chan struct{}
 }
 
-// NewWriter returns a running writer that keeps up to lines lines waiting; zero
-// means 1024. Close ends it.
+// NewWriter returns a new Writer that buffers up to lines lines; zero means 1024. Close
+// stops it.
 func NewWriter(output io.Writer, lines int) *Writer {
 	if lines <= 0 {
-		lines = defaultLines
+		lines = defaultBufferedLines
 	}
 	w := &Writer{
 		output: output,
@@ -51,11 +52,11 @@
 	return len(line), nil
 }
 
-// Dropped returns the number of lines dropped so far.
+// Dropped returns the number of lines that have been dropped so far.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// Close writes the lines that wait and stops. It gives up after timeout, where
-// the output has stalled, and then reports false.
+// Close writes the buffered lines and stops the writer. It returns false if the output
+// has not taken them within timeout.
 func (w *Writer) Close(timeout time.Duration) bool {
 	w.once.Do(func() { close(w.stop) })
 	timer := time.NewTimer(timeout)
@@ -75,13 +76,13 @@
 		case line := <-w.lines:
 			w.write(line)
 		case <-w.stop:
-			w.drain()
+			w.writeRemaining()
 			return
 		}
 	}
 }
 
-func (w *Writer) drain() {
+func (w *Writer) writeRemaining() {
 	for {
 		select {
 		case line := <-w.lines:
@@ -92,5 +93,5 @@
 	}
 }
 
-// write ignores errors: there is nowhere to report that the log cannot be written.
+// write ignores errors, because there is no other place to report them.
 func (w *Writer) write(line []byte) { _, _ = w.output.Write(line) }
