--- a/telemetry/store.go
+++ b/telemetry/store.go
@@ -6,7 +6,7 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// storeCallLabels is one combination of labels of calls to the store.
+// storeCallLabels is one combination of labels of calls to the platform.
 type storeCallLabels struct{ kind, outcome string }
 
 type storeMetrics struct {
@@ -19,7 +19,7 @@
 // mistake, every call would otherwise create a series.
 const maxStoreSeries = 128
 
-// StoreCall records one call to the store and its latency.
+// StoreCall records one call to the platform and its latency.
 func (t *Telemetry) StoreCall(kind, outcome string, d time.Duration) {
 	labels := storeCallLabels{kind: kind, outcome: outcome}
 	m, ok := t.storeCalls.get(labels)
