--- a/core/model/model.go
+++ b/core/model/model.go
@@ -5,7 +5,7 @@
 
 import "time"
 
-// Labels are the labels of an object: keys with their values.
+// Labels maps the labels of an object to their values.
 type Labels map[string]string
 
 // Model is one complete revision of the operators' configuration.
@@ -183,7 +183,7 @@
 	// Callers and Keys are conditions on the labels of the caller and of the key's range.
 	Callers Expr `json:"callers,omitempty"`
 	Keys    Expr `json:"keys,omitempty"`
-	// Targets restricts the keys to targets that match.
+	// Targets restricts placement to the targets that match.
 	Targets Expr `json:"targets,omitempty"`
 	// ToService hands the requests to another service.
 	ToService string `json:"to_service,omitempty"`
