--- a/cmd/tarragongw/dev.go
+++ b/cmd/tarragongw/dev.go
@@ -20,7 +20,8 @@
 )
 
 const (
-	// devStartLimit bounds the start of dev and devStopLimit its graceful stop.
+	// devStartLimit bounds the start-up of the dev command's system, and devStopLimit its
+	// graceful stop.
 	devStartLimit = 20 * time.Second
 	devStopLimit  = 10 * time.Second
 )
@@ -28,12 +29,12 @@
 func devCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "dev",
-		Usage: "run a whole small system on loopback: platform stand-in, targets, a router in each data centre",
+		Usage: "run a small complete system on loopback: a simulated platform, targets and a router in each data centre",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "example", Value: "shiretoko", Usage: "shipped settings `NAME`: shiretoko or balik-paninda"},
-			&cli.StringFlag{Name: "model", Usage: "`FOLDER` with settings of your own, in place of --example"},
-			&cli.DurationFlag{Name: "for", Usage: "stop by itself after this `TIME`"},
-			&cli.StringFlag{Name: "log", Value: "warn", Usage: "lowest `LEVEL` that is logged"},
+			&cli.StringFlag{Name: "example", Value: "shiretoko", Usage: "`NAME` of the built-in example to run: shiretoko or balik-paninda"},
+			&cli.StringFlag{Name: "model", Usage: "`FOLDER` with your own model files, instead of --example"},
+			&cli.DurationFlag{Name: "for", Usage: "stop automatically after this `TIME`"},
+			&cli.StringFlag{Name: "log", Value: "warn", Usage: "lowest `LEVEL` to log"},
 		},
 		Action: runDev,
 	}
@@ -50,17 +51,17 @@
 	}
 	ctx, stopSignals := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 	defer stopSignals()
-	starting, cancel := context.WithTimeout(ctx, devStartLimit)
+	startCtx, cancel := context.WithTimeout(ctx, devStartLimit)
 	defer cancel()
-	began := time.Now()
-	system, err := dev.Start(starting, dev.Config{Model: m, Logger: logger})
+	startTime := time.Now()
+	system, err := dev.Start(startCtx, dev.Config{Model: m, Logger: logger})
 	if err != nil {
 		return err
 	}
 	out := c.Root().Writer
-	fmt.Fprintf(out, "Ready after %d ms; Ctrl-C stops it.\n", time.Since(began).Milliseconds())
+	fmt.Fprintf(out, "Ready after %d ms; Ctrl-C stops it.\n", time.Since(startTime).Milliseconds())
 	system.PrintGuide(out)
-	wait(ctx, c.Duration("for"))
+	waitForStop(ctx, c.Duration("for"))
 	return stopDev(system, out)
 }
 
@@ -70,12 +71,13 @@
 	}
 	name := c.String("example")
 	if name != "shiretoko" && name != "balik-paninda" {
-		return nil, errors.Errorf("--example %q is not shipped; use shiretoko or balik-paninda, or --model FOLDER", name)
+		return nil, errors.Errorf("--example %q is not a built-in example; use shiretoko or balik-paninda, or --model FOLDER", name)
 	}
 	return config.LoadModelFS(examples.FS, name)
 }
 
-func wait(ctx context.Context, d time.Duration) {
+// waitForStop blocks until ctx is done or, if d is positive, until d has passed.
+func waitForStop(ctx context.Context, d time.Duration) {
 	if d > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, d)
@@ -87,11 +89,11 @@
 func stopDev(system *dev.System, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(context.Background(), devStopLimit)
 	defer cancel()
-	fmt.Fprintln(out, "Stopping the routers one after the other.")
+	fmt.Fprintln(out, "Stopping the routers one by one.")
 	cut := system.Stop(ctx)
 	fmt.Fprintf(out, "Stopped; %d requests were cut off.\n", cut)
 	if cut > 0 {
-		return &codedError{errors.Errorf("%d requests were cut off", cut), exitCut}
+		return &exitError{errors.Errorf("%d requests were cut off", cut), exitRequestsCut}
 	}
 	return nil
 }
--- a/cmd/tarragongw/dev_test.go
+++ b/cmd/tarragongw/dev_test.go
@@ -15,49 +15,48 @@
 	"gotest.tools/v3/assert"
 )
 
-// patience bounds every wait; it is far beyond what is measured, so that a busy
-// machine fails nothing.
-const patience = 60 * time.Second
+// testTimeout bounds every wait. It is much longer than any wait takes on an idle machine,
+// so that tests do not fail on a busy one.
+const testTimeout = 60 * time.Second
 
 // devRun is a running `tarragongw dev`.
 type devRun struct {
-	// lines are those of its guide.
-	lines []string
-	stop  context.CancelFunc
-	ended chan error
+	// guide holds the lines that the command prints at the start.
+	guide  []string
+	stop   context.CancelFunc
+	exited chan error
 }
 
-// startDev runs dev through the command line and returns once it has printed its
-// guide.
+// startDev runs the dev command and returns once it has printed its guide.
 func startDev(t *testing.T, args ...string) *devRun {
 	t.Helper()
-	ctx, stop := context.WithTimeout(t.Context(), patience)
-	read, write := io.Pipe()
+	ctx, stop := context.WithTimeout(t.Context(), testTimeout)
+	reader, writer := io.Pipe()
 	command := newCommand()
-	command.Writer = write
-	d := &devRun{stop: stop, ended: make(chan error, 1)}
+	command.Writer = writer
+	d := &devRun{stop: stop, exited: make(chan error, 1)}
 	go func() {
 		err := command.Run(ctx, append([]string{"tarragongw", "dev", "--log", "error"}, args...))
-		_ = write.CloseWithError(io.EOF)
-		d.ended <- err
+		_ = writer.CloseWithError(io.EOF)
+		d.exited <- err
 	}()
-	scanner := bufio.NewScanner(read)
+	scanner := bufio.NewScanner(reader)
 	for scanner.Scan() {
-		d.lines = append(d.lines, scanner.Text())
+		d.guide = append(d.guide, scanner.Text())
 		if strings.HasSuffix(scanner.Text(), " status") {
 			break
 		}
 	}
-	go func() { _, _ = io.Copy(io.Discard, read) }()
+	go func() { _, _ = io.Copy(io.Discard, reader) }()
 	t.Cleanup(stop)
-	assert.Assert(t, len(d.lines) > 5, "%v", d.lines)
+	assert.Assert(t, len(d.guide) > 5, "%v", d.guide)
 	return d
 }
 
-// curls returns the guide's curl lines.
-func (d *devRun) curls() []string {
+// curlLines returns the guide's curl lines.
+func (d *devRun) curlLines() []string {
 	var curls []string
-	for _, line := range d.lines {
+	for _, line := range d.guide {
 		if line = strings.TrimSpace(line); strings.HasPrefix(line, "curl ") {
 			curls = append(curls, line)
 		}
@@ -65,39 +64,40 @@
 	return curls
 }
 
-// shellWords splits a line at spaces outside single quotes, as a shell does.
-func shellWords(line string) []string {
+// splitShellWords splits a line at spaces outside single quotes, as a shell does.
+func splitShellWords(line string) []string {
 	var words []string
 	var word strings.Builder
-	quoted, begun := false, false
+	quoted, inWord := false, false
 	for _, c := range line {
 		switch {
 		case c == '\'':
-			quoted, begun = !quoted, true
+			quoted, inWord = !quoted, true
 		case c == ' ' && !quoted:
-			if begun {
+			if inWord {
 				words = append(words, word.String())
 			}
 			word.Reset()
-			begun = false
+			inWord = false
 		default:
 			word.WriteRune(c)
-			begun = true
+			inWord = true
 		}
 	}
-	if begun {
+	if inWord {
 		words = append(words, word.String())
 	}
 	return words
 }
 
-// paste carries out a curl line and returns status and body.
-func paste(t *testing.T, line string) (int, []byte) {
+// runCurlLine sends the request of a curl command line and returns the response's status
+// and body.
+func runCurlLine(t *testing.T, line string) (int, []byte) {
 	t.Helper()
-	assert.Assert(t, !strings.ContainsAny(outsideQuotes(line), "&?;|<>$*(){}\"`"), "a shell would not take it as it is: %s", line)
+	assert.Assert(t, !strings.ContainsAny(outsideQuotes(line), "&?;|<>$*(){}\"`"), "a shell would interpret special characters of the line: %s", line)
 	method, body, address := http.MethodGet, "", ""
 	header := http.Header{}
-	words := shellWords(line)[1:]
+	words := splitShellWords(line)[1:]
 	for len(words) > 0 {
 		word := words[0]
 		words = words[1:]
@@ -125,11 +125,12 @@
 	resp, err := http.DefaultClient.Do(req)
 	assert.NilError(t, err)
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(resp.Body)
+	responseBody, err := io.ReadAll(resp.Body)
 	assert.NilError(t, err)
-	return resp.StatusCode, answer
+	return resp.StatusCode, responseBody
 }
 
+// outsideQuotes returns the parts of a line outside single quotes.
 func outsideQuotes(line string) string {
 	var out strings.Builder
 	for i, part := range strings.Split(line, "'") {
@@ -140,11 +141,11 @@
 	return out.String()
 }
 
-func TestShellWords(t *testing.T) {
-	assert.DeepEqual(t, shellWords(`curl -d 'a b' '' x'y z'`), []string{"curl", "-d", "a b", "", "xy z"})
+func TestSplitShellWords(t *testing.T) {
+	assert.DeepEqual(t, splitShellWords(`curl -d 'a b' '' x'y z'`), []string{"curl", "-d", "a b", "", "xy z"})
 }
 
-func TestDevStopsByItself(t *testing.T) {
+func TestDevStopsAfterDuration(t *testing.T) {
 	for _, example := range []string{"shiretoko", "balik-paninda"} {
 		t.Run(example, func(t *testing.T) {
 			var out bytes.Buffer
@@ -157,51 +158,51 @@
 	}
 }
 
-func TestDevRefusesAnUnknownExample(t *testing.T) {
+func TestDevRejectsUnknownExample(t *testing.T) {
 	err := newCommand().Run(t.Context(), []string{"tarragongw", "dev", "--example", "other"})
 	assert.ErrorContains(t, err, "shiretoko or balik-paninda")
 	assert.Equal(t, exitCode(err), exitFailure)
 }
 
-// The lines must work as they are printed: a read, a write, an operator's change
-// and an explanation that agrees with who answered.
-func TestDevGuideWorksWhenPasted(t *testing.T) {
+// The curl lines of the guide work as printed: a read, a write, an operator's change, and an
+// explanation of the key that names the target that answered the read.
+func TestDevGuideCommandsWork(t *testing.T) {
 	for _, example := range []string{"shiretoko", "balik-paninda"} {
 		t.Run(example, func(t *testing.T) {
 			d := startDev(t, "--example", example)
-			curls := d.curls()
+			curls := d.curlLines()
 			assert.Equal(t, len(curls), 4, "%v", curls)
 
-			status, body := paste(t, curls[0])
+			status, body := runCurlLine(t, curls[0])
 			assert.Equal(t, status, http.StatusOK, string(body))
-			read := decodeTo[struct{ Target, Unit string }](t, body)
-			assert.Assert(t, read.Target != "")
+			readAnswer := decodeJSON[struct{ Target, Unit string }](t, body)
+			assert.Assert(t, readAnswer.Target != "")
 
-			status, body = paste(t, curls[1])
+			status, body = runCurlLine(t, curls[1])
 			assert.Equal(t, status, http.StatusOK, string(body))
-			assert.Equal(t, decodeTo[struct{ Value string }](t, body).Value, "hello")
+			assert.Equal(t, decodeJSON[struct{ Value string }](t, body).Value, "hello")
 
-			status, body = paste(t, curls[3])
+			status, body = runCurlLine(t, curls[3])
 			assert.Equal(t, status, http.StatusOK, string(body))
-			explained := decodeTo[struct{ Target, Unit, Grantor string }](t, body)
-			assert.Equal(t, explained.Target, read.Target)
-			assert.Equal(t, explained.Unit, read.Unit)
+			explained := decodeJSON[struct{ Target, Unit, Grantor string }](t, body)
+			assert.Equal(t, explained.Target, readAnswer.Target)
+			assert.Equal(t, explained.Unit, readAnswer.Unit)
 			assert.Assert(t, explained.Grantor != "")
 
-			status, body = paste(t, curls[2])
+			status, body = runCurlLine(t, curls[2])
 			assert.Equal(t, status, http.StatusOK, string(body))
-			assert.Equal(t, decodeTo[struct{ Revision uint64 }](t, body).Revision, uint64(2))
+			assert.Equal(t, decodeJSON[struct{ Revision uint64 }](t, body).Revision, uint64(2))
 
 			d.stop()
-			assert.NilError(t, <-d.ended)
+			assert.NilError(t, <-d.exited)
 		})
 	}
 }
 
-// The last line's URL is an operators' endpoint.
-func TestDevGuideNamesTheOperatorsEndpoint(t *testing.T) {
+// The URL in the last line of the guide is that of an operators' endpoint.
+func TestDevGuideContainsOperatorEndpoint(t *testing.T) {
 	d := startDev(t)
-	words := strings.Fields(d.lines[len(d.lines)-1])
+	words := strings.Fields(d.guide[len(d.guide)-1])
 	assert.DeepEqual(t, words[:3], []string{"go", "run", "./cmd/tarragonctl"})
 	base, err := url.Parse(words[4])
 	assert.NilError(t, err)
@@ -210,10 +211,10 @@
 	assert.NilError(t, resp.Body.Close())
 	assert.Equal(t, resp.StatusCode, http.StatusOK)
 	d.stop()
-	assert.NilError(t, <-d.ended)
+	assert.NilError(t, <-d.exited)
 }
 
-func decodeTo[T any](t *testing.T, data []byte) T {
+func decodeJSON[T any](t *testing.T, data []byte) T {
 	t.Helper()
 	var value T
 	assert.NilError(t, json.Unmarshal(data, &value), string(data))
--- a/cmd/tarragongw/main.go
+++ b/cmd/tarragongw/main.go
@@ -14,8 +14,8 @@
 // Exit codes.
 const (
 	exitFailure = 1
-	// exitCut says that a stop cut off requests in flight.
-	exitCut = 3
+	// exitRequestsCut means that the stop cut off requests in flight.
+	exitRequestsCut = 3
 )
 
 func main() {
@@ -44,14 +44,14 @@
 	return v.Version + " " + v.Revision
 }
 
-// codedError is an error with an exit code of its own.
-type codedError struct {
+// exitError is an error that sets the exit code of the process.
+type exitError struct {
 	error
 	code int
 }
 
 func exitCode(err error) int {
-	if coded, ok := err.(*codedError); ok {
+	if coded, ok := err.(*exitError); ok {
 		return coded.code
 	}
 	return exitFailure
--- a/cmd/tarragongw/pages_test.go
+++ b/cmd/tarragongw/pages_test.go
@@ -8,7 +8,7 @@
 	"tarragongw/internal/pages"
 )
 
-// Every command and flag that a page names must be one of this binary.
+// Every command and flag of this binary that a documentation page mentions must exist.
 func TestCommandsNamedOnPagesExist(t *testing.T) {
 	checked, err := pages.CheckAll("../..", "tarragongw", newCommand)
 	assert.NilError(t, err)
--- a/cmd/tarragongw/process_harness_test.go
+++ b/cmd/tarragongw/process_harness_test.go
@@ -29,73 +29,77 @@
 )
 
 const (
-	// processCentre is the data centre of all processes.
-	processCentre = "kushiro-hall"
-	// targetWork is what each request takes at a target.
-	targetWork = 3 * time.Millisecond
+	// testDataCentre is the data centre of all routers and targets.
+	testDataCentre = "kushiro-hall"
+	// targetServiceTime is how long a target works on each request.
+	targetServiceTime = 3 * time.Millisecond
 )
 
-// installation is a platform and targets in the test's process, and routers in
-// processes of their own.
+// installation is a complete system: the platform and the targets run in the test's process,
+// and each router in a process of its own.
 type installation struct {
-	t       *testing.T
-	bin     string
-	files   string
-	model   *model.Model
-	store   *standin.Platform
-	url     string
-	log     *sample.Log
-	routers []*process
+	t *testing.T
+	// binDir holds the built commands, and workDir the settings and the model.
+	binDir      string
+	workDir     string
+	model       *model.Model
+	store       *standin.Platform
+	platformURL string
+	log         *sample.Log
+	routers     []*process
 }
 
-// process is one router.
+// process is one router process.
 type process struct {
-	name                   string
+	name string
+	// caller, operator and peer are the addresses of its listeners.
 	caller, operator, peer string
-	settings               string
+	settingsPath           string
 	cmd                    *exec.Cmd
 	output                 *syncbuffer.Buffer
-	ended                  chan error
+	exited                 chan error
 }
 
-// install builds the binaries and starts the platform and the targets.
+// install builds the commands, starts the platform and the targets, and writes the settings
+// of the routers. The caller starts the routers.
 func install(t *testing.T, routers ...string) *installation {
 	t.Helper()
 	return installWith(t, func(*model.Model) {}, routers...)
 }
 
-// installWith is install with the model changed before the targets start.
+// installWith is install with a change to the model before the targets start.
 func installWith(t *testing.T, change func(*model.Model), routers ...string) *installation {
 	t.Helper()
-	in := &installation{t: t, bin: t.TempDir(), files: t.TempDir(), log: sample.NewLog(1_000_000)}
-	buildCommands(t, in.bin)
+	in := &installation{t: t, binDir: t.TempDir(), workDir: t.TempDir(), log: sample.NewLog(1_000_000)}
+	buildCommands(t, in.binDir)
 	in.startPlatform()
 	in.startTargets(change)
 	ports := freeAddresses(t, 3*len(routers))
 	for i, name := range routers {
 		p := &process{name: name, caller: ports[3*i], operator: ports[3*i+1], peer: ports[3*i+2]}
-		p.settings = filepath.Join(in.files, name+".toml")
-		assert.NilError(t, os.WriteFile(p.settings, []byte(in.settingsOf(p)), 0o600))
+		p.settingsPath = filepath.Join(in.workDir, name+".toml")
+		assert.NilError(t, os.WriteFile(p.settingsPath, []byte(in.settingsTOML(p)), 0o600))
 		in.routers = append(in.routers, p)
 	}
-	in.list()
+	in.registerVMs()
 	return in
 }
 
-// Ports of routers are chosen below those that the system gives to outgoing connections:
-// one of these could take a port between its choice and the start of the router that is
-// to listen on it, which then ends with "address already in use".
+// The ports of routers are chosen below the ephemeral port range. Otherwise an outgoing
+// connection could take a port before the router listens on it, and the router would fail
+// with "address already in use".
 const (
 	firstPort = 20000
 	portCount = 12000
 )
 
-// freeAddresses finds ports that nobody listens on: the settings of the routers and
-// the platform's list name each other's before any of them runs.
+// freeAddresses returns n addresses on which nothing listens. The ports must be known before
+// any router starts, because the routers' settings and the platform's list of VMs contain
+// them.
 func freeAddresses(t *testing.T, n int) []string {
 	t.Helper()
 	var addresses []string
-	// Test binaries that run beside each other begin at different ports.
+	// Test binaries that run at the same time start their search at different ports.
 	start := os.Getpid() * 101
 	for i := 0; len(addresses) < n; i++ {
 		assert.Assert(t, i < portCount, "too few free ports")
@@ -115,7 +119,7 @@
 	handler := httpstore.NewHandler(func(client string) httpstore.Backend { return in.store.Client(client) })
 	server := httptest.NewServer(handler)
 	in.t.Cleanup(server.CloseClientConnections)
-	in.url = server.URL
+	in.platformURL = server.URL
 }
 
 func (in *installation) startTargets(change func(*model.Model)) {
@@ -129,21 +133,21 @@
 			Slots:     spec.Slots,
 			Grants:    spec.Grants,
 			Undivided: m.Service(spec.Service).Division == model.Any,
-			Work:      targetWork,
+			Work:      targetServiceTime,
 			Log:       in.log,
 		})
 		assert.NilError(in.t, server.Start())
 		in.t.Cleanup(server.Close)
 		spec.Address = server.Addr()
-		spec.DataCentre = processCentre
+		spec.DataCentre = testDataCentre
 	}
 	in.model = m
-	folder := filepath.Join(in.files, "model")
+	folder := filepath.Join(in.workDir, "model")
 	assert.NilError(in.t, os.MkdirAll(folder, 0o700))
 	assert.NilError(in.t, os.WriteFile(filepath.Join(folder, "model.toml"), config.Format(m), 0o600))
 }
 
-func (in *installation) settingsOf(p *process) string {
+func (in *installation) settingsTOML(p *process) string {
 	return fmt.Sprintf(`name = %q
 data_centre = %q
 [listen]
@@ -158,26 +162,26 @@
 [drain]
 not_ready = "500ms"
 [limits]
-own_delay = "0s" # a busy machine would make the routers refuse work
-`, p.name, processCentre, p.caller, p.operator, p.peer, in.url, in.url)
+own_delay = "0s" # routers on a busy machine would otherwise refuse work
+`, p.name, testDataCentre, p.caller, p.operator, p.peer, in.platformURL, in.platformURL)
 }
 
-// list puts all routers onto the platform's list of VMs.
-func (in *installation) list() {
+// registerVMs adds all routers to the platform's list of VMs.
+func (in *installation) registerVMs() {
 	var vms []kv.VM
 	for _, p := range in.routers {
-		vms = append(vms, kv.VM{Name: p.name, DataCentre: processCentre, PeerAddress: p.peer})
+		vms = append(vms, kv.VM{Name: p.name, DataCentre: testDataCentre, PeerAddress: p.peer})
 	}
 	in.store.SetVMs(vms)
 }
 
-// start runs a router as a process, which ends at the latest with the test.
+// start starts a router process. It is killed at the end of the test if it still runs.
 func (in *installation) start(p *process) {
 	in.t.Helper()
-	p.launch(in.t, exec.Command(filepath.Join(in.bin, "tarragongw"), "run", "--config", p.settings))
+	p.launch(in.t, exec.Command(filepath.Join(in.binDir, "tarragongw"), "run", "--config", p.settingsPath))
 }
 
-// buildCommands builds the binaries into a folder.
+// buildCommands builds the commands into a folder.
 func buildCommands(t *testing.T, folder string) {
 	t.Helper()
 	build := exec.Command("go", "build", "-o", folder+string(filepath.Separator), "./cmd/...")
@@ -186,40 +190,43 @@
 	assert.NilError(t, err, string(out))
 }
 
-// shownLines is how many of its last lines a process shows where its test has failed.
-const shownLines = 60
+// logTailLines is the number of lines from the end of a process's output that a failed test
+// logs.
+const logTailLines = 60
 
-// launch runs the process by a command; it ends at the latest with the test.
+// launch starts the process from a command. It is killed at the end of the test if it still
+// runs.
 func (p *process) launch(t *testing.T, cmd *exec.Cmd) {
 	t.Helper()
 	p.output = &syncbuffer.Buffer{}
 	cmd.Stdout, cmd.Stderr = p.output, p.output
 	assert.NilError(t, cmd.Start())
-	ended := make(chan error, 1)
-	go func() { ended <- cmd.Wait() }()
-	p.cmd, p.ended = cmd, ended
+	exited := make(chan error, 1)
+	go func() { exited <- cmd.Wait() }()
+	p.cmd, p.exited = cmd, exited
 	t.Cleanup(func() {
-		// A process that has ended can't be killed again; that is what is wanted.
+		// Kill fails if the process has already exited.
 		_ = cmd.Process.Kill()
 		if t.Failed() {
-			t.Logf("%s:\n%s", p.name, lastLines(p.output.String(), shownLines))
+			t.Logf("%s:\n%s", p.name, lastLines(p.output.String(), logTailLines))
 		}
 	})
 }
 
+// lastLines returns the last n lines of text.
 func lastLines(text string, n int) string {
 	lines := strings.Split(text, "\n")
 	return strings.Join(lines[max(0, len(lines)-n):], "\n")
 }
 
-// exitCode waits for the end of the process.
+// exitCode waits for the process to exit and returns its exit code.
 func (p *process) exitCode(t *testing.T) int {
 	t.Helper()
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return p.cmd.ProcessState.ExitCode()
-	case <-time.After(patience):
-		t.Fatalf("%s does not end", p.name)
+	case <-time.After(testTimeout):
+		t.Fatalf("%s does not exit", p.name)
 		return 0
 	}
 }
@@ -227,7 +234,7 @@
 // ctl runs tarragonctl against the router.
 func (in *installation) ctl(p *process, args ...string) string {
 	in.t.Helper()
-	cmd := exec.Command(filepath.Join(in.bin, "tarragonctl"), append([]string{"--router", "http://" + p.operator}, args...)...)
+	cmd := exec.Command(filepath.Join(in.binDir, "tarragonctl"), append([]string{"--router", "http://" + p.operator}, args...)...)
 	out, err := cmd.CombinedOutput()
 	assert.NilError(in.t, err, string(out))
 	return string(out)
@@ -235,7 +242,7 @@
 
 func (p *process) client() *operator.Client { return &operator.Client{Base: "http://" + p.operator} }
 
-// ready asks as the platform's balancer does.
+// ready queries the readiness endpoint, as the platform's load balancer does.
 func (p *process) ready() bool {
 	resp, err := http.Get("http://" + p.operator + "/readyz")
 	if err != nil {
@@ -245,29 +252,29 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// get reads a key through the router; it returns an error for all but a whole
-// answer of status 200.
+// get reads a key through the router. It returns an error unless a complete answer with
+// status 200 arrives.
 func (p *process) get(key string) (answer, error) {
 	return p.send(http.MethodGet, key, http.NoBody)
 }
 
-// answer is what a sample target says.
+// answer is the answer of a sample target.
 type answer struct {
 	Target   string
 	Unit     string
 	Received int64
 }
 
-var processClient = &http.Client{Timeout: patience, Transport: &http.Transport{MaxIdleConnsPerHost: 32}}
+var httpClient = &http.Client{Timeout: testTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 32}}
 
 func (p *process) send(method, key string, body io.Reader) (answer, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.caller+"/faq-viewer/"+key, body)
 	if err != nil {
 		return answer{}, err
 	}
-	resp, err := processClient.Do(req)
+	resp, err := httpClient.Do(req)
 	if err != nil {
 		return answer{}, err
 	}
--- a/cmd/tarragongw/process_test.go
+++ b/cmd/tarragongw/process_test.go
@@ -23,20 +23,20 @@
 	return a, err
 }
 
-// balancer spreads load over the processes that say they are ready.
+// balancer sends requests to the routers in turn, except to those that were removed.
 type balancer struct {
 	routers []*process
-	// out holds the routers that get no new work.
-	out  sync.Map
-	stop context.CancelFunc
-	done sync.WaitGroup
-	ok   atomic.Int64
-	mu   sync.Mutex
-	bad  []string
+	// removed holds the names of the routers that get no new requests.
+	removed   sync.Map
+	stop      context.CancelFunc
+	done      sync.WaitGroup
+	succeeded atomic.Int64
+	mu        sync.Mutex
+	failures  []string
 }
 
-// load starts callers that each send one request after the other.
-func load(callers int, routers ...*process) *balancer {
+// startLoad starts callers that each send one request at a time.
+func startLoad(callers int, routers ...*process) *balancer {
 	ctx, stop := context.WithCancel(context.Background())
 	b := &balancer{routers: routers, stop: stop}
 	for caller := range callers {
@@ -44,78 +44,78 @@
 		go func() {
 			defer b.done.Done()
 			for i := caller; ctx.Err() == nil; i++ {
-				b.one(i)
+				b.sendOne(i)
 			}
 		}()
 	}
 	return b
 }
 
-func (b *balancer) one(i int) {
+func (b *balancer) sendOne(i int) {
 	p := b.routers[i%len(b.routers)]
-	if _, out := b.out.Load(p.name); out {
+	if _, removed := b.removed.Load(p.name); removed {
 		return
 	}
 	if _, err := p.send(http.MethodPost, fmt.Sprint("key-", i%200), strings.NewReader("x")); err != nil {
 		b.mu.Lock()
-		b.bad = append(b.bad, p.name+": "+err.Error())
+		b.failures = append(b.failures, p.name+": "+err.Error())
 		b.mu.Unlock()
 		return
 	}
-	b.ok.Add(1)
+	b.succeeded.Add(1)
 }
 
-// end stops the load; nothing of it may have been refused or cut.
-func (b *balancer) end(t *testing.T) {
+// stopAndCheck stops the load and checks that no request failed.
+func (b *balancer) stopAndCheck(t *testing.T) {
 	t.Helper()
 	b.stop()
 	b.done.Wait()
-	assert.Equal(t, len(b.bad), 0, "%d failed, the first: %v", len(b.bad), b.bad[:min(1, len(b.bad))])
-	assert.Assert(t, b.ok.Load() > 0)
+	assert.Equal(t, len(b.failures), 0, "%d failed, the first: %v", len(b.failures), b.failures[:min(1, len(b.failures))])
+	assert.Assert(t, b.succeeded.Load() > 0)
 }
 
-// upload is a request whose body is still arriving.
+// upload is a request whose body is still being sent.
 type upload struct {
-	body  *io.PipeWriter
-	reply chan error
-	got   answer
+	body   *io.PipeWriter
+	result chan error
+	answer answer
 }
 
-// beginUpload sends the first bytes of a body through the router and returns once
-// they are on their way.
-func beginUpload(t *testing.T, p *process, key string) *upload {
+// startUpload starts an upload through the router and returns once the HTTP client has read
+// the first chunk of the body.
+func startUpload(t *testing.T, p *process, key string) *upload {
 	t.Helper()
-	read, write := io.Pipe()
-	u := &upload{body: write, reply: make(chan error, 1)}
+	reader, writer := io.Pipe()
+	u := &upload{body: writer, result: make(chan error, 1)}
 	go func() {
 		var err error
-		u.got, err = p.send(http.MethodPost, key, read)
-		u.reply <- err
+		u.answer, err = p.send(http.MethodPost, key, reader)
+		u.result <- err
 	}()
-	u.write(t)
+	u.writeChunk(t)
 	return u
 }
 
-const uploadPart = 1000
+const uploadChunkSize = 1000
 
-func (u *upload) write(t *testing.T) {
+func (u *upload) writeChunk(t *testing.T) {
 	t.Helper()
-	_, err := u.body.Write(make([]byte, uploadPart))
+	_, err := u.body.Write(make([]byte, uploadChunkSize))
 	assert.NilError(t, err)
 }
 
-// trickle goes on with the body for a time.
-func (u *upload) trickle(t *testing.T, d time.Duration) (sent int) {
+// writeSlowly sends more of the body, in small chunks, for d and returns the number of bytes.
+func (u *upload) writeSlowly(t *testing.T, d time.Duration) (sent int) {
 	t.Helper()
-	for end := time.Now().Add(d); time.Now().Before(end); sent += uploadPart {
-		u.write(t)
+	for end := time.Now().Add(d); time.Now().Before(end); sent += uploadChunkSize {
+		u.writeChunk(t)
 		time.Sleep(20 * time.Millisecond)
 	}
 	return sent
 }
 
-// Three routers as processes of their own: they serve, take a change, lose one
-// gracefully, one at once and one by a second signal.
+// Three router processes serve and apply a configuration change. One is stopped gracefully
+// and restarted, one is killed, and one is stopped at once by a second signal.
 func TestSeparateProcesses(t *testing.T) {
 	in := install(t, "one", "two", "three")
 	for _, p := range in.routers {
@@ -123,17 +123,17 @@
 	}
 	one, two, three := in.routers[0], in.routers[1], in.routers[2]
 	in.serve()
-	in.change(two)
+	in.applyChange(two)
 	in.stopGracefully(one, two, three)
 	in.start(one)
 	eventually(t, "the restarted router is ready", one.ready)
-	in.loseAtOnce(two, one, three)
-	in.stopTwice(three)
+	in.killRouter(two, one, three)
+	in.forceStop(three)
 	assert.Equal(t, len(in.log.Repeated()), 0, "a request ran twice")
 	assert.Equal(t, len(in.log.Overlaps()), 0, "a unit had two owners")
 }
 
-// serve puts the configuration in force and reads keys through each router.
+// serve applies the configuration and reads keys through each router.
 func (in *installation) serve() {
 	t := in.t
 	for _, p := range in.routers {
@@ -142,7 +142,7 @@
 			return err == nil
 		})
 	}
-	out := in.ctl(in.routers[0], "apply", filepath.Join(in.files, "model"))
+	out := in.ctl(in.routers[0], "apply", filepath.Join(in.workDir, "model"))
 	assert.Assert(t, strings.Contains(out, "revision 1:"), out)
 	for _, p := range in.routers {
 		eventually(t, p.name+" serves", func() bool {
@@ -166,8 +166,9 @@
 	}
 }
 
-// change drains a target through one router and sees it in force at all.
-func (in *installation) change(p *process) {
+// applyChange drains a target through one router and waits until all routers have applied the
+// change.
+func (in *installation) applyChange(p *process) {
 	out := in.ctl(p, "drain", "faq-viewer-01")
 	assert.Assert(in.t, strings.Contains(out, "revision 2:"), out)
 	for _, other := range in.routers {
@@ -179,52 +180,52 @@
 }
 
 // Symptom: a planned stop cuts off callers.
-// Sequence: callers send through all routers and one uploads slowly; the router of
-// the upload is told to stop; the balancer takes it out when it says not ready.
-// Cause: it stops to listen, or gives its targets away, before its work has ended.
+// Sequence: callers send through all routers and one caller uploads slowly; the router of the
+// upload receives SIGTERM; the balancer removes it once it reports that it is not ready.
+// Cause: the router stops listening, or hands its targets over, before its requests end.
 func (in *installation) stopGracefully(p *process, others ...*process) {
 	t := in.t
-	l := load(6, append([]*process{p}, others...)...)
-	eventually(t, "load is on", func() bool { return l.ok.Load() > 100 })
-	slow := beginUpload(t, p, "kiosk-7")
+	load := startLoad(6, append([]*process{p}, others...)...)
+	eventually(t, "callers are served", func() bool { return load.succeeded.Load() > 100 })
+	slow := startUpload(t, p, "kiosk-7")
 	assert.NilError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-	eventually(t, "the router says not ready", func() bool { return !p.ready() })
-	l.out.Store(p.name, true)
-	sent := uploadPart + slow.trickle(t, time.Second)
+	eventually(t, "the router reports that it is not ready", func() bool { return !p.ready() })
+	load.removed.Store(p.name, true)
+	sent := uploadChunkSize + slow.writeSlowly(t, time.Second)
 	assert.NilError(t, slow.body.Close())
-	assert.NilError(t, <-slow.reply)
-	assert.Equal(t, slow.got.Received, int64(sent))
+	assert.NilError(t, <-slow.result)
+	assert.Equal(t, slow.answer.Received, int64(sent))
 	assert.Equal(t, p.exitCode(t), 0)
-	before := l.ok.Load()
-	eventually(t, "load goes on", func() bool { return l.ok.Load() > before+100 })
-	l.end(t)
+	before := load.succeeded.Load()
+	eventually(t, "callers are still served", func() bool { return load.succeeded.Load() > before+100 })
+	load.stopAndCheck(t)
 	assert.Assert(t, strings.Contains(p.output.String(), "msg=stopped cut=0 handed_over=true"), lastLines(p.output.String(), 5))
 }
 
-// Symptom: the targets of a lost router stay unserved.
-// Sequence: the grantor of a target is killed without a word.
-// Cause: nobody takes its duty over.
-func (in *installation) loseAtOnce(p *process, others ...*process) {
+// Symptom: the keys of a target stay unserved after its grantor has crashed.
+// Sequence: the router that is the grantor of a target is killed (SIGKILL).
+// Cause: no other router becomes the target's grantor.
+func (in *installation) killRouter(p *process, others ...*process) {
 	t := in.t
 	key := in.keyGrantedBy(p, others[0])
 	assert.NilError(t, p.cmd.Process.Kill())
-	<-p.ended
+	<-p.exited
 	for _, other := range others {
-		took := eventually(t, "the key is served again", func() bool {
+		elapsed := eventually(t, "the key is served again", func() bool {
 			_, err := other.get(key)
 			return err == nil
 		})
-		t.Logf("served again through %s after %v", other.name, took.Round(time.Millisecond))
+		t.Logf("served again through %s after %v", other.name, elapsed.Round(time.Millisecond))
 	}
 }
 
-// keyGrantedBy finds a key whose target's grantor is p.
-func (in *installation) keyGrantedBy(p, ask *process) string {
+// keyGrantedBy finds a key whose target has p as its grantor, according to observer.
+func (in *installation) keyGrantedBy(p, observer *process) string {
 	var key string
 	eventually(in.t, "a key is granted by "+p.name, func() bool {
 		for i := range 200 {
 			key = fmt.Sprint("key-", i)
-			e, err := ask.client().ExplainKey(in.t.Context(), "faq-viewer", key)
+			e, err := observer.client().ExplainKey(in.t.Context(), "faq-viewer", key)
 			if err == nil && e.Grantor == p.name {
 				return true
 			}
@@ -234,20 +235,21 @@
 	return key
 }
 
-// Symptom: a stop hangs on work that does not end, or hides what it cut.
-// Sequence: an upload is under way; two signals come one after the other.
-// Cause: the second signal is ignored, or what was cut is not counted.
-func (in *installation) stopTwice(p *process) {
+// Symptom: a stop waits for a request that does not end, or does not report the requests that
+// it cut off.
+// Sequence: an upload is in flight; SIGTERM arrives twice.
+// Cause: the second signal is ignored, or requests that were cut off are not counted.
+func (in *installation) forceStop(p *process) {
 	t := in.t
-	slow := beginUpload(t, p, "kiosk-8")
-	slow.trickle(t, 200*time.Millisecond)
+	slow := startUpload(t, p, "kiosk-8")
+	slow.writeSlowly(t, 200*time.Millisecond)
 	assert.NilError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-	eventually(t, "the router says not ready", func() bool { return !p.ready() })
+	eventually(t, "the router reports that it is not ready", func() bool { return !p.ready() })
 	assert.NilError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-	assert.Equal(t, p.exitCode(t), exitCut)
-	// The client's transport waits for the body even if its connection broke.
+	assert.Equal(t, p.exitCode(t), exitRequestsCut)
+	// The client's transport waits for the body even after its connection has broken.
 	assert.NilError(t, slow.body.Close())
-	assert.Assert(t, <-slow.reply != nil, "an upload that was cut off passed for answered")
+	assert.Assert(t, <-slow.result != nil, "an upload that was cut off was reported as answered")
 	out := p.output.String()
 	assert.Assert(t, strings.Contains(out, "second signal: stopping at once"), lastLines(out, 5))
 	assert.Assert(t, strings.Contains(out, "tarragongw: 1 requests were cut off"), lastLines(out, 5))
--- a/cmd/tarragongw/run.go
+++ b/cmd/tarragongw/run.go
@@ -67,13 +67,13 @@
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
 	r.Start()
 	logger.Info("started", "router", settings.Name, "callers", r.Addresses().Caller, "operators", r.Addresses().Operator)
-	await(ctx, r, signals, hangups)
+	handleSignals(ctx, r, signals, hangups)
 	return stop(r, settings.Drain.Limit, signals, logger)
 }
 
-// await returns once the process is to stop, and loads the files of certificates at
-// each hangup until then.
-func await(ctx context.Context, r *router.Router, signals, hangups <-chan os.Signal) {
+// handleSignals reloads the certificate files at each SIGHUP, and returns when a stop
+// signal arrives or ctx is done.
+func handleSignals(ctx context.Context, r *router.Router, signals, hangups <-chan os.Signal) {
 	for {
 		select {
 		case <-hangups:
@@ -86,12 +86,12 @@
 	}
 }
 
-// platformClients reach the store and the list of VMs, which may be served from
-// another address.
+// platformClients are the clients of the store and of the list of VMs. They are the same
+// client unless the settings give the list of VMs an address of its own.
 type platformClients struct {
 	store     *httpstore.Client
 	directory *httpstore.Client
-	// keys is the platform's authority, where the settings name one.
+	// keys holds the certificate authorities of the platform if the settings name them.
 	keys []*keys.Source
 }
 
@@ -115,8 +115,9 @@
 	return &platformClients{store, directory, sources}, nil
 }
 
-// platformTLS returns what gives the TLS of connections to the platform, and the
-// authority that it rests on; none where the settings name none.
+// platformTLS returns a function that makes the TLS configuration for a connection to a host
+// of the platform, and the source of the platform's certificate authorities. Without
+// tls.platform.ca there is no such source, and the system's authorities apply.
 func platformTLS(s *config.Router) (func(host string) *tls.Config, []*keys.Source, error) {
 	if s.TLS.Platform.CA == "" {
 		return func(host string) *tls.Config {
@@ -152,8 +153,8 @@
 	return httpstore.New(cfg)
 }
 
-// stop ends the router gracefully within the limit; a second signal ends it at
-// once and says what was cut.
+// stop shuts the router down gracefully within the limit; a second signal stops it at once.
+// The error reports how many requests were cut off.
 func stop(r *router.Router, limit time.Duration, signals <-chan os.Signal, logger *slog.Logger) error {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
@@ -168,7 +169,7 @@
 	report := r.Stop(ctx)
 	logger.Info("stopped", "cut", report.Cut, "handed_over", report.HandedOver)
 	if report.Cut > 0 {
-		return &codedError{fmt.Errorf("%d requests were cut off", report.Cut), exitCut}
+		return &exitError{fmt.Errorf("%d requests were cut off", report.Cut), exitRequestsCut}
 	}
 	return nil
 }
--- a/cmd/tarragongw/run_test.go
+++ b/cmd/tarragongw/run_test.go
@@ -20,22 +20,23 @@
 	"tarragongw/router"
 )
 
-// securePlatform serves the stand-in over TLS under the certificate of the name in the
+// startTLSPlatform serves a stand-in platform over TLS with the named certificate of the
 // folder, and returns its URL.
-func securePlatform(t *testing.T, folder, name string) string {
+func startTLSPlatform(t *testing.T, folder, name string) string {
 	t.Helper()
 	store := standin.New(standin.Config{})
 	server := httptest.NewUnstartedServer(httpstore.NewHandler(func(client string) httpstore.Backend { return store.Client(client) }))
 	source, err := keys.Open(keys.Files{Cert: keys.CertFile(folder, name), Key: keys.KeyFile(folder, name), Use: keys.Server}, nil)
 	assert.NilError(t, err)
-	// StartTLS would show a certificate of its own.
+	// StartTLS would use a built-in test certificate.
 	server.Listener = tls.NewListener(server.Listener, source.ServerTLS())
 	server.Start()
 	t.Cleanup(server.Close)
 	return "https://" + server.Listener.Addr().String()
 }
 
-func makeKeys(t *testing.T) string {
+// createKeys writes a set of test authorities and certificates into a folder.
+func createKeys(t *testing.T) string {
 	t.Helper()
 	folder := filepath.Join(t.TempDir(), "keys")
 	_, err := keys.Initialise(keys.Plan{Folder: folder, Routers: []string{"r1"}, Valid: 365 * 24 * time.Hour, Now: time.Now()})
@@ -43,14 +44,14 @@
 	return folder
 }
 
-// The platform is believed only under its own authority, and a new one is taken up
-// without a new client.
+// A connection to the platform requires a certificate of the configured authority, and a
+// changed authority file takes effect without a new client.
 func TestPlatformOverTLS(t *testing.T) {
-	folder := makeKeys(t)
+	folder := createKeys(t)
 	settings := config.Defaults()
 	settings.Name = "r1"
-	settings.Store.Timeout = patience
-	settings.Store.Addresses = []string{securePlatform(t, folder, keys.CallerCertificate)}
+	settings.Store.Timeout = testTimeout
+	settings.Store.Addresses = []string{startTLSPlatform(t, folder, keys.CallerCertificate)}
 	settings.TLS.Platform.CA = filepath.Join(t.TempDir(), "ca.crt")
 	copyFile(t, keys.CertFile(folder, keys.AuthorityOperators), settings.TLS.Platform.CA)
 	clients, err := newPlatformClients(&settings)
@@ -75,9 +76,9 @@
 	assert.NilError(t, os.WriteFile(to, data, 0o600))
 }
 
-// SIGHUP reloads and does not stop; SIGTERM stops.
-func TestHangupReloadsKeys(t *testing.T) {
-	folder := makeKeys(t)
+// SIGHUP reloads the certificate files without stopping the router; SIGTERM stops it.
+func TestSIGHUPReloadsKeys(t *testing.T) {
+	folder := createKeys(t)
 	settings := config.Defaults()
 	settings.Name, settings.DataCentre = "r1", "hall"
 	settings.Listen.Caller, settings.Listen.Operator, settings.Listen.Peer = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
@@ -91,7 +92,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		await(context.Background(), r, signals, hangups)
+		handleSignals(context.Background(), r, signals, hangups)
 	}()
 	hangups <- syscall.SIGHUP
 	c := &operator.Client{Base: "http://" + r.Addresses().Operator}
--- a/cmd/tarragongw/serve.go
+++ b/cmd/tarragongw/serve.go
@@ -22,23 +22,24 @@
 )
 
 const (
-	// memoryShare is the part of the VM's memory that the Go runtime may use; the rest is
-	// for what it doesn't count, such as bytes that wait in sockets.
+	// memoryShare is the fraction of the VM's memory that the Go runtime may use. The rest is
+	// for memory that the runtime does not count, such as socket buffers.
 	memoryShare = 0.75
-	// logLines is how many lines wait for the output: some seconds' worth at full load.
-	logLines = 8192
-	// logEnd bounds writing the last lines at the end.
-	logEnd = 200 * time.Millisecond
-	// metricsEvery is how often counts are carried over to what is scraped.
-	metricsEvery = 5 * time.Second
+	// logQueueLines is the number of log lines that may be queued for the output: enough for
+	// several seconds at full load.
+	logQueueLines = 8192
+	// logFlushTimeout bounds the writing of queued log lines at exit.
+	logFlushTimeout = 200 * time.Millisecond
+	// metricsInterval is how often counters are copied to the exported metrics.
+	metricsInterval = 5 * time.Second
 )
 
 func serveCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "serve",
-		Usage: "run one router on the platform whose settings file " + platform.SettingsVariable + " names, until SIGTERM",
+		Usage: "run one router on the platform until SIGTERM; the environment variable " + platform.SettingsVariable + " names its settings file",
 		Flags: []cli.Flag{
-			&cli.BoolFlag{Name: "check", Usage: "check the settings file, say what is wrong with it and end"},
+			&cli.BoolFlag{Name: "check", Usage: "check the settings file, report its errors and exit"},
 			&cli.StringFlag{Name: "log-level", Usage: "debug, info, warn or error", Value: "info"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
@@ -52,21 +53,21 @@
 }
 
 func serve(settings *platform.Settings, level string) error {
-	output := telemetry.NewWriter(os.Stdout, logLines)
-	defer output.Close(logEnd)
+	output := telemetry.NewWriter(os.Stdout, logQueueLines)
+	defer output.Close(logFlushTimeout)
 	logger, err := telemetry.NewLogger(telemetry.LogConfig{Level: level, Output: output})
 	if err != nil {
 		return err
 	}
-	for _, w := range settings.Warnings {
-		logger.Warn("setting not used", "why", w)
+	for _, warning := range settings.Warnings {
+		logger.Warn("setting not used", "why", warning)
 	}
 	if settings.MemoryBytes > 0 {
 		debug.SetMemoryLimit(int64(float64(settings.MemoryBytes) * memoryShare))
 	}
 	defer heap.Start()()
 	metrics := telemetry.New(telemetry.Config{
-		Tags: map[string]string{"router": settings.Name, "data_centre": settings.DataCentre}, Interval: metricsEvery,
+		Tags: map[string]string{"router": settings.Name, "data_centre": settings.DataCentre}, Interval: metricsInterval,
 	})
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
@@ -78,14 +79,15 @@
 	awaitStop(signals, settings, logger)
 	cut := g.Stop()
 	if cut > 0 {
-		return &codedError{errors.Errorf("%d requests were cut off", cut), exitCut}
+		return &exitError{errors.Errorf("%d requests were cut off", cut), exitRequestsCut}
 	}
 	return nil
 }
 
-// awaitStop returns once the process is to stop. A hangup has the settings read again; what
-// has changed in them takes effect at the next start, since all of it belongs to the VM.
-func awaitStop(signals <-chan os.Signal, old *platform.Settings, logger *slog.Logger) {
+// awaitStop returns when a stop signal arrives. SIGHUP reads the settings again and logs
+// whether they changed; all settings describe the VM, so changes take effect at the next
+// start.
+func awaitStop(signals <-chan os.Signal, current *platform.Settings, logger *slog.Logger) {
 	for s := range signals {
 		if s != syscall.SIGHUP {
 			return
@@ -93,9 +95,9 @@
 		settings, err := platform.LoadSettings()
 		switch {
 		case err != nil:
-			logger.Error("settings not reloaded; those in force stay", "err", err)
-		case reflect.DeepEqual(settings, old):
-			logger.Info("settings reloaded, nothing has changed")
+			logger.Error("settings not reloaded; the current settings stay in force", "err", err)
+		case reflect.DeepEqual(settings, current):
+			logger.Info("settings reloaded without changes")
 		default:
 			logger.Warn("settings have changed; they take effect at the next start")
 		}
