--- a/cmd/tarragongw/dev_test.go
+++ b/cmd/tarragongw/dev_test.go
@@ -55,13 +55,13 @@
 
 // curlLines returns the guide's curl lines.
 func (d *devRun) curlLines() []string {
-	var curls []string
+	var curlLines []string
 	for _, line := range d.guide {
 		if line = strings.TrimSpace(line); strings.HasPrefix(line, "curl ") {
-			curls = append(curls, line)
+			curlLines = append(curlLines, line)
 		}
 	}
-	return curls
+	return curlLines
 }
 
 // splitShellWords splits a line at spaces outside single quotes, as a shell does.
@@ -170,26 +170,26 @@
 	for _, example := range []string{"shiretoko", "balik-paninda"} {
 		t.Run(example, func(t *testing.T) {
 			d := startDev(t, "--example", example)
-			curls := d.curlLines()
-			assert.Equal(t, len(curls), 4, "%v", curls)
+			curlLines := d.curlLines()
+			assert.Equal(t, len(curlLines), 4, "%v", curlLines)
 
-			status, body := runCurlLine(t, curls[0])
+			status, body := runCurlLine(t, curlLines[0])
 			assert.Equal(t, status, http.StatusOK, string(body))
 			readAnswer := decodeJSON[struct{ Target, Unit string }](t, body)
 			assert.Assert(t, readAnswer.Target != "")
 
-			status, body = runCurlLine(t, curls[1])
+			status, body = runCurlLine(t, curlLines[1])
 			assert.Equal(t, status, http.StatusOK, string(body))
 			assert.Equal(t, decodeJSON[struct{ Value string }](t, body).Value, "hello")
 
-			status, body = runCurlLine(t, curls[3])
+			status, body = runCurlLine(t, curlLines[3])
 			assert.Equal(t, status, http.StatusOK, string(body))
 			explained := decodeJSON[struct{ Target, Unit, Grantor string }](t, body)
 			assert.Equal(t, explained.Target, readAnswer.Target)
 			assert.Equal(t, explained.Unit, readAnswer.Unit)
 			assert.Assert(t, explained.Grantor != "")
 
-			status, body = runCurlLine(t, curls[2])
+			status, body = runCurlLine(t, curlLines[2])
 			assert.Equal(t, status, http.StatusOK, string(body))
 			assert.Equal(t, decodeJSON[struct{ Revision uint64 }](t, body).Revision, uint64(2))
 
--- a/cmd/tarragongw/process_harness_test.go
+++ b/cmd/tarragongw/process_harness_test.go
@@ -162,7 +162,7 @@
 [drain]
 not_ready = "500ms"
 [limits]
-own_delay = "0s" # routers on a busy machine would otherwise refuse work
+own_delay = "0s" # a busy machine would make the routers refuse work
 `, p.name, testDataCentre, p.caller, p.operator, p.peer, in.platformURL, in.platformURL)
 }
 
--- a/cmd/tarragongw/process_test.go
+++ b/cmd/tarragongw/process_test.go
@@ -76,9 +76,9 @@
 
 // upload is a request whose body is still being sent.
 type upload struct {
-	body   *io.PipeWriter
-	result chan error
-	answer answer
+	body     *io.PipeWriter
+	result   chan error
+	response answer
 }
 
 // startUpload starts an upload through the router and returns once the HTTP client has read
@@ -89,7 +89,7 @@
 	u := &upload{body: writer, result: make(chan error, 1)}
 	go func() {
 		var err error
-		u.answer, err = p.send(http.MethodPost, key, reader)
+		u.response, err = p.send(http.MethodPost, key, reader)
 		u.result <- err
 	}()
 	u.writeChunk(t)
@@ -194,7 +194,7 @@
 	sent := uploadChunkSize + slow.writeSlowly(t, time.Second)
 	assert.NilError(t, slow.body.Close())
 	assert.NilError(t, <-slow.result)
-	assert.Equal(t, slow.answer.Received, int64(sent))
+	assert.Equal(t, slow.response.Received, int64(sent))
 	assert.Equal(t, p.exitCode(t), 0)
 	before := load.succeeded.Load()
 	eventually(t, "callers are still served", func() bool { return load.succeeded.Load() > before+100 })
--- a/cmd/tarragongw/serve_pause_test.go
+++ b/cmd/tarragongw/serve_pause_test.go
@@ -150,13 +150,13 @@
 
 // holders returns the targets that currently hold the key.
 func (s *system) holders(key uint16) []*platformtest.Target {
-	var holders []*platformtest.Target
+	var held []*platformtest.Target
 	for _, target := range s.targets {
 		if target.Holds(key) {
-			holders = append(holders, target)
+			held = append(held, target)
 		}
 	}
-	return holders
+	return held
 }
 
 // holderMonitor looks for keys that two targets hold at the same time; overlap describes the
