--- a/config/decoder.go
+++ b/config/decoder.go
@@ -11,25 +11,26 @@
 	"tarragongw/core/selector"
 )
 
-// field defines one field of a table of the model. The page of settings is made
-// from the definitions.
+// field defines one field of a table in a model file. The reference page of the
+// configuration is generated from the definitions.
 type field[T any] struct {
 	name     string
 	required bool
-	// unit, def and effect are shown to operators: what the value counts or is, its
+	// unit, def and effect are shown to operators: the unit or type of the value, its
 	// default and what it does.
 	unit   string
 	def    string
 	effect string
-	// at returns where the value goes; its type decides how the value is read.
-	at func(*T) any
+	// pointer returns a pointer to the value in the decoded struct. The pointer's type decides how
+	// the value is decoded and formatted.
+	pointer func(*T) any
 }
 
 // decoder reads the values of one document and collects their errors.
 type decoder struct{ doc *document }
 
-// fail adds an error at the value of a path, or at its key where the value's
-// place is not known.
+// fail adds an error at the value of a path, or at its key if the value's place is not
+// known. mend says how to correct the fault.
 func (d *decoder) fail(path, mend, format string, args ...any) {
 	p := d.doc.find(path)
 	at := p.value
@@ -48,7 +49,7 @@
 	d.doc.errors = append(d.doc.errors, Error{File: d.doc.file, Line: at.line, Column: at.column, Text: fmt.Sprintf(format, args...), Mend: mend})
 }
 
-// decodeTable reads a table's fields into the value that into points to.
+// decodeTable decodes a table's fields into the struct that into points to.
 func decodeTable[T any](d *decoder, path string, raw any, fields []field[T], into *T) {
 	table, ok := raw.(map[string]any)
 	if !ok {
@@ -61,20 +62,20 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(table)) {
 		if !slices.Contains(names, key) {
-			d.unknown(join(path, key), key, names)
+			d.unknownField(join(path, key), key, names)
 		}
 	}
 	for _, f := range fields {
 		value, present := table[f.name]
 		if present {
-			d.decode(join(path, f.name), value, f.at(into))
-		} else if f.required && !d.doc.broken {
+			d.decode(join(path, f.name), value, f.pointer(into))
+		} else if f.required && !d.doc.incomplete {
 			d.failKey(path, fmt.Sprintf("add %s = ...", f.name), "%s lacks the field %s", path, f.name)
 		}
 	}
 }
 
-func (d *decoder) unknown(path, key string, known []string) {
+func (d *decoder) unknownField(path, key string, known []string) {
 	mend := "remove it"
 	if near := model.Nearest(key, known); near != "" {
 		mend = fmt.Sprintf("did you mean %q?", near)
@@ -82,7 +83,7 @@
 	d.failKey(path, mend, "unknown field %q", key)
 }
 
-// decode reads one value into the variable that into points to.
+// decode decodes one value into the variable that into points to.
 func (d *decoder) decode(path string, raw, into any) {
 	switch into := into.(type) {
 	case *model.Extract:
@@ -98,23 +99,24 @@
 	case *model.Expr:
 		d.expr(path, raw, into)
 	case *[]string:
-		d.strings(path, raw, into)
+		d.stringList(path, raw, into)
 	case *map[string]string:
-		d.texts(path, raw, into)
+		d.stringMap(path, raw, into)
 	case *time.Duration:
 		d.duration(path, raw, into)
 	case *Size:
 		d.size(path, raw, into)
 	case *model.Division:
-		d.named(path, raw, into)
+		d.enum(path, raw, into)
 	case *model.Source:
-		d.named(path, raw, into)
+		d.enum(path, raw, into)
 	default:
-		d.plain(path, raw, into)
+		d.scalar(path, raw, into)
 	}
 }
 
-func (d *decoder) plain(path string, raw, into any) {
+// scalar decodes a string, a boolean or a number.
+func (d *decoder) scalar(path string, raw, into any) {
 	switch into := into.(type) {
 	case *string:
 		if text, ok := d.text(path, raw); ok {
@@ -140,7 +142,7 @@
 	case *float64:
 		d.number(path, raw, into)
 	default:
-		panic(fmt.Sprintf("config: no reader for %T", into))
+		panic(fmt.Sprintf("config: no decoder for type %T", into))
 	}
 }
 
@@ -201,8 +203,8 @@
 	*into = size
 }
 
-// named reads a value of a closed list of names.
-func (d *decoder) named(path string, raw any, into interface{ UnmarshalText([]byte) error }) {
+// enum decodes a value that must be one of a fixed set of names.
+func (d *decoder) enum(path string, raw any, into interface{ UnmarshalText([]byte) error }) {
 	text, ok := d.text(path, raw)
 	if !ok {
 		return
@@ -212,15 +214,15 @@
 	}
 }
 
-func (d *decoder) strings(path string, raw any, into *[]string) {
+func (d *decoder) stringList(path string, raw any, into *[]string) {
 	list, ok := raw.([]any)
 	if !ok {
 		d.fail(path, "write a list: [\"a\", \"b\"]", "%s is %s, not a list", path, typeName(raw))
 		return
 	}
 	values := make([]string, 0, len(list))
-	for i, one := range list {
-		if text, ok := d.text(element(path, i), one); ok {
+	for i, item := range list {
+		if text, ok := d.text(element(path, i), item); ok {
 			values = append(values, text)
 		}
 	}
@@ -244,7 +246,7 @@
 	}
 }
 
-func (d *decoder) texts(path string, raw any, into *map[string]string) {
+func (d *decoder) stringMap(path string, raw any, into *map[string]string) {
 	table, ok := raw.(map[string]any)
 	if !ok {
 		d.fail(path, "write a table: { name = \"text\" }", "%s is %s, not a table", path, typeName(raw))
@@ -272,8 +274,8 @@
 	syntax := err.(*selector.SyntaxError)
 	p := d.doc.find(path)
 	at := p.value
-	// Only in a text between plain quotes and without escapes do the columns of the
-	// expression follow those of the file; others are located by where they begin.
+	// The column in the file can be computed only for a string in plain quotes without
+	// escapes. For other strings the error is reported at the start of the value.
 	if p.width == len(text)+len(`""`) {
 		at.column += syntax.Column
 	}
--- a/config/diff.go
+++ b/config/diff.go
@@ -23,32 +23,32 @@
 type Change struct {
 	Object model.Ref
 	Kind   ChangeKind
-	// Fields are the fields that differ, in order of name; all fields of an object
-	// that was added or removed.
+	// Fields are the fields that differ, in order of name. For an object that was added or
+	// removed they are all its fields.
 	Fields []FieldChange
 }
 
-// FieldChange is the difference in one field; Old and New are in the encoded
-// form and empty where the field is not set.
+// FieldChange is the difference in one field. Old and New are the values as JSON, empty if
+// the field is not set.
 type FieldChange struct {
 	Field string
 	Old   string
 	New   string
 }
 
-// Diff returns what leads from the old model to the new one, in order of kind
-// and name. The models must be sorted.
+// Diff returns the changes from the old model to the new one, in order of kind and name.
+// The models must be sorted.
 func Diff(old, new *model.Model) []Change {
 	d := model.Compare(old, new)
-	before, after := split(&d.Before), split(&d.After)
+	before, after := splitModel(&d.Before), splitModel(&d.After)
 	var changes []Change
 	for _, ref := range refs(before, after) {
-		from, was := before[ref]
-		to, is := after[ref]
+		from, inOld := before[ref]
+		to, inNew := after[ref]
 		kind := Changed
-		if !was {
+		if !inOld {
 			kind = Added
-		} else if !is {
+		} else if !inNew {
 			kind = Removed
 		}
 		if f := fieldChanges(from, to); len(f) > 0 {
@@ -68,7 +68,7 @@
 	return changes
 }
 
-// fieldNames returns the names of the fields of all the objects, in order.
+// fieldNames returns the names of the fields that any of the objects has, sorted.
 func fieldNames(all ...fields) []string {
 	names := make(map[string]bool)
 	for _, f := range all {
@@ -79,11 +79,11 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// refs returns the objects of all the models in order of kind and name.
+// refs returns references to the objects of all the models, in order of kind and name.
 func refs(all ...objects) []model.Ref {
 	set := make(map[model.Ref]bool)
-	for _, one := range all {
-		for ref := range one {
+	for _, m := range all {
+		for ref := range m {
 			set[ref] = true
 		}
 	}
--- a/config/document.go
+++ b/config/document.go
@@ -17,44 +17,46 @@
 	maxSyntaxErrors = 20
 )
 
-// position is a place in a file; line and column count from one.
+// position is a position in a file; line and column count from one.
 type position struct{ line, column int }
 
-// place is where a field stands: its key and, where known, its value, which
-// takes width bytes with its quotes.
+// place is where a field stands in the file: the position of its key and, if known, of its
+// value. width is the length of the value in bytes, including quotes.
 type place struct {
 	key, value position
 	width      int
 }
 
-// document is one parsed file: its values, and the places of its fields by path
-// in the form service[2].key.from.
+// document is one parsed file: its values, and the places of its fields by path, for
+// instance service[2].key.from.
 type document struct {
 	file   string
 	root   map[string]any
 	places map[string]place
 	errors Errors
-	// broken means that there were syntax errors, so that fields are missing.
-	broken bool
+	// incomplete means that fields may be missing, because the file has syntax errors or is
+	// too large.
+	incomplete bool
 }
 
-// parse reads one file. The file's syntax errors are in the document's errors.
+// parse parses one file. Syntax errors are added to the document's errors.
 func parse(file string, data []byte) *document {
 	d := &document{file: file, places: make(map[string]place)}
 	if len(data) > MaxFileSize {
 		d.errors = append(d.errors, Error{File: file, Text: fmt.Sprintf("the file has %d bytes", len(data)), Mend: fmt.Sprintf("keep it to %d bytes", MaxFileSize)})
-		d.broken = true
+		d.incomplete = true
 		return d
 	}
-	data = d.readable(data)
-	d.broken = len(d.errors) > 0
+	data = d.parseValues(data)
+	d.incomplete = len(d.errors) > 0
 	d.locate(data)
 	return d
 }
 
-// readable parses data into root. At a syntax error it blanks out the line, so
-// that the errors behind it are found in the same run, and returns what is left.
-func (d *document) readable(data []byte) []byte {
+// parseValues parses data into root. On a syntax error it blanks the line and parses again,
+// so that later errors are reported too. It returns the data with these lines blank, or nil
+// if the file cannot be parsed this way.
+func (d *document) parseValues(data []byte) []byte {
 	for range maxSyntaxErrors {
 		d.root = nil
 		err := toml.Unmarshal(data, &d.root)
@@ -63,11 +65,11 @@
 		}
 		place := syntaxPosition(err)
 		d.errors = append(d.errors, Error{File: d.file, Line: place.line, Column: place.column, Text: syntaxText(err), Mend: "correct the TOML"})
-		left := blank(data, place.line)
-		if left == nil {
+		rest := blankLine(data, place.line)
+		if rest == nil {
 			break
 		}
-		data = left
+		data = rest
 	}
 	d.root = nil
 	return nil
@@ -84,11 +86,10 @@
 
 func syntaxText(err error) string { return strings.TrimPrefix(err.Error(), "toml: ") }
 
-// blank returns data without the text of a line, or nil where there is nothing
-// to be gained: the line is unknown or blank already. A broken table header is
-// dropped with everything behind it, as the fields that follow would be taken
-// for those of the table before.
-func blank(data []byte, line int) []byte {
+// blankLine returns data without the text of a line, or nil if the line is unknown or
+// already blank. For a faulty table header it drops the rest of the file too, because the
+// fields that follow would be assigned to the previous table.
+func blankLine(data []byte, line int) []byte {
 	lines := bytes.Split(data, []byte("\n"))
 	if line < 1 || line > len(lines) || len(lines[line-1]) == 0 {
 		return nil
@@ -100,7 +101,7 @@
 	return bytes.Join(lines, []byte("\n"))
 }
 
-// locate fills in the places.
+// locate records the places of all fields.
 func (d *document) locate(data []byte) {
 	l := &locator{document: d, starts: lineStarts(data), counts: make(map[string]int)}
 	l.parser.Reset(data)
@@ -116,8 +117,8 @@
 	}
 }
 
-// locator walks the expressions of a file; counts holds the lengths of the
-// arrays of tables so far.
+// locator walks the expressions of a file. counts holds, by path, the number of elements so
+// far of each array of tables. starts holds the offsets of the lines.
 type locator struct {
 	parser   unstable.Parser
 	document *document
@@ -135,6 +136,7 @@
 	return starts
 }
 
+// position converts an offset in the file to a line and column.
 func (l *locator) position(raw unstable.Range) position {
 	if raw.Length == 0 {
 		return position{}
@@ -164,21 +166,23 @@
 		if keys.IsLast() && node.Kind == unstable.ArrayTable {
 			l.counts[path]++
 		}
-		l.record(path, place{key: at})
-		path = l.latest(path)
-		l.record(path, place{key: at})
+		l.recordIfNew(path, place{key: at})
+		path = l.lastElement(path)
+		l.recordIfNew(path, place{key: at})
 	}
 	return path
 }
 
-// latest returns the path of the last element where path is an array of tables.
-func (l *locator) latest(path string) string {
+// lastElement returns the path of the last element if path is an array of tables, and path
+// otherwise.
+func (l *locator) lastElement(path string) string {
 	if n := l.counts[path]; n > 0 {
 		return element(path, n-1)
 	}
 	return path
 }
 
+// field records the places of a field, whose key may be dotted, and of its value.
 func (l *locator) field(table string, node *unstable.Node) {
 	path := table
 	var at position
@@ -187,11 +191,12 @@
 		key := keys.Node()
 		at = l.position(key.Raw)
 		path = join(path, string(key.Data))
-		l.record(path, place{key: at})
+		l.recordIfNew(path, place{key: at})
 	}
 	l.value(path, at, node.Value())
 }
 
+// value records the place of a value and of the fields and elements in it.
 func (l *locator) value(path string, key position, node *unstable.Node) {
 	l.document.places[path] = place{key: key, value: l.position(node.Raw), width: int(node.Raw.Length)}
 	switch node.Kind {
@@ -205,15 +210,16 @@
 	case unstable.Array:
 		elements := node.Children()
 		for i := 0; elements.Next(); {
-			if one := elements.Node(); one.Kind != unstable.Comment {
-				l.value(element(path, i), key, one)
+			if item := elements.Node(); item.Kind != unstable.Comment {
+				l.value(element(path, i), key, item)
 				i++
 			}
 		}
 	}
 }
 
-func (l *locator) record(path string, p place) {
+// recordIfNew sets the place of a path that has none yet.
+func (l *locator) recordIfNew(path string, p place) {
 	if _, known := l.document.places[path]; !known {
 		l.document.places[path] = p
 	}
@@ -226,9 +232,10 @@
 	return path + "." + name
 }
 
+// element returns the path of an element of the array at path.
 func element(path string, index int) string { return fmt.Sprintf("%s[%d]", path, index) }
 
-// find returns the place of a path, or of the closest table around it.
+// find returns the place of a path, or of the closest enclosing table.
 func (d *document) find(path string) place {
 	for {
 		if p, ok := d.places[path]; ok {
--- a/config/errors.go
+++ b/config/errors.go
@@ -1,6 +1,6 @@
-// Package config reads and writes what operators set: the model of services,
-// targets, key ranges, callers and selectors, as TOML files and as the records
-// that the store and other routers hold, and the settings of a router process.
+// Package config reads and writes the configuration. This is the model of services, targets,
+// key ranges, callers and selectors, as TOML files and as the records that the store and
+// other routers hold, and the settings of a router process, as a TOML file.
 package config
 
 import (
@@ -10,14 +10,14 @@
 	"strings"
 )
 
-// Error is one fault of a settings file.
+// Error is one error in a configuration file.
 type Error struct {
-	// File is empty where the fault belongs to no file.
+	// File is empty if the error belongs to no file.
 	File string
-	// Line and Column count from one; zero where they are not known.
+	// Line and Column count from one; zero if not known.
 	Line   int
 	Column int
-	// Text says what is wrong and Mend what to do about it.
+	// Text describes the error and Mend how to correct it.
 	Text string
 	Mend string
 }
@@ -44,26 +44,26 @@
 	return b.String()
 }
 
-// Errors are all faults that were found, in order of file, line and column.
+// Errors are all errors that were found, in order of file, line and column.
 type Errors []Error
 
-// Error implements error with one line for each fault.
+// Error implements error with one line for each error.
 func (e Errors) Error() string {
 	lines := make([]string, 0, len(e))
-	for _, one := range e {
-		lines = append(lines, one.Error())
+	for _, err := range e {
+		lines = append(lines, err.Error())
 	}
 	return strings.Join(lines, "\n")
 }
 
-// sort orders the faults by place; faults of one place stay in order.
+// sort orders the errors by position; errors at the same position keep their order.
 func (e Errors) sort() {
 	slices.SortStableFunc(e, func(a, b Error) int {
 		return cmp.Or(cmp.Compare(a.File, b.File), cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
 	})
 }
 
-// orNil returns the faults as an error, nil where there are none.
+// orNil returns the sorted errors as an error, or nil if there are none.
 func (e Errors) orNil() error {
 	if len(e) == 0 {
 		return nil
--- a/config/format.go
+++ b/config/format.go
@@ -38,11 +38,12 @@
 	return b.Bytes()
 }
 
-// defaultService returns what a file with only the name and division of s gives.
+// defaultService returns the service that a file with only the name and division of s would
+// give, with the division at its default.
 func defaultService(s *model.Service) model.Service {
 	d := newService()
 	d.Name, d.Division = s.Name, s.Division
-	completeService(&d, nil)
+	setDerivedDefaults(&d, nil)
 	d.Division = model.ByKey
 	return d
 }
@@ -50,19 +51,19 @@
 func formatObject[T any](b *bytes.Buffer, kind model.ObjectKind, fields []field[T], object *T, defaults T) {
 	fmt.Fprintf(b, "\n[[%s]]\n", kind)
 	for _, f := range fields {
-		value := f.at(object)
-		if f.required || !reflect.DeepEqual(value, f.at(&defaults)) {
+		value := f.pointer(object)
+		if f.required || !reflect.DeepEqual(value, f.pointer(&defaults)) {
 			fmt.Fprintf(b, "%s = %s\n", f.name, formatValue(value))
 		}
 	}
 }
 
-// formatInline writes a table within braces; fields with their default are left out.
+// formatInline returns an inline table; fields that have their default are left out.
 func formatInline[T any](fields []field[T], table *T, defaults T) string {
 	var parts []string
 	for _, f := range fields {
-		value := f.at(table)
-		if !reflect.DeepEqual(value, f.at(&defaults)) {
+		value := f.pointer(table)
+		if !reflect.DeepEqual(value, f.pointer(&defaults)) {
 			parts = append(parts, f.name+" = "+formatValue(value))
 		}
 	}
@@ -76,7 +77,7 @@
 	return "{ " + strings.Join(parts, ", ") + " }"
 }
 
-// formatValue writes the value that a pointer of a field definition points to.
+// formatValue returns a value as TOML. value is the pointer from a field definition.
 func formatValue(value any) string {
 	switch value := value.(type) {
 	case *model.Extract:
@@ -110,7 +111,7 @@
 	case *uint32:
 		return strconv.FormatUint(uint64(*value), 10)
 	}
-	panic(fmt.Sprintf("config: no writer for %T", value))
+	panic(fmt.Sprintf("config: no formatter for type %T", value))
 }
 
 func formatLabels(labels model.Labels) string {
@@ -123,14 +124,14 @@
 
 func formatList(list []string) string {
 	parts := make([]string, 0, len(list))
-	for _, one := range list {
-		parts = append(parts, quoted(one))
+	for _, item := range list {
+		parts = append(parts, quoted(item))
 	}
 	return "[" + strings.Join(parts, ", ") + "]"
 }
 
-// quoted returns text as a basic string of TOML. The escapes of JSON are a part
-// of TOML's, which also wants the delete character escaped.
+// quoted returns text as a TOML basic string. TOML allows all escapes of JSON, but also
+// requires the delete character to be escaped.
 func quoted(text string) string {
 	var b bytes.Buffer
 	e := json.NewEncoder(&b)
--- a/config/format_test.go
+++ b/config/format_test.go
@@ -9,7 +9,7 @@
 	"tarragongw/examples"
 )
 
-func TestFormatIsReadBack(t *testing.T) {
+func TestFormatRoundTrip(t *testing.T) {
 	for _, folder := range []string{"shiretoko", "balik-paninda"} {
 		m, err := LoadModelFS(examples.FS, folder)
 		assert.NilError(t, err)
@@ -19,10 +19,10 @@
 	}
 }
 
-// Values that equal Go's zero but not the default must be written, and keys may
-// hold any text.
-func TestFormatKeepsWhatDiffersFromDefaults(t *testing.T) {
-	m := edit(t, exampleModel(t), func(m *model.Model) {
+// Zero values must be written if they differ from the default, and range keys may contain
+// any text.
+func TestFormatWritesNonDefaultValues(t *testing.T) {
+	m := editedCopy(t, exampleModel(t), func(m *model.Model) {
 		m.Ranges[0].From, m.Ranges[0].To = "a\x7f\"\\\n\x00é\u2028", "b<&>"
 		s := m.Service("faq-viewer")
 		s.Caller = model.Extract{}
--- a/config/merge.go
+++ b/config/merge.go
@@ -9,44 +9,43 @@
 	"tarragongw/core/model"
 )
 
-// Conflict is one field that two sides changed to different values, or an
-// object that one side removed and the other changed. Values are in the encoded
-// form and empty where the field is not set.
+// Conflict is one field that two sides changed to different values, or an object that one
+// side removed and the other changed. Base, Theirs and Mine are the values as JSON, empty if
+// the field is not set.
 type Conflict struct {
 	Object model.Ref
-	// Field is empty where a side removed the object.
+	// Field is empty if a side removed the object.
 	Field  string
 	Base   string
 	Theirs string
 	Mine   string
 }
 
-// removedText stands for an object that a side removed.
-const removedText = "removed"
+// removedObject is the value in a conflict of an object that does not exist.
+const removedObject = "removed"
 
-// String returns the conflict with both sides.
+// String describes the conflict with the values of both sides and the base.
 func (c Conflict) String() string {
-	what := c.Object.String()
+	subject := c.Object.String()
 	if c.Field != "" {
-		what += ", " + c.Field
+		subject += ", " + c.Field
 	}
-	return fmt.Sprintf("%s: theirs: %s; mine: %s; before: %s", what, shown(c.Theirs), shown(c.Mine), shown(c.Base))
+	return fmt.Sprintf("%s: theirs: %s; mine: %s; before: %s", subject, displayValue(c.Theirs), displayValue(c.Mine), displayValue(c.Base))
 }
 
-func shown(value string) string {
+func displayValue(value string) string {
 	if value == "" {
 		return "not set"
 	}
 	return value
 }
 
-// Merge joins two changes of one base. Changes of different objects, and of
-// different fields of one object, are both kept. Where the two sides contradict
-// each other there is no model but the conflicts. The merged model has the
-// revision of theirs; as two changes that are each right can be wrong together,
-// it must go through selector.Compile before it is written.
+// Merge merges two changed copies of one base. Changes to different objects, and to different
+// fields of one object, are all kept. If the two sides contradict each other, Merge returns
+// the conflicts and no model. The merged model has the revision of theirs. Two valid changes
+// can be invalid together, so the result must pass selector.Compile before it is written.
 func Merge(base, theirs, mine *model.Model) (*model.Model, []Conflict) {
-	b, t, m := split(base), split(theirs), split(mine)
+	b, t, m := splitModel(base), splitModel(theirs), splitModel(mine)
 	merged := make(objects)
 	var conflicts []Conflict
 	for _, ref := range refs(b, t, m) {
@@ -64,12 +63,12 @@
 	return result, nil
 }
 
-// mergeObject merges one object; nil fields mean that it does not exist.
+// mergeObject merges one object. nil fields mean that the object does not exist.
 func mergeObject(ref model.Ref, base, theirs, mine fields) (fields, []Conflict) {
-	if same(theirs, mine) || same(base, mine) {
+	if equalFields(theirs, mine) || equalFields(base, mine) {
 		return theirs, nil
 	}
-	if same(base, theirs) {
+	if equalFields(base, theirs) {
 		return mine, nil
 	}
 	if theirs == nil || mine == nil {
@@ -93,15 +92,15 @@
 	return merged, conflicts
 }
 
-// same reports whether two objects are equal; an object that does not exist has
-// no fields, and one that exists has at least its name.
-func same(a, b fields) bool {
+// equalFields reports whether two objects are equal. An object that exists has at least a
+// name, so it never equals one that does not exist, which has no fields.
+func equalFields(a, b fields) bool {
 	return maps.EqualFunc(a, b, func(x, y json.RawMessage) bool { return bytes.Equal(x, y) })
 }
 
 func objectText(f fields) string {
 	if f == nil {
-		return removedText
+		return removedObject
 	}
 	text := ""
 	for _, name := range fieldNames(f) {
--- a/config/merge_test.go
+++ b/config/merge_test.go
@@ -19,8 +19,8 @@
 	return m
 }
 
-// edit returns a changed copy of m.
-func edit(t testing.TB, m *model.Model, change func(*model.Model)) *model.Model {
+// editedCopy returns a copy of m with a change applied.
+func editedCopy(t testing.TB, m *model.Model, change func(*model.Model)) *model.Model {
 	t.Helper()
 	data, err := Encode(m)
 	assert.NilError(t, err)
@@ -33,7 +33,7 @@
 
 func TestDiff(t *testing.T) {
 	old := exampleModel(t)
-	new := edit(t, old, func(m *model.Model) {
+	new := editedCopy(t, old, func(m *model.Model) {
 		m.Service("faq-viewer").Timeout = 3 * time.Second
 		m.Service("faq-viewer").Labels = nil
 		m.Callers = m.Callers[1:]
@@ -56,18 +56,18 @@
 
 func TestMergeKeepsDisjointChanges(t *testing.T) {
 	base := exampleModel(t)
-	theirs := edit(t, base, func(m *model.Model) {
+	theirs := editedCopy(t, base, func(m *model.Model) {
 		m.Revision = 7
 		m.Service("faq-viewer").Timeout = 3 * time.Second
 		m.Target("faq-viewer-01").Drain = true
 		m.Callers = m.Callers[1:]
 	})
-	mine := edit(t, base, func(m *model.Model) {
+	mine := editedCopy(t, base, func(m *model.Model) {
 		m.Service("faq-viewer").QueueLength = 10
 		m.Target("faq-viewer-02").Drain = true
 		m.Selectors = append(m.Selectors, model.Selector{Name: "extra", Service: "media-vault", Priority: 99, Refuse: true, Callers: model.Expr{{Label: "x", Op: model.Exists}}})
 	})
-	want := edit(t, mine, func(m *model.Model) {
+	want := editedCopy(t, mine, func(m *model.Model) {
 		m.Revision = 7
 		m.Service("faq-viewer").Timeout = 3 * time.Second
 		m.Target("faq-viewer-01").Drain = true
@@ -78,14 +78,14 @@
 	assert.DeepEqual(t, have, want)
 }
 
-func TestMergeShowsConflicts(t *testing.T) {
+func TestMergeReportsConflicts(t *testing.T) {
 	base := exampleModel(t)
-	theirs := edit(t, base, func(m *model.Model) {
+	theirs := editedCopy(t, base, func(m *model.Model) {
 		m.Service("faq-viewer").Timeout = 3 * time.Second
 		m.Ranges = m.Ranges[1:]
 		m.Callers = append(m.Callers, model.Caller{Name: "new", Weight: 1})
 	})
-	mine := edit(t, base, func(m *model.Model) {
+	mine := editedCopy(t, base, func(m *model.Model) {
 		m.Service("faq-viewer").Timeout = 4 * time.Second
 		m.Ranges[0].To = "harbour-ramens"
 		m.Callers = append(m.Callers, model.Caller{Name: "new", Weight: 2})
@@ -103,7 +103,7 @@
 	})
 }
 
-// drawModel draws small models that share names, so that changes often meet.
+// drawModel draws small models with few names, so that changes often concern the same object.
 var drawModel = rapid.Custom(func(t *rapid.T) *model.Model {
 	m := &model.Model{}
 	for i := range 3 {
@@ -117,15 +117,16 @@
 	return m
 })
 
-func merged(base, theirs, mine *model.Model) (string, []Conflict) {
+// mergeEncoded returns the merged model as a record, empty if there are conflicts.
+func mergeEncoded(base, theirs, mine *model.Model) (string, []Conflict) {
 	m, conflicts := Merge(base, theirs, mine)
 	if m == nil {
 		return "", conflicts
 	}
-	return encoded(m), conflicts
+	return mustEncode(m), conflicts
 }
 
-func encoded(m *model.Model) string {
+func mustEncode(m *model.Model) string {
 	data, err := Encode(m)
 	if err != nil {
 		panic(err)
@@ -137,29 +138,29 @@
 	outcomes := map[bool]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		base, a, b := drawModel.Draw(t, "base"), drawModel.Draw(t, "a"), drawModel.Draw(t, "b")
-		if m, c := merged(base, base, a); m != encoded(a) || len(c) > 0 {
-			t.Fatalf("a change against no change is lost: %s, %v", m, c)
+		if m, c := mergeEncoded(base, base, a); m != mustEncode(a) || len(c) > 0 {
+			t.Fatalf("a change of mine alone is lost: %s, %v", m, c)
 		}
-		if m, c := merged(base, a, base); m != encoded(a) || len(c) > 0 {
-			t.Fatalf("no change against a change undoes it: %s, %v", m, c)
+		if m, c := mergeEncoded(base, a, base); m != mustEncode(a) || len(c) > 0 {
+			t.Fatalf("a change of theirs alone is lost: %s, %v", m, c)
 		}
-		if m, c := merged(base, a, a); m != encoded(a) || len(c) > 0 {
-			t.Fatalf("equal changes differ: %s, %v", m, c)
+		if m, c := mergeEncoded(base, a, a); m != mustEncode(a) || len(c) > 0 {
+			t.Fatalf("equal changes of both sides do not merge to that change: %s, %v", m, c)
 		}
-		ab, conflicts := merged(base, a, b)
-		ba, reversed := merged(base, b, a)
+		ab, conflicts := mergeEncoded(base, a, b)
+		ba, reversed := mergeEncoded(base, b, a)
 		if ab != ba || len(conflicts) != len(reversed) {
-			t.Fatalf("the sides are not equal: %s, %s", ab, ba)
+			t.Fatalf("the merge depends on the order of the sides: %s, %s", ab, ba)
 		}
 		outcomes[len(conflicts) > 0]++
 		if len(conflicts) == 0 {
 			checkUnion(t, base, a, b)
 		}
 	})
-	assert.Assert(t, outcomes[true] > 5 && outcomes[false] > 5, "both outcomes are drawn: %v", outcomes)
+	assert.Assert(t, outcomes[true] > 5 && outcomes[false] > 5, "too few merges with, or without, conflicts: %v", outcomes)
 }
 
-// checkUnion compares the changes of a merge with those of both sides together.
+// checkUnion checks that a merge has exactly the changes of both sides.
 func checkUnion(t *rapid.T, base, a, b *model.Model) {
 	m, _ := Merge(base, a, b)
 	type change struct {
@@ -186,7 +187,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := drawModel.Draw(t, "a"), drawModel.Draw(t, "b")
 		forth, back := Diff(a, b), Diff(b, a)
-		if (len(forth) == 0) != (encoded(a) == encoded(b)) || len(forth) != len(back) {
+		if (len(forth) == 0) != (mustEncode(a) == mustEncode(b)) || len(forth) != len(back) {
 			t.Fatalf("%v and %v", forth, back)
 		}
 		for i := range forth {
--- a/config/model.go
+++ b/config/model.go
@@ -14,15 +14,14 @@
 	"tarragongw/core/selector"
 )
 
-// File is the name and the content of one settings file.
+// File is the name and the content of one configuration file.
 type File struct {
 	Name string
 	Data []byte
 }
 
-// LoadModel reads the model from a TOML file, or from all files *.toml of a
-// folder together, and checks it whole. The error is of type Errors and holds
-// every fault of every file.
+// LoadModel reads the model from a TOML file, or from all *.toml files of a folder together,
+// and validates it. The error is of type Errors and holds all errors of all files.
 func LoadModel(path string) (*model.Model, error) {
 	files, err := readFiles(path)
 	if err != nil {
@@ -31,11 +30,11 @@
 	return ParseModel(files)
 }
 
-// LoadModelFS reads the model from all files *.toml of a folder of fsys.
+// LoadModelFS reads the model from all *.toml files of a folder of fsys.
 func LoadModelFS(fsys fs.FS, folder string) (*model.Model, error) {
 	names, err := fs.Glob(fsys, path.Join(folder, "*.toml"))
 	if err != nil || len(names) == 0 {
-		return nil, emptyFolder(folder)
+		return nil, emptyFolderError(folder)
 	}
 	var files []File
 	for _, name := range names {
@@ -48,7 +47,7 @@
 	return ParseModel(files)
 }
 
-func emptyFolder(folder string) Errors {
+func emptyFolderError(folder string) Errors {
 	return Errors{{File: folder, Text: "the folder holds no file *.toml", Mend: "name a folder of TOML files"}}
 }
 
@@ -62,23 +61,23 @@
 		names, _ = filepath.Glob(filepath.Join(path, "*.toml"))
 	}
 	if len(names) == 0 {
-		return nil, emptyFolder(path)
+		return nil, emptyFolderError(path)
 	}
 	var files []File
-	var faults Errors
+	var errs Errors
 	for _, name := range names {
 		data, err := os.ReadFile(name)
 		if err != nil {
-			faults = append(faults, Error{File: name, Text: err.Error(), Mend: "make the file readable"})
+			errs = append(errs, Error{File: name, Text: err.Error(), Mend: "make the file readable"})
 		}
 		files = append(files, File{name, data})
 	}
-	return files, faults.orNil()
+	return files, errs.orNil()
 }
 
 // ParseModel reads the model from the contents of files.
 func ParseModel(files []File) (*model.Model, error) {
-	r := &modelReader{model: &model.Model{}, placed: make(map[model.Ref]origin), bad: make(map[model.Ref]bool)}
+	r := &modelReader{model: &model.Model{}, definedAt: make(map[model.Ref]origin), invalid: make(map[model.Ref]bool)}
 	for _, f := range files {
 		r.read(parse(f.Name, f.Data))
 	}
@@ -90,7 +89,7 @@
 	return r.model, nil
 }
 
-// origin is where an object's table stands.
+// origin is the place of an object's table.
 type origin struct {
 	doc  *document
 	path string
@@ -100,16 +99,18 @@
 
 // modelReader builds one model from several documents.
 type modelReader struct {
-	model  *model.Model
-	placed map[model.Ref]origin
-	// bad holds the objects of which some field could not be read.
-	bad    map[model.Ref]bool
-	broken bool
-	errors Errors
+	model *model.Model
+	// definedAt holds where each object is defined.
+	definedAt map[model.Ref]origin
+	// invalid holds the objects of which a field could not be decoded.
+	invalid map[model.Ref]bool
+	// incomplete means that objects may be missing, as in document.
+	incomplete bool
+	errors     Errors
 }
 
 func (r *modelReader) read(doc *document) {
-	r.broken = r.broken || doc.broken
+	r.incomplete = r.incomplete || doc.incomplete
 	for _, key := range slices.Sorted(maps.Keys(doc.root)) {
 		r.tables(doc, key)
 	}
@@ -159,9 +160,9 @@
 	switch kind {
 	case model.KindService:
 		s := newService()
-		prepareService(&s, table)
+		clearReplacedRules(&s, table)
 		decodeTable(d, path, table, serviceFields, &s)
-		completeService(&s, table)
+		setDerivedDefaults(&s, table)
 		name, add = s.Name, func() { m.Services = append(m.Services, s) }
 	case model.KindTarget:
 		t := newTarget()
@@ -181,40 +182,40 @@
 		name, add = s.Name, func() { m.Selectors = append(m.Selectors, s) }
 	}
 	ref := model.Ref{Kind: kind, Name: name}
-	faulty := len(d.doc.errors) > before
-	if name == "" && (faulty || d.doc.broken) {
+	invalid := len(d.doc.errors) > before
+	if name == "" && (invalid || d.doc.incomplete) {
 		return
 	}
-	if first, taken := r.placed[ref]; taken {
+	if first, taken := r.definedAt[ref]; taken {
 		d.fail(join(path, "name"), "give each "+string(kind)+" a name of its own", "%s is already defined at %s", ref, first)
 		return
 	}
-	r.placed[ref] = origin{d.doc, path}
-	r.bad[ref] = faulty
+	r.definedAt[ref] = origin{d.doc, path}
+	r.invalid[ref] = invalid
 	add()
 }
 
-// check adds the problems of the model as a whole. Where a file has syntax
-// errors, objects are missing, and what follows from that is not reported.
+// check adds the problems of the model as a whole. It does nothing if a file is incomplete,
+// because missing objects would cause misleading errors.
 func (r *modelReader) check() {
-	if r.broken {
+	if r.incomplete {
 		return
 	}
 	_, problems := selector.Compile(r.model)
 	for _, p := range problems {
-		if !r.doubtful(p) {
-			r.errors = append(r.errors, r.located(p))
+		if !r.mayFollowFromInvalid(p) {
+			r.errors = append(r.errors, r.toError(p))
 		}
 	}
 }
 
-// doubtful reports whether a problem may only follow from a field that could
-// not be read.
-func (r *modelReader) doubtful(p model.Problem) bool {
-	if r.bad[p.Object] || r.bad[model.Ref{Kind: model.KindService, Name: r.serviceOf(p.Object)}] {
+// mayFollowFromInvalid reports whether a problem may be only the consequence of a field that
+// could not be decoded.
+func (r *modelReader) mayFollowFromInvalid(p model.Problem) bool {
+	if r.invalid[p.Object] || r.invalid[model.Ref{Kind: model.KindService, Name: r.serviceOf(p.Object)}] {
 		return true
 	}
-	return slices.ContainsFunc(p.Others, func(o model.Ref) bool { return r.bad[o] })
+	return slices.ContainsFunc(p.Others, func(o model.Ref) bool { return r.invalid[o] })
 }
 
 func (r *modelReader) serviceOf(ref model.Ref) string {
@@ -235,8 +236,8 @@
 	return ""
 }
 
-// located turns a problem into an error at the place of its object's field.
-func (r *modelReader) located(p model.Problem) Error {
+// toError converts a problem to an error at the position of the field that it concerns.
+func (r *modelReader) toError(p model.Problem) Error {
 	text := p.Text
 	if p.Field != "" {
 		text = p.Field + ": " + text
@@ -245,11 +246,11 @@
 		text = p.Object.String() + ": " + text
 	}
 	for _, other := range p.Others {
-		if at, known := r.placed[other]; known {
+		if at, known := r.definedAt[other]; known {
 			text += fmt.Sprintf(" (%s is at %s)", other, at)
 		}
 	}
-	at, known := r.placed[p.Object]
+	at, known := r.definedAt[p.Object]
 	if !known {
 		return Error{Text: text, Mend: p.Mend}
 	}
--- a/config/model_errors_test.go
+++ b/config/model_errors_test.go
@@ -11,8 +11,8 @@
 	"tarragongw/core/model"
 )
 
-// good is a model without errors that the cases add to.
-const good = `[[service]]
+// baseModel is a valid model; the test cases append to it.
+const baseModel = `[[service]]
 name = "pages"
 key = { from = "path", segment = 0 }
 [[service]]
@@ -30,11 +30,11 @@
 address = "127.0.0.1:82"
 `
 
-// goodLines is how many lines the text of a case lies below the file's start.
-const goodLines = 16
+// baseModelLines is the number of lines of baseModel, which precede the text of each case.
+const baseModelLines = 16
 
 func TestParseModelDefaults(t *testing.T) {
-	m, err := ParseModel([]File{{"m.toml", []byte(good + "[[caller]]\nname = \"c\"\n")}})
+	m, err := ParseModel([]File{{"m.toml", []byte(baseModel + "[[caller]]\nname = \"c\"\n")}})
 	assert.NilError(t, err)
 	pages := m.Service("pages")
 	assert.Equal(t, pages.HashSlots, uint32(model.DefaultHashSlots))
@@ -227,7 +227,7 @@
 `, []string{
 			`m.toml:20:11: selector "s": callers: service "pages" is divided by key, so placement must not depend on the caller; hand these callers to another service with to_service, or drop the condition`,
 		}},
-		{"a faulty service does not make its selectors faulty", `[[service]]
+		{"an invalid service causes no errors in its selectors", `[[service]]
 name = "docs"
 division = "nay"
 [[selector]]
@@ -236,11 +236,11 @@
 callers = "tier = gold"
 targets = "name = p1"
 `, []string{`m.toml:19:12: service[2].division: "nay" is none of by-key, any; use one of these names`}},
-		{"a field twice and what follows", "[[caller]]\nname = \"a\"\nname = \"b\"\nweight = \"x\"\n", []string{
+		{"a duplicate field and errors after it", "[[caller]]\nname = \"a\"\nname = \"b\"\nweight = \"x\"\n", []string{
 			`m.toml:19:1: key name is already defined; correct the TOML`,
 			`m.toml:20:10: caller[0].weight is a string, not a number; write a number without quotes and unit`,
 		}},
-		{"an object lost to a syntax error does not make its references faulty", `[[service]]
+		{"an object skipped because of a syntax error causes no errors in references to it", `[[service]]
 name = docs
 division = "any"
 [[selector]]
@@ -250,7 +250,7 @@
 `, []string{
 			`m.toml:18:8: unexpected character U+0064 'd' at start of value; correct the TOML`,
 		}},
-		{"behind a broken header nothing is taken for fields of the table before", `[[caller]]
+		{"fields after a faulty header are not assigned to the previous table", `[[caller]]
 name = "a"
 [[target]
 name = "t"
@@ -259,13 +259,13 @@
 		{"an empty name", "[[caller]]\nname = \"\"\n", []string{
 			`m.toml:18:8: caller: name: "" is not a caller's name; use letters, digits and ._-:/@+, at most 128 bytes`,
 		}},
-		{"a table that is no list", "[caller]\nname = \"a\"\n", []string{
+		{"a table that is not an array of tables", "[caller]\nname = \"a\"\n", []string{
 			`m.toml:17:2: caller is not a list of tables; write [[caller]]`,
 		}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			_, err := ParseModel([]File{{"m.toml", []byte(good + tt.text)}})
+			_, err := ParseModel([]File{{"m.toml", []byte(baseModel + tt.text)}})
 			assert.Assert(t, err != nil)
 			want := Errors{}
 			for _, text := range tt.want {
@@ -274,7 +274,7 @@
 			assert.DeepEqual(t, strings.Split(err.Error(), "\n"), strings.Split(want.Error(), "\n"))
 		})
 	}
-	assert.Equal(t, strings.Count(good, "\n"), goodLines)
+	assert.Equal(t, strings.Count(baseModel, "\n"), baseModelLines)
 }
 
 func TestLoadModelReadsAllFilesOfAFolder(t *testing.T) {
@@ -286,7 +286,7 @@
 	assert.Error(t, err, folder+": the folder holds no file *.toml; name a folder of TOML files")
 
 	write("a.toml", "[[target]]\nname = \"p2\"\nservice = \"pages\"\ndata_centre = \"dc1\"\naddress = \"127.0.0.1:81\"\n")
-	write("b.toml", good)
+	write("b.toml", baseModel)
 	write("notes.txt", "not read")
 	m, err := LoadModel(folder)
 	assert.NilError(t, err)
@@ -302,8 +302,8 @@
 }
 
 func FuzzParseModel(f *testing.F) {
-	f.Add([]byte(good))
-	f.Add([]byte(good + "[[selector]]\nname = \"s\"\nservice = \"files\"\ncallers = \"a in (b\"\nrefuse = true\n"))
+	f.Add([]byte(baseModel))
+	f.Add([]byte(baseModel + "[[selector]]\nname = \"s\"\nservice = \"files\"\ncallers = \"a in (b\"\nrefuse = true\n"))
 	f.Add([]byte("[[service.x]]\n[service]\na.b = 1\nx = [1, {y = [[2]]}]\n\"\" = ''\n"))
 	f.Add([]byte("[[target]]\n[[target.labels]]\nx = 1\n[target.grants]\nchecks_tokens = \n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -319,11 +319,11 @@
 			t.Fatal(err)
 		}
 		if _, err := Decode(record); err != nil {
-			t.Fatalf("an accepted model is not read back: %v", err)
+			t.Fatalf("the record of a valid model cannot be decoded: %v", err)
 		}
 		again, err := ParseModel([]File{{"again.toml", Format(m)}})
-		if err != nil || encoded(again) != string(record) {
-			t.Fatalf("%s\nis not read back: %v", Format(m), err)
+		if err != nil || mustEncode(again) != string(record) {
+			t.Fatalf("%s\ndoes not parse to the same model: %v", Format(m), err)
 		}
 	})
 }
--- a/config/model_test.go
+++ b/config/model_test.go
@@ -10,7 +10,7 @@
 	"tarragongw/examples"
 )
 
-func TestExamplesHoldTheFirmsSizes(t *testing.T) {
+func TestExamplesMatchSpecifiedSizes(t *testing.T) {
 	tests := []struct {
 		folder      string
 		targets     map[string]int
--- a/config/objects.go
+++ b/config/objects.go
@@ -7,15 +7,15 @@
 	"tarragongw/core/model"
 )
 
-// fields are an object's fields in their encoded form, by name. Comparing and
-// merging works on them, so that a new field of the model takes part by itself.
+// fields are the JSON values of an object's fields, by name. Diff and Merge work on them, so
+// that they cover new fields of the model without further code.
 type fields map[string]json.RawMessage
 
 // objects are all objects of a model.
 type objects map[model.Ref]fields
 
-// split takes a model apart.
-func split(m *model.Model) objects {
+// splitModel returns the objects of a model.
+func splitModel(m *model.Model) objects {
 	all := make(objects, len(m.Services)+len(m.Targets)+len(m.Ranges)+len(m.Callers)+len(m.Selectors))
 	splitList(all, model.KindService, m.Services, func(s *model.Service) string { return s.Name })
 	splitList(all, model.KindTarget, m.Targets, func(t *model.Target) string { return t.Name })
@@ -33,13 +33,13 @@
 		}
 		var f fields
 		if err := json.Unmarshal(data, &f); err != nil {
-			panic(fmt.Sprintf("config: a %s cannot be taken apart: %v", kind, err))
+			panic(fmt.Sprintf("config: an encoded %s cannot be split into its fields: %v", kind, err))
 		}
 		all[model.Ref{Kind: kind, Name: name(&list[i])}] = f
 	}
 }
 
-// build puts a model together again.
+// build is the inverse of splitModel: it returns the model, sorted.
 func (all objects) build() *model.Model {
 	m := &model.Model{}
 	for ref, f := range all {
@@ -63,11 +63,11 @@
 func buildObject[T any](f fields) T {
 	data, err := json.Marshal(f)
 	if err != nil {
-		panic(fmt.Sprintf("config: an object cannot be put together: %v", err))
+		panic(fmt.Sprintf("config: the fields of an object cannot be encoded: %v", err))
 	}
 	var object T
 	if err := json.Unmarshal(data, &object); err != nil {
-		panic(fmt.Sprintf("config: an object cannot be put together: %v", err))
+		panic(fmt.Sprintf("config: an object cannot be decoded from its fields: %v", err))
 	}
 	return object
 }
--- a/config/page.go
+++ b/config/page.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Page returns the tables of docs/CONFIGURATION.md: the settings of a router
+// Page returns the generated tables of docs/CONFIGURATION.md: the settings of a router
 // process and the fields of the model.
 func Page() string {
 	var b strings.Builder
@@ -43,10 +43,10 @@
 }
 
 func (s *Setting) allowedText() string {
-	if s.Least == "" {
+	if s.Min == "" {
 		return ""
 	}
-	return "`" + s.Least + "` to `" + s.Most + "`"
+	return "`" + s.Min + "` to `" + s.Max + "`"
 }
 
 func fieldsTable[T any](b *strings.Builder, title string, fields []field[T]) {
@@ -63,40 +63,40 @@
 	}
 }
 
-// Sample returns a settings file of a router process in which every setting
-// stands as a comment with its effect and default. Settings that must be given
-// have a placeholder.
+// Sample returns a sample settings file of a router process. Every setting is listed with its
+// effect; settings with a default are commented out and show it, and required settings have
+// a placeholder value.
 func Sample() string {
 	var b strings.Builder
-	b.WriteString("# Settings of a router process. What is commented out shows the default.\n")
+	b.WriteString("# Settings of a router process. Lines that are commented out show the defaults.\n")
 	table := ""
 	for i := range Settings {
 		s := &Settings[i]
 		name := s.Name
 		if dot := strings.LastIndexByte(name, '.'); dot >= 0 {
-			if under := name[:dot]; under != table {
-				fmt.Fprintf(&b, "\n[%s]\n", under)
-				table = under
+			if parent := name[:dot]; parent != table {
+				fmt.Fprintf(&b, "\n[%s]\n", parent)
+				table = parent
 			}
 			name = name[dot+1:]
 		}
 		fmt.Fprintf(&b, "\n# %s\n", s.Effect)
-		if s.Least != "" {
-			fmt.Fprintf(&b, "# Unit: %s; %s to %s.\n", s.Unit, s.Least, s.Most)
+		if s.Min != "" {
+			fmt.Fprintf(&b, "# Unit: %s; %s to %s.\n", s.Unit, s.Min, s.Max)
 		}
-		fmt.Fprintf(&b, "%s%s = %s\n", s.commentMark(), name, s.sampleValue())
+		fmt.Fprintf(&b, "%s%s = %s\n", s.commentPrefix(), name, s.sampleValue())
 	}
 	return b.String()
 }
 
-func (s *Setting) commentMark() string {
+func (s *Setting) commentPrefix() string {
 	if s.Default == "" && !s.Optional {
 		return ""
 	}
 	return "# "
 }
 
-// placeholders are the values of the sample where there is no default.
+// placeholders are the sample values of settings without a default.
 var placeholders = map[string]string{
 	"name":                    "router-1",
 	"data_centre":             "centre-1",
@@ -124,7 +124,7 @@
 	"tls.platform.ca":         "/etc/tarragongw/platform-ca.crt",
 }
 
-// sampleService names a service where the sample needs one.
+// sampleService is the service name in the sample's tables by service.
 const sampleService = "ledger-svc"
 
 func (s *Setting) sampleValue() string {
--- a/config/page_test.go
+++ b/config/page_test.go
@@ -41,8 +41,8 @@
 	assert.Equal(t, string(data), Sample())
 }
 
-// The sample as it stands gives the defaults, and with all comment marks
-// removed it still is a valid file: names and defaults are those of the code.
+// The sample gives the defaults, and it is still valid with all settings uncommented: its
+// names and defaults are those of the code.
 func TestSampleIsValid(t *testing.T) {
 	have, err := ParseRouter(File{"sample.toml", []byte(Sample())})
 	assert.NilError(t, err)
@@ -52,14 +52,14 @@
 	want.VMs.Address = "http://127.0.0.1:9000"
 	assert.DeepEqual(t, *have, want)
 
-	var open []string
+	var uncommented []string
 	for line := range strings.Lines(Sample()) {
 		if rest, found := strings.CutPrefix(line, "# "); found && strings.Contains(rest, " = ") {
 			line = rest
 		}
-		open = append(open, line)
+		uncommented = append(uncommented, line)
 	}
-	have, err = ParseRouter(File{"open.toml", []byte(strings.Join(open, ""))})
+	have, err = ParseRouter(File{"uncommented.toml", []byte(strings.Join(uncommented, ""))})
 	assert.NilError(t, err)
 	want.Listen.PeerAdvertised = "127.0.0.1:8082"
 	own := CertFiles{Cert: "/etc/tarragongw/router-1.crt", Key: "/etc/tarragongw/router-1.key"}
@@ -77,14 +77,14 @@
 	assert.DeepEqual(t, *have, want)
 }
 
-// Every definition must say what operators need, and hold its own default.
+// Every definition has a unit and an effect, and its default is within its bounds.
 func TestSettingsAreComplete(t *testing.T) {
 	r := Defaults()
 	for i := range Settings {
 		s := &Settings[i]
 		assert.Assert(t, s.Unit != "" && strings.HasSuffix(s.Effect, "."), s.Name)
 		if s.Default != "" {
-			text, _ := s.check(s.at(&r))
+			text, _ := s.check(s.pointer(&r))
 			assert.Equal(t, text, "", s.Name)
 		}
 	}
--- a/config/pieces.go
+++ b/config/pieces.go
@@ -14,44 +14,45 @@
 )
 
 const (
-	// minPieceObjects and maxPieceObjects bound the objects of a piece; from the least on
-	// one name in pieceEnds ends it, so that a piece has 128 on average. Smaller ones make
-	// less of a record new with a change, and pack worse.
-	minPieceObjects = 96
-	maxPieceObjects = 256
-	pieceEnds       = 32
+	// minPieceObjects and maxPieceObjects bound the number of objects of a piece. From the
+	// minimum on, one name in pieceEndInterval ends the piece, so that a piece has 128
+	// objects on average. With smaller pieces a change rewrites less of a record, but they
+	// compress worse.
+	minPieceObjects  = 96
+	maxPieceObjects  = 256
+	pieceEndInterval = 32
 )
 
-// Piece is a part of an encoded model: objects of one kind, or what stands between them.
-// All pieces one after the other are what Encode returns.
+// Piece is a part of an encoded model: consecutive objects of one kind, or the JSON text
+// between the lists of objects. The concatenation of all pieces is the output of Encode.
 type Piece struct {
-	// Kind is empty for what stands between objects.
+	// Kind is empty for text between lists of objects.
 	Kind model.ObjectKind
-	// Span is which objects it has.
+	// Span is the range of objects in the piece.
 	Span Span
-	// Open says that the text ends with a comma, as more objects of the kind follow.
+	// Open means that the text ends with a comma because more objects of the kind follow.
 	Open bool
-	// Text is nil where the piece was known.
+	// Text is nil if the piece was known.
 	Text []byte
 }
 
-// Known says whether a piece, which has no text yet, was encoded before, and to how many
-// bytes.
+// Known reports whether a piece, which has no text yet, was encoded before, and the size of
+// its text in bytes.
 type Known func(p *Piece) (size int, known bool)
 
-// EncodePieces returns what Encode does in pieces; those that are known have no text.
-// Where one ends depends on the names in it only, so that a change of an object leaves
-// all other pieces as they are, and an object that comes or goes too. The model must be
+// EncodePieces encodes the model like Encode, but in pieces; pieces that are known have no
+// text. Where a piece ends depends only on the names in it, so that changing an object leaves
+// all other pieces unchanged, and so does, usually, adding or removing one. The model must be
 // sorted; known may be nil.
 func EncodePieces(m *model.Model, known Known) ([]Piece, error) {
-	p := &pieces{model: m, known: known}
-	p.frame(`{"format":%d,"revision":%d`, RecordFormat, m.Revision)
+	p := &pieceEncoder{model: m, known: known}
+	p.addText(`{"format":%d,"revision":%d`, RecordFormat, m.Revision)
 	addObjects(p, model.KindService, m.Services)
 	addObjects(p, model.KindTarget, m.Targets)
 	addObjects(p, model.KindRange, m.Ranges)
 	addObjects(p, model.KindCaller, m.Callers)
 	addObjects(p, model.KindSelector, m.Selectors)
-	p.frame("}")
+	p.addText("}")
 	if p.err != nil {
 		return nil, errors.Wrap(p.err, "encode model")
 	}
@@ -61,8 +62,8 @@
 	return p.list, nil
 }
 
-// pieces collects the pieces of a model.
-type pieces struct {
+// pieceEncoder builds the pieces of a model.
+type pieceEncoder struct {
 	model *model.Model
 	known Known
 	list  []Piece
@@ -70,17 +71,18 @@
 	err   error
 }
 
-func (p *pieces) frame(format string, args ...any) {
+// addText adds a piece of text between lists of objects.
+func (p *pieceEncoder) addText(format string, args ...any) {
 	text := fmt.Appendf(nil, format, args...)
 	p.list = append(p.list, Piece{Text: text, Span: Span{Size: len(text)}})
 	p.size += len(text)
 }
 
-func addObjects[T any](p *pieces, kind model.ObjectKind, list []T) {
+func addObjects[T any](p *pieceEncoder, kind model.ObjectKind, list []T) {
 	if len(list) == 0 {
 		return
 	}
-	p.frame(`,"%ss":[`, kind)
+	p.addText(`,"%ss":[`, kind)
 	first := 0
 	for i := range list {
 		last := i == len(list)-1
@@ -89,10 +91,10 @@
 			first = i + 1
 		}
 	}
-	p.frame("]")
+	p.addText("]")
 }
 
-func addPiece[T any](p *pieces, piece Piece, objects []T) {
+func addPiece[T any](p *pieceEncoder, piece Piece, objects []T) {
 	known := false
 	if p.known != nil {
 		piece.Span.Size, known = p.known(&piece)
@@ -116,39 +118,40 @@
 	p.size += piece.Span.Size
 }
 
-// endsPiece says whether a piece ends after so many objects, with the one of that name.
-// An object that comes or goes before moves the end in one case of pieceEnds only.
+// endsPiece reports whether a piece ends after this number of objects, of which the last has
+// this name. Because the end depends on the name, adding or removing an object earlier in the
+// piece moves the end in only about one of pieceEndInterval cases.
 func endsPiece(objects int, name string) bool {
 	if objects < minPieceObjects {
 		return false
 	}
-	return objects == maxPieceObjects || xxhash.Sum64String(name)%pieceEnds == 0
+	return objects == maxPieceObjects || xxhash.Sum64String(name)%pieceEndInterval == 0
 }
 
-// Assembly puts a model together from the pieces of its record. Pieces that an older
-// model was made of are taken from that one and not read again.
+// Assembly builds a model from the pieces of its record. Pieces that an older model was
+// built from are taken from that model instead of being decoded again.
 type Assembly struct {
 	model model.Model
-	// shape is the text with a mark in place of each run of objects.
-	shape strings.Builder
-	last  model.ObjectKind
-	// open says that the last piece of objects ended with a comma.
+	// skeleton is the record's text with objectsPlaceholder in place of each list's objects.
+	skeleton strings.Builder
+	lastKind model.ObjectKind
+	// open means that the last piece of objects ended with a comma.
 	open bool
 	size int
 }
 
-// Span says which objects of its kind a piece has, the end excluded, and the length of
-// its text in bytes.
+// Span is the range of a piece's objects among those of its kind, with To excluded, and the
+// size of its text in bytes.
 type Span struct{ From, To, Size int }
 
-// Add reads a piece.
+// Add decodes a piece and adds its objects to the model.
 func (a *Assembly) Add(p Piece) (Span, error) {
 	if p.Kind == "" {
-		err := a.join("", len(p.Text))
-		a.shape.Write(p.Text)
+		err := a.checkNext("", len(p.Text))
+		a.skeleton.Write(p.Text)
 		return Span{Size: len(p.Text)}, err
 	}
-	if err := a.join(p.Kind, len(p.Text)); err != nil {
+	if err := a.checkNext(p.Kind, len(p.Text)); err != nil {
 		return Span{}, err
 	}
 	text, open := bytes.CutSuffix(p.Text, []byte(","))
@@ -159,25 +162,25 @@
 	m := &a.model
 	switch p.Kind {
 	case model.KindService:
-		from, to, err = appendRead(&m.Services, text)
+		from, to, err = appendDecoded(&m.Services, text)
 	case model.KindTarget:
-		from, to, err = appendRead(&m.Targets, text)
+		from, to, err = appendDecoded(&m.Targets, text)
 	case model.KindRange:
-		from, to, err = appendRead(&m.Ranges, text)
+		from, to, err = appendDecoded(&m.Ranges, text)
 	case model.KindCaller:
-		from, to, err = appendRead(&m.Callers, text)
+		from, to, err = appendDecoded(&m.Callers, text)
 	case model.KindSelector:
-		from, to, err = appendRead(&m.Selectors, text)
+		from, to, err = appendDecoded(&m.Selectors, text)
 	default:
-		err = errors.Errorf("there is no kind %q of objects", p.Kind)
+		err = errors.Errorf("unknown kind of objects %q", p.Kind)
 	}
 	return Span{from, to, len(p.Text)}, err
 }
 
-// Take adds a piece of objects that old was made of, at the span that it has there; open
-// says that its text ends with a comma.
+// Take adds a piece from which old was built, without decoding it. at is its span in old;
+// open means that its text ends with a comma.
 func (a *Assembly) Take(old *model.Model, kind model.ObjectKind, at Span, open bool) (Span, error) {
-	if err := a.join(kind, at.Size); err != nil {
+	if err := a.checkNext(kind, at.Size); err != nil {
 		return Span{}, err
 	}
 	a.open = open
@@ -198,36 +201,39 @@
 	return Span{from, to, at.Size}, nil
 }
 
-// join checks that a piece may follow the one before: objects after objects only of the
-// same kind and with a comma between them.
-func (a *Assembly) join(kind model.ObjectKind, size int) error {
+// checkNext checks that a piece may follow the previous one, and the size of the record so
+// far. A piece of objects may follow another only if it has the same kind and there is a
+// comma between them, and it must follow if there is a comma.
+func (a *Assembly) checkNext(kind model.ObjectKind, size int) error {
 	if a.size += size; a.size > MaxRecordSize {
 		return tooLarge(a.size)
 	}
-	if a.open != (kind != "" && kind == a.last) {
-		return errors.New("the pieces of the record do not fit together")
+	if a.open != (kind != "" && kind == a.lastKind) {
+		return errors.New("the record has pieces that cannot follow each other")
 	}
-	if kind != "" && kind != a.last {
-		a.shape.WriteString(objectsMark)
+	if kind != "" && kind != a.lastKind {
+		a.skeleton.WriteString(objectsPlaceholder)
 	}
-	a.last, a.open = kind, false
+	a.lastKind, a.open = kind, false
 	return nil
 }
 
-// objectsMark stands for objects in the shape of a record; it can't be in JSON.
-const objectsMark = "\x00"
+// objectsPlaceholder stands for a list's objects in the skeleton of a record; it cannot occur in JSON.
+const objectsPlaceholder = "\x00"
 
-func appendRead[T any](list *[]T, text []byte) (from, to int, err error) {
-	var read []T
-	if err := decodeStrictly(text, &read); err != nil {
+// appendDecoded decodes a list of objects, appends them to list and returns their range in it.
+func appendDecoded[T any](list *[]T, text []byte) (from, to int, err error) {
+	var decoded []T
+	if err := decodeStrictly(text, &decoded); err != nil {
 		return 0, 0, errors.Wrap(err, "decode model")
 	}
 	from = len(*list)
-	*list = append(*list, read...)
+	*list = append(*list, decoded...)
 	return from, len(*list), nil
 }
 
-// appendSpan shares the old list for as long as all is the same from its beginning.
+// appendSpan appends a span of old to list. It shares old's memory instead of copying as long
+// as list is a prefix of old.
 func appendSpan[T any](list *[]T, old []T, at Span) (from, to int) {
 	from = len(*list)
 	if from == at.From && (from == 0 || &(*list)[0] == &old[0]) {
@@ -238,40 +244,39 @@
 	return from, len(*list)
 }
 
-// Model returns the model. It refuses what Decode would read otherwise than in pieces:
-// a record of another format or shape, or objects out of order. Whether the model is
-// valid is not checked.
+// Model returns the model. It rejects records that Decode might decode differently: those of
+// another format or layout, or with objects out of order. It does not validate the model.
 func (a *Assembly) Model(revision uint64) (*model.Model, error) {
 	m := &a.model
 	m.Revision = revision
 	want := &Assembly{}
-	want.frame(m)
-	if a.open || a.shape.String() != want.shape.String() {
-		return nil, errors.New("the record is not in the pieces that this release writes")
+	want.writeSkeleton(m)
+	if a.open || a.skeleton.String() != want.skeleton.String() {
+		return nil, errors.New("the layout of the record is not the one that this release writes")
 	}
-	sorted := inOrder(m.Services, func(s *model.Service) string { return s.Name }) &&
-		inOrder(m.Targets, func(t *model.Target) string { return t.Name }) &&
-		inOrder(m.Ranges, func(r *model.KeyRange) string { return r.Name }) &&
-		inOrder(m.Callers, func(c *model.Caller) string { return c.Name }) &&
-		inOrder(m.Selectors, func(s *model.Selector) string { return s.Name })
+	sorted := sortedByName(m.Services, func(s *model.Service) string { return s.Name }) &&
+		sortedByName(m.Targets, func(t *model.Target) string { return t.Name }) &&
+		sortedByName(m.Ranges, func(r *model.KeyRange) string { return r.Name }) &&
+		sortedByName(m.Callers, func(c *model.Caller) string { return c.Name }) &&
+		sortedByName(m.Selectors, func(s *model.Selector) string { return s.Name })
 	if !sorted {
-		return nil, errors.New("the objects of the record are not in order of name")
+		return nil, errors.New("the objects of the record are not sorted by name")
 	}
 	return m, nil
 }
 
-// frame writes the shape that a model's record has.
-func (a *Assembly) frame(m *model.Model) {
-	fmt.Fprintf(&a.shape, `{"format":%d,"revision":%d`, RecordFormat, m.Revision)
+// writeSkeleton writes the skeleton of a model's record.
+func (a *Assembly) writeSkeleton(m *model.Model) {
+	fmt.Fprintf(&a.skeleton, `{"format":%d,"revision":%d`, RecordFormat, m.Revision)
 	for i, n := range []int{len(m.Services), len(m.Targets), len(m.Ranges), len(m.Callers), len(m.Selectors)} {
 		if n > 0 {
-			fmt.Fprintf(&a.shape, `,"%ss":[%s]`, model.Kinds[i], objectsMark)
+			fmt.Fprintf(&a.skeleton, `,"%ss":[%s]`, model.Kinds[i], objectsPlaceholder)
 		}
 	}
-	a.shape.WriteString("}")
+	a.skeleton.WriteString("}")
 }
 
-func inOrder[T any](list []T, name func(*T) string) bool {
+func sortedByName[T any](list []T, name func(*T) string) bool {
 	for i := 1; i < len(list); i++ {
 		if name(&list[i-1]) > name(&list[i]) {
 			return false
--- a/config/record.go
+++ b/config/record.go
@@ -15,9 +15,9 @@
 	// RecordFormat is the version of the encoding. A router refuses a format that it
 	// does not know, because skipping a field could send keys to the wrong target.
 	RecordFormat = 1
-	// MaxRecordSize is the size in bytes of the largest encoded model. It holds a model
-	// in which every list has its greatest length. The store keeps the record packed,
-	// far below its limit of a megabyte.
+	// MaxRecordSize is the size in bytes of the largest encoded model. A model in which
+	// every list has its greatest length fits. The store holds the record compressed, far
+	// below the store's limit of a megabyte.
 	MaxRecordSize = 8 << 20
 )
 
@@ -27,8 +27,8 @@
 	*model.Model
 }
 
-// Encode returns the model as a record for the store and for other routers. It
-// is deterministic: equal models give equal bytes. The model must be sorted.
+// Encode returns the model as a record for the store and for other routers. The encoding is
+// deterministic: equal models give equal bytes. The model must be sorted.
 func Encode(m *model.Model) ([]byte, error) {
 	data, err := json.Marshal(record{RecordFormat, m})
 	if err != nil {
@@ -40,9 +40,9 @@
 	return data, nil
 }
 
-// Decode reads a record. It refuses records that are too large, of an unknown
-// format, with unknown fields or with text behind them, and models that
-// Validate refuses. Selectors are checked by selector.Compile.
+// Decode decodes a record. It rejects records that are too large, of an unknown format, with
+// unknown fields or with trailing text, and models that model.Validate rejects. It does not
+// check selectors; selector.Compile does.
 func Decode(data []byte) (*model.Model, error) {
 	if len(data) > MaxRecordSize {
 		return nil, errors.Errorf("the record has %d bytes; at most %d are allowed", len(data), MaxRecordSize)
@@ -67,7 +67,7 @@
 	return r.Model, nil
 }
 
-// decodeStrictly reads exactly one JSON value without unknown fields.
+// decodeStrictly decodes exactly one JSON value. It rejects unknown fields and trailing text.
 func decodeStrictly(data []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
@@ -75,18 +75,18 @@
 		return err
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return fmt.Errorf("there is text behind the record")
+		return fmt.Errorf("unexpected text after the record")
 	}
 	return nil
 }
 
-// Problems returns the problems of a model that came from no file as Errors.
+// Problems converts the problems of a model that was not read from a file to Errors.
 func Problems(problems []model.Problem) Errors {
-	faults := make(Errors, 0, len(problems))
+	errs := make(Errors, 0, len(problems))
 	for _, p := range problems {
 		mend := p.Mend
 		p.Mend = ""
-		faults = append(faults, Error{Text: p.Error(), Mend: mend})
+		errs = append(errs, Error{Text: p.Error(), Mend: mend})
 	}
-	return faults
+	return errs
 }
--- a/config/record_test.go
+++ b/config/record_test.go
@@ -13,7 +13,7 @@
 	"tarragongw/examples"
 )
 
-func TestRecord(t *testing.T) {
+func TestRecordRoundTrip(t *testing.T) {
 	for _, folder := range []string{"shiretoko", "balik-paninda"} {
 		m, err := LoadModelFS(examples.FS, folder)
 		assert.NilError(t, err)
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestDecodeRefuses(t *testing.T) {
+func TestDecodeRejectsInvalidRecords(t *testing.T) {
 	tests := []struct{ text, want string }{
 		{``, "decode model: unexpected end of JSON input"},
 		{`{"revision":1}`, "the record has format 0; this release reads format 1"},
@@ -51,7 +51,7 @@
 	assert.Error(t, err, "the record has 8388609 bytes; at most 8388608 are allowed")
 }
 
-// fullModel has as many objects of each kind as are allowed.
+// fullModel returns a model with as many objects of each kind as are allowed.
 func fullModel(t testing.TB) *model.Model {
 	example := exampleModel(t)
 	m := &model.Model{Services: example.Services}
@@ -76,9 +76,9 @@
 	return m
 }
 
-// A model that fills every list must be kept: encoded within the limit of a
-// record, and packed below a megabyte, which is the limit of the store.
-func TestRecordHoldsTheLargestModel(t *testing.T) {
+// A model with all lists at their limits must fit: encoded, within the size limit of a
+// record; compressed, within the store's limit of a megabyte.
+func TestLargestModelFitsRecord(t *testing.T) {
 	m := fullModel(t)
 	data, err := Encode(m)
 	assert.NilError(t, err)
@@ -91,15 +91,15 @@
 	for _, p := range pieces {
 		text = append(text, p.Text...)
 	}
-	assert.Assert(t, bytes.Equal(text, data), "the pieces are not the record")
+	assert.Assert(t, bytes.Equal(text, data), "the pieces together differ from the record")
 
-	var packed bytes.Buffer
-	w := gzip.NewWriter(&packed)
+	var compressed bytes.Buffer
+	w := gzip.NewWriter(&compressed)
 	_, err = w.Write(data)
 	assert.NilError(t, err)
 	assert.NilError(t, w.Close())
-	t.Logf("the largest model takes %d bytes, packed %d", len(data), packed.Len())
-	assert.Assert(t, packed.Len() < 1_000_000)
+	t.Logf("the largest model takes %d bytes, compressed %d", len(data), compressed.Len())
+	assert.Assert(t, compressed.Len() < 1_000_000)
 
 	m.Callers = append(m.Callers, make([]model.Caller, MaxRecordSize/len(`{"name":""},`))...)
 	_, err = EncodePieces(m, nil)
@@ -125,14 +125,14 @@
 		selector.Compile(m)
 		first, err := Encode(m)
 		if err != nil {
-			return // A short form can grow beyond the limit.
+			return // Encoding can exceed the size limit where the input did not.
 		}
 		back, err := Decode(first)
 		if err != nil {
-			t.Fatalf("an accepted model is not read back: %v", err)
+			t.Fatalf("the encoding of a decoded model cannot be decoded: %v", err)
 		}
-		if second := encoded(back); second != string(first) {
-			t.Fatalf("%s\nis read back as\n%s", first, second)
+		if second := mustEncode(back); second != string(first) {
+			t.Fatalf("%s\nis decoded and encoded again as\n%s", first, second)
 		}
 	})
 }
--- a/config/router.go
+++ b/config/router.go
@@ -32,23 +32,24 @@
 	Caller   string
 	Operator string
 	Peer     string
-	// PeerDatagrams sends heartbeats between routers by UDP where that passes.
+	// PeerDatagrams enables heartbeats between routers over UDP where the network lets it
+	// pass.
 	PeerDatagrams bool
-	// PeerAdvertised is the peer address that other routers are told; Peer where empty.
+	// PeerAdvertised is the peer address that is given to other routers; Peer if empty.
 	PeerAdvertised string
 }
 
-// Store is how the platform's key-value service is reached.
+// Store holds the addresses of the platform's key-value service and the limits of calls to it.
 type Store struct {
 	Addresses      []string
 	Timeout        time.Duration
 	CallsPerSecond float64
-	// RoutersPerRelay is how many routers of a data centre have their grantor records
-	// read by one of them.
+	// RoutersPerRelay is the number of routers of a data centre for which one of them
+	// reads the grantor records.
 	RoutersPerRelay int
 }
 
-// VMs is how the platform's list of VMs is reached.
+// VMs holds the address of the platform's list of VMs and how often it is read.
 type VMs struct {
 	Address string
 	Every   time.Duration
@@ -72,7 +73,7 @@
 	ConnIdle   time.Duration
 }
 
-// Limits bound what the process holds and does.
+// Limits bound the resources that the process uses and the work that it does.
 type Limits struct {
 	HeaderSize     Size
 	InFlight       int
@@ -88,7 +89,7 @@
 // Log holds the settings of the log.
 type Log struct{ Level string }
 
-// Defaults returns the settings with all defaults; Name and DataCentre are empty.
+// Defaults returns the settings with their defaults; settings without a default are empty.
 func Defaults() Router {
 	var r Router
 	for i := range Settings {
@@ -96,7 +97,7 @@
 		if s.Default == "" {
 			continue
 		}
-		if err := s.read(s.Default, &r); err != nil {
+		if err := s.parse(s.Default, &r); err != nil {
 			panic(fmt.Sprintf("config: default of %s: %v", s.Name, err))
 		}
 	}
@@ -104,7 +105,7 @@
 }
 
 // LoadRouter reads the settings of a router process from a TOML file. The error
-// is of type Errors and holds every fault.
+// is of type Errors and holds all errors of the file.
 func LoadRouter(path string) (*Router, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -119,9 +120,9 @@
 	r := Defaults()
 	d := &routerReader{decoder{doc}, &r, make(map[string]bool)}
 	d.table("", doc.root)
-	if !doc.broken {
-		d.required()
-		d.relations()
+	if !doc.incomplete {
+		d.checkRequired()
+		d.checkRelations()
 	}
 	if err := doc.errors.orNil(); err != nil {
 		return nil, err
@@ -129,7 +130,8 @@
 	return &r, nil
 }
 
-// routerReader reads a document into settings; given holds the names that it has.
+// routerReader decodes a document into settings; given holds the names of the settings that
+// the document sets.
 type routerReader struct {
 	decoder
 	router *Router
@@ -144,28 +146,28 @@
 			d.setting(s, table[key])
 			continue
 		}
-		below, ok := table[key].(map[string]any)
+		subtable, ok := table[key].(map[string]any)
 		if !ok || len(settingsUnder(full)) == 0 {
-			d.unknown(full, key, known)
+			d.unknownField(full, key, known)
 			continue
 		}
-		d.table(full, below)
+		d.table(full, subtable)
 	}
 }
 
 func (d *routerReader) setting(s *Setting, raw any) {
 	d.given[s.Name] = true
 	before := len(d.doc.errors)
-	d.decode(s.Name, raw, s.at(d.router))
+	d.decode(s.Name, raw, s.pointer(d.router))
 	if len(d.doc.errors) > before {
 		return
 	}
-	if text, mend := s.check(s.at(d.router)); text != "" {
+	if text, mend := s.check(s.pointer(d.router)); text != "" {
 		d.fail(s.Name, mend, "%s: %s", s.Name, text)
 	}
 }
 
-func (d *routerReader) required() {
+func (d *routerReader) checkRequired() {
 	for i := range Settings {
 		if s := &Settings[i]; s.Default == "" && !s.Optional && !d.given[s.Name] {
 			d.add(position{1, 1}, fmt.Sprintf("add %s = ...", s.Name), "the setting %s is missing", s.Name)
@@ -173,13 +175,13 @@
 	}
 }
 
-// relations checks settings against each other.
-func (d *routerReader) relations() {
+// checkRelations checks constraints between settings.
+func (d *routerReader) checkRelations() {
 	t := &d.router.Timers
-	d.atLeast("timers.grant_ttl", t.GrantTTL, "timers.grant_renew", t.GrantRenew, grantRenewals)
-	d.atLeast("drain.limit", d.router.Drain.Limit, "drain.not_ready", d.router.Drain.NotReady, 1)
+	d.checkAtLeast("timers.grant_ttl", t.GrantTTL, "timers.grant_renew", t.GrantRenew, minRenewalsPerTTL)
+	d.checkAtLeast("drain.limit", d.router.Drain.Limit, "drain.not_ready", d.router.Drain.NotReady, 1)
 	l := &d.router.Listen
-	d.tlsRelations()
+	d.checkTLSRelations()
 	addresses := []struct{ name, address string }{{"listen.caller", l.Caller}, {"listen.operator", l.Operator}, {"listen.peer", l.Peer}}
 	for i, a := range addresses {
 		for _, b := range addresses[:i] {
@@ -190,17 +192,17 @@
 	}
 }
 
-// grantRenewals is how many renewals must fit into a grant's time to live, so that
-// two lost renewals do not cost a target its keys.
-const grantRenewals = 3
+// minRenewalsPerTTL is the number of renewal intervals that must fit into a grant's TTL, so
+// that a target keeps its keys when two renewals are lost.
+const minRenewalsPerTTL = 3
 
-func (d *routerReader) atLeast(name string, have time.Duration, other string, base time.Duration, factor int) {
+func (d *routerReader) checkAtLeast(name string, have time.Duration, other string, base time.Duration, factor int) {
 	if least := base * time.Duration(factor); have < least {
 		d.fail(name, fmt.Sprintf("use at least %v, or lower %s", least, other), "%s is %v, below %d times %s (%v)", name, have, factor, other, base)
 	}
 }
 
-// checkAddress returns what is wrong with host:port.
+// checkAddress describes the error in a host:port address; empty if it is valid.
 func checkAddress(address string, portZero bool) string {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -215,7 +217,7 @@
 	return ""
 }
 
-// checkURL returns what is wrong with an address of the platform.
+// checkURL describes the error in an address of the platform; empty if it is valid.
 func checkURL(text string) string {
 	u, err := url.Parse(text)
 	if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
@@ -224,7 +226,7 @@
 	return ""
 }
 
-// checkName returns what is wrong with the name of a router or data centre.
+// checkName describes the error in the name of a router or data centre; empty if it is valid.
 func checkName(name string) string {
 	if !model.IsName(name) {
 		return fmt.Sprintf("%q is not a name", name)
--- a/config/router_test.go
+++ b/config/router_test.go
@@ -8,14 +8,14 @@
 	"gotest.tools/v3/assert"
 )
 
-const routerHead = `name = "r1"
+const requiredSettings = `name = "r1"
 data_centre = "dc1"
 store.addresses = ["http://127.0.0.1:9000"]
 vms.address = "http://127.0.0.1:9000"
 `
 
 func TestParseRouter(t *testing.T) {
-	r, err := ParseRouter(File{"r.toml", []byte(routerHead + `
+	r, err := ParseRouter(File{"r.toml", []byte(requiredSettings + `
 [timers]
 grant_ttl = "1s"
 [limits]
@@ -48,13 +48,13 @@
 			"r.toml:1:1: the setting store.addresses is missing; add store.addresses = ...",
 			"r.toml:1:1: the setting vms.address is missing; add vms.address = ...",
 		}},
-		{"unknown fields and tables", routerHead + "nam = \"x\"\n[timer]\nprobe = \"1s\"\n[drain]\nlimits = \"1s\"\nfoobar = 1\n", []string{
+		{"unknown fields and tables", requiredSettings + "nam = \"x\"\n[timer]\nprobe = \"1s\"\n[drain]\nlimits = \"1s\"\nfoobar = 1\n", []string{
 			`r.toml:5:1: unknown field "nam"; did you mean "name"?`,
 			`r.toml:6:2: unknown field "timer"; did you mean "timers"?`,
 			`r.toml:9:1: unknown field "limits"; did you mean "limit"?`,
 			`r.toml:10:1: unknown field "foobar"; remove it`,
 		}},
-		{"types and units", routerHead + `[drain]
+		{"types and units", requiredSettings + `[drain]
 limit = 30
 [limits]
 header_size = "64 kb"
@@ -74,7 +74,7 @@
 			`r.toml:13:9: "1 parsec" is not a duration; write a number with its unit in quotes, for instance "250ms", "2s" or "1m"`,
 			`r.toml:15:9: log.level is an integer, not a string; write it in quotes`,
 		}},
-		{"values", strings.Replace(routerHead, `"r1"`, `"R 1"`, 1) + `listen.caller = "here:80"
+		{"values", strings.Replace(requiredSettings, `"r1"`, `"R 1"`, 1) + `listen.caller = "here:80"
 listen.operator = "127.0.0.1"
 listen.peer = "127.0.0.1:http"
 listen.peer_advertised = "127.0.0.1:0"
@@ -95,13 +95,13 @@
 			`r.toml:12:20: limits.in_flight: 0 is not allowed; use 1 to 1000000`,
 			`r.toml:13:13: log.level: "loud" is not a level; use debug, info, warn or error`,
 		}},
-		{"not a number", routerHead + "limits.retry_share = nan\n", []string{
+		{"not a number", requiredSettings + "limits.retry_share = nan\n", []string{
 			`r.toml:5:22: limits.retry_share: it is not a number; use 0 to 1`,
 		}},
-		{"lists", strings.Replace(routerHead, `["http://127.0.0.1:9000"]`, `["127.0.0.1:9000", 5]`, 1), []string{
+		{"lists", strings.Replace(requiredSettings, `["http://127.0.0.1:9000"]`, `["127.0.0.1:9000", 5]`, 1), []string{
 			`r.toml:3:38: store.addresses[1] is an integer, not a string; write it in quotes`,
 		}},
-		{"relations", routerHead + `listen.caller = "127.0.0.1:80"
+		{"relations", requiredSettings + `listen.caller = "127.0.0.1:80"
 listen.peer = "127.0.0.1:80"
 timers.grant_ttl = "200ms"
 drain.limit = "2s"
@@ -111,7 +111,7 @@
 			"r.toml:7:20: timers.grant_ttl is 200ms, below 3 times timers.grant_renew (80ms); use at least 240ms, or lower timers.grant_renew",
 			"r.toml:8:15: drain.limit is 2s, below 1 times drain.not_ready (3s); use at least 3s, or lower drain.not_ready",
 		}},
-		{"syntax", routerHead + "listen.caller = 127.0.0.1:80\n[limits]\nin_flight = 0\nmailbox = \"64\nbad\n", []string{
+		{"syntax", requiredSettings + "listen.caller = 127.0.0.1:80\n[limits]\nin_flight = 0\nmailbox = \"64\nbad\n", []string{
 			"r.toml:5:22: expected newline but got U+002E '.'; correct the TOML",
 			"r.toml:7:13: limits.in_flight: 0 is not allowed; use 1 to 1000000",
 			"r.toml:8:14: basic strings cannot have new lines; correct the TOML",
@@ -129,7 +129,7 @@
 
 func FuzzParseRouter(f *testing.F) {
 	f.Add([]byte(Sample()))
-	f.Add([]byte(routerHead + "timers.probe = \"1s\"\n[limits]\n\"in_flight\" = 3\n"))
+	f.Add([]byte(requiredSettings + "timers.probe = \"1s\"\n[limits]\n\"in_flight\" = 3\n"))
 	f.Add([]byte("[[name]]\n[a.b]\nc = [{d = 1}, 2]\n= \nx = 'y\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		r, err := ParseRouter(File{"r.toml", data})
--- a/config/settings.go
+++ b/config/settings.go
@@ -11,27 +11,26 @@
 	"time"
 )
 
-// Setting defines one setting of a router process. The page of settings, the
-// commented sample and the checks are all made from these definitions.
+// Setting defines one setting of a router process. The reference page, the sample file and
+// the validation are all derived from these definitions.
 type Setting struct {
-	// Name is the setting's place in the file: table.field.
+	// Name is the setting's path in the file: table.field.
 	Name string
-	// Unit is what its value counts or is.
+	// Unit is the unit or type of the value.
 	Unit Unit
-	// Default is the default as text; empty where the setting must be given or is
-	// Optional.
+	// Default is the default as text; empty if the setting is required or Optional.
 	Default  string
 	Optional bool
-	// Least and Most bound the value, in the text form of the unit; empty where unbounded.
-	Least string
-	Most  string
+	// Min and Most bound the value, in the text form of the unit; empty if unbounded.
+	Min string
+	Max string
 	// Effect says what the setting does.
 	Effect string
 
-	at func(*Router) any
+	pointer func(*Router) any
 }
 
-// Unit is what a setting's value counts or is.
+// Unit is the unit or type of a setting's value.
 type Unit string
 
 // The units.
@@ -53,77 +52,77 @@
 
 // Settings are the definitions of all settings of a router process.
 var Settings = []Setting{
-	{Name: "name", Unit: UnitName, Effect: "Name of the router; unique among all routers and stable over restarts.", at: func(r *Router) any { return &r.Name }},
-	{Name: "data_centre", Unit: UnitName, Effect: "Data centre that the VM is in.", at: func(r *Router) any { return &r.DataCentre }},
-
-	{Name: "listen.caller", Unit: UnitAddress, Default: "0.0.0.0:8080", Effect: "Address that callers reach.", at: func(r *Router) any { return &r.Listen.Caller }},
-	{Name: "listen.operator", Unit: UnitAddress, Default: "127.0.0.1:8081", Effect: "Address of the operators' endpoint: changes, health, metrics, pprof.", at: func(r *Router) any { return &r.Listen.Operator }},
-	{Name: "listen.peer", Unit: UnitAddress, Default: "0.0.0.0:8082", Effect: "Address that other routers reach.", at: func(r *Router) any { return &r.Listen.Peer }},
-	{Name: "listen.peer_datagrams", Unit: UnitBool, Default: "true", Effect: "Send heartbeats to other routers as UDP datagrams where these pass; false sends them over sessions and listens on no UDP port.", at: func(r *Router) any { return &r.Listen.PeerDatagrams }},
-	{Name: "listen.peer_advertised", Unit: UnitAddress, Optional: true, Effect: "Peer address that other routers are told; listen.peer where not set. Needed where listen.peer is 0.0.0.0.", at: func(r *Router) any { return &r.Listen.PeerAdvertised }},
-
-	{Name: "store.addresses", Unit: UnitURLs, Effect: "Addresses of the platform's key-value service, tried in turn.", at: func(r *Router) any { return &r.Store.Addresses }},
-	{Name: "store.timeout", Unit: UnitDuration, Default: "500ms", Least: "10ms", Most: "30s", Effect: "Longest wait for one call of the store; a watch waits for timers.watch.", at: func(r *Router) any { return &r.Store.Timeout }},
-	{Name: "store.calls_per_second", Unit: UnitPerSecond, Default: "100", Least: "1", Most: "10000", Effect: "Budget of store reads of this router, and four times its budget of writes; calls above it are refused locally.", at: func(r *Router) any { return &r.Store.CallsPerSecond }},
-	{Name: "store.routers_per_relay", Unit: UnitCount, Default: "150", Least: "1", Most: "10000", Effect: "Routers of a data centre that have their grantor records read by one of them; with 1 each router reads by itself.", at: func(r *Router) any { return &r.Store.RoutersPerRelay }},
-
-	{Name: "vms.address", Unit: UnitURL, Effect: "Address of the platform's list of VMs.", at: func(r *Router) any { return &r.VMs.Address }},
-	{Name: "vms.every", Unit: UnitDuration, Default: "2s", Least: "100ms", Most: "5m", Effect: "Time between two reads of the list of VMs.", at: func(r *Router) any { return &r.VMs.Every }},
-
-	{Name: "drain.limit", Unit: UnitDuration, Default: "30s", Least: "1s", Most: "1h", Effect: "Longest time that a graceful shutdown, or the move of a key, waits for requests in flight before it cuts them off.", at: func(r *Router) any { return &r.Drain.Limit }},
-	{Name: "drain.not_ready", Unit: UnitDuration, Default: "1s", Least: "0s", Most: "5m", Effect: "Time between reporting not ready and refusing new work, for the balancer to notice.", at: func(r *Router) any { return &r.Drain.NotReady }},
-
-	{Name: "timers.grant_renew", Unit: UnitDuration, Default: "80ms", Least: "10ms", Most: "10s", Effect: "Time between two renewals of a target's grants.", at: func(r *Router) any { return &r.Timers.GrantRenew }},
-	{Name: "timers.grant_ttl", Unit: UnitDuration, Default: "320ms", Least: "50ms", Most: "1m", Effect: "Time to live of a grant; at least 3 times timers.grant_renew. A lost owner's keys wait for it.", at: func(r *Router) any { return &r.Timers.GrantTTL }},
-	{Name: "timers.probe", Unit: UnitDuration, Default: "500ms", Least: "50ms", Most: "1m", Effect: "Time between two health probes of a target.", at: func(r *Router) any { return &r.Timers.Probe }},
-	{Name: "timers.watch", Unit: UnitDuration, Default: "2s", Least: "1s", Most: "10m", Effect: "Longest time that one watch call waits at the store.", at: func(r *Router) any { return &r.Timers.Watch }},
-	{Name: "timers.rebalance", Unit: UnitDuration, Default: "1s", Least: "100ms", Most: "10m", Effect: "Time between two rounds of rebalancing.", at: func(r *Router) any { return &r.Timers.Rebalance }},
-	{Name: "timers.dial", Unit: UnitDuration, Default: "250ms", Least: "5ms", Most: "30s", Effect: "Longest time for opening a connection to a target or router.", at: func(r *Router) any { return &r.Timers.Dial }},
-	{Name: "timers.conn_age", Unit: UnitDuration, Default: "5m", Least: "1s", Most: "24h", Effect: "Age at which a connection to a target is closed at its next rest.", at: func(r *Router) any { return &r.Timers.ConnAge }},
-	{Name: "timers.conn_idle", Unit: UnitDuration, Default: "30s", Least: "100ms", Most: "1h", Effect: "Rest after which a connection to a target is closed.", at: func(r *Router) any { return &r.Timers.ConnIdle }},
-
-	{Name: "limits.header_size", Unit: UnitSize, Default: "64KiB", Least: "4KiB", Most: "1MiB", Effect: "Largest header of a request.", at: func(r *Router) any { return &r.Limits.HeaderSize }},
-	{Name: "limits.in_flight", Unit: UnitCount, Default: "10000", Least: "1", Most: "1000000", Effect: "Requests of callers in flight at once; more are refused as not run.", at: func(r *Router) any { return &r.Limits.InFlight }},
-	{Name: "limits.upload_rate", Unit: UnitSize, Default: "8KiB", Least: "1KiB", Most: "1MiB", Effect: "Least rate, per second, of a request's body while others wait for the slot that it holds; a slower one is cut. While nobody waits none is.", at: func(r *Router) any { return &r.Limits.UploadRate }},
-	{Name: "limits.own_delay", Unit: UnitDuration, Default: "10ms", Least: "0s", Most: "1s", Effect: "Longest time that work may wait for this router's own processor before some is refused as not run: retries first, then batch work, then interactive work. 0 refuses none.", at: func(r *Router) any { return &r.Limits.OwnDelay }},
-	{Name: "limits.retry_share", Unit: UnitShare, Default: "0.1", Least: "0", Most: "1", Effect: "Retries as a share of answered requests. Without answers all routers together make at most one a second and twenty at once, or one each where they are more. 0 makes none.", at: func(r *Router) any { return &r.Limits.RetryShare }},
-	{Name: "limits.metric_callers", Unit: UnitCount, Default: "50", Least: "1", Most: "1000", Effect: "Callers with metrics of their own; the others are folded into one.", at: func(r *Router) any { return &r.Limits.MetricCallers }},
-	{Name: "limits.journal_events", Unit: UnitCount, Default: "4096", Least: "16", Most: "1000000", Effect: "Events that the journal keeps in memory.", at: func(r *Router) any { return &r.Limits.JournalEvents }},
-	{Name: "limits.mailbox", Unit: UnitCount, Default: "1024", Least: "16", Most: "65536", Effect: "Messages that wait for one duty.", at: func(r *Router) any { return &r.Limits.Mailbox }},
-	{Name: "limits.moves_per_minute", Unit: UnitCount, Default: "60", Least: "0", Most: "100000", Effect: "Units of keys that rebalancing moves per minute and service.", at: func(r *Router) any { return &r.Limits.MovesPerMinute }},
-
-	{Name: "tls.reload_every", Unit: UnitDuration, Default: "10s", Least: "100ms", Most: "1h", Effect: "Time between two looks at the files of certificates; a changed one is put in force without cutting a connection, as it is at SIGHUP.", at: func(r *Router) any { return &r.TLS.ReloadEvery }},
-	{Name: "tls.warn_before", Unit: UnitDuration, Default: "336h", Least: "1h", Most: "8760h", Effect: "How long before its end a certificate is told of, by an event and in the status.", at: func(r *Router) any { return &r.TLS.WarnBefore }},
-
-	{Name: "tls.callers.cert", Unit: UnitFile, Optional: true, Effect: "Certificate, with its chain, of the callers' listener.", at: func(r *Router) any { return &r.TLS.Callers.Cert }},
-	{Name: "tls.callers.key", Unit: UnitFile, Optional: true, Effect: "Its key; not readable by all users of the VM.", at: func(r *Router) any { return &r.TLS.Callers.Key }},
-	{Name: "tls.callers.ca", Unit: UnitFile, Optional: true, Effect: "Authorities of callers' certificates; a caller that shows none of theirs gets no connection. Callers need none where not set.", at: func(r *Router) any { return &r.TLS.Callers.CA }},
-	{Name: "tls.callers.crl", Unit: UnitFile, Optional: true, Effect: "Revocation lists of these authorities; a caller whose certificate one names is refused, on open connections too.", at: func(r *Router) any { return &r.TLS.Callers.CRL }},
-	{Name: "tls.callers.plain_text", Unit: UnitBool, Default: "false", Effect: "Answer callers in plain text although listen.caller is not on loopback.", at: func(r *Router) any { return &r.TLS.Callers.PlainText }},
-
-	{Name: "tls.operator.cert", Unit: UnitFile, Optional: true, Effect: "Certificate, with its chain, of the operators' listener.", at: func(r *Router) any { return &r.TLS.Operator.Cert }},
-	{Name: "tls.operator.key", Unit: UnitFile, Optional: true, Effect: "Its key.", at: func(r *Router) any { return &r.TLS.Operator.Key }},
-	{Name: "tls.operator.ca", Unit: UnitFile, Optional: true, Effect: "Authorities of the operators' certificates, whose organisational unit is the role: read, operate or administer.", at: func(r *Router) any { return &r.TLS.Operator.CA }},
-	{Name: "tls.operator.crl", Unit: UnitFile, Optional: true, Effect: "Revocation lists of these authorities; an operator whose certificate one names is refused, on open connections too.", at: func(r *Router) any { return &r.TLS.Operator.CRL }},
-	{Name: "tls.operator.plain_text", Unit: UnitBool, Default: "false", Effect: "Answer operators in plain text although listen.operator is not on loopback; calls from other machines may only read then.", at: func(r *Router) any { return &r.TLS.Operator.PlainText }},
-
-	{Name: "tls.peers.cert", Unit: UnitFile, Optional: true, Effect: "Certificate that this router shows to others: its name as a DNS name, the organisational unit router, for servers and clients.", at: func(r *Router) any { return &r.TLS.Peers.Cert }},
-	{Name: "tls.peers.key", Unit: UnitFile, Optional: true, Effect: "Its key.", at: func(r *Router) any { return &r.TLS.Peers.Key }},
-	{Name: "tls.peers.ca", Unit: UnitFile, Optional: true, Effect: "Authorities of the routers' certificates.", at: func(r *Router) any { return &r.TLS.Peers.CA }},
-	{Name: "tls.peers.crl", Unit: UnitFile, Optional: true, Effect: "Revocation lists of these authorities; a router whose certificate one names is refused, and its open sessions end.", at: func(r *Router) any { return &r.TLS.Peers.CRL }},
-	{Name: "tls.peers.plain_text", Unit: UnitBool, Default: "false", Effect: "Talk with other routers in plain text although listen.peer is not on loopback; whoever reaches it may pass for a router then.", at: func(r *Router) any { return &r.TLS.Peers.PlainText }},
-
-	{Name: "tls.targets.ca", Unit: UnitFile, Optional: true, Effect: "Authorities of the targets' certificates, which must be valid for the target's name; targets are reached over TLS where it is set.", at: func(r *Router) any { return &r.TLS.Targets.CA }},
-	{Name: "tls.targets.service_ca", Unit: UnitFiles, Optional: true, Effect: "Authorities for the targets of single services, in place of tls.targets.ca.", at: func(r *Router) any { return &r.TLS.Targets.ServiceCA }},
-	{Name: "tls.targets.crl", Unit: UnitFile, Optional: true, Effect: "Revocation lists of the authorities in tls.targets.ca; a target whose certificate one names gets no work.", at: func(r *Router) any { return &r.TLS.Targets.CRL }},
-	{Name: "tls.targets.service_crl", Unit: UnitFiles, Optional: true, Effect: "Revocation lists of the authorities in tls.targets.service_ca, by service.", at: func(r *Router) any { return &r.TLS.Targets.ServiceCRL }},
-	{Name: "tls.targets.cert", Unit: UnitFile, Optional: true, Effect: "Certificate that is shown to targets that ask for one.", at: func(r *Router) any { return &r.TLS.Targets.Cert }},
-	{Name: "tls.targets.key", Unit: UnitFile, Optional: true, Effect: "Its key.", at: func(r *Router) any { return &r.TLS.Targets.Key }},
-	{Name: "tls.targets.plain_text", Unit: UnitBool, Default: "false", Effect: "Reach targets that no authority is named for in plain text although they are not on loopback; without it they get no work.", at: func(r *Router) any { return &r.TLS.Targets.PlainText }},
-
-	{Name: "tls.platform.ca", Unit: UnitFile, Optional: true, Effect: "Authorities of the platform's certificate where its URLs are https; those of the operating system where not set.", at: func(r *Router) any { return &r.TLS.Platform.CA }},
-
-	{Name: "log.level", Unit: UnitLevel, Default: "info", Effect: "Lowest level that is logged.", at: func(r *Router) any { return &r.Log.Level }},
+	{Name: "name", Unit: UnitName, Effect: "Name of the router; unique among all routers and stable over restarts.", pointer: func(r *Router) any { return &r.Name }},
+	{Name: "data_centre", Unit: UnitName, Effect: "Data centre that the VM is in.", pointer: func(r *Router) any { return &r.DataCentre }},
+
+	{Name: "listen.caller", Unit: UnitAddress, Default: "0.0.0.0:8080", Effect: "Address that callers reach.", pointer: func(r *Router) any { return &r.Listen.Caller }},
+	{Name: "listen.operator", Unit: UnitAddress, Default: "127.0.0.1:8081", Effect: "Address of the operators' endpoint: changes, health, metrics, pprof.", pointer: func(r *Router) any { return &r.Listen.Operator }},
+	{Name: "listen.peer", Unit: UnitAddress, Default: "0.0.0.0:8082", Effect: "Address that other routers reach.", pointer: func(r *Router) any { return &r.Listen.Peer }},
+	{Name: "listen.peer_datagrams", Unit: UnitBool, Default: "true", Effect: "Send heartbeats to other routers as UDP datagrams where the network lets them pass; false sends them over sessions and listens on no UDP port.", pointer: func(r *Router) any { return &r.Listen.PeerDatagrams }},
+	{Name: "listen.peer_advertised", Unit: UnitAddress, Optional: true, Effect: "Peer address that is given to other routers; listen.peer if not set. Required if listen.peer is 0.0.0.0.", pointer: func(r *Router) any { return &r.Listen.PeerAdvertised }},
+
+	{Name: "store.addresses", Unit: UnitURLs, Effect: "Addresses of the platform's key-value service, tried in turn.", pointer: func(r *Router) any { return &r.Store.Addresses }},
+	{Name: "store.timeout", Unit: UnitDuration, Default: "500ms", Min: "10ms", Max: "30s", Effect: "Longest wait for one call of the store; a watch waits for timers.watch.", pointer: func(r *Router) any { return &r.Store.Timeout }},
+	{Name: "store.calls_per_second", Unit: UnitPerSecond, Default: "100", Min: "1", Max: "10000", Effect: "Budget of store reads of this router, and four times its budget of writes; calls above it are refused locally.", pointer: func(r *Router) any { return &r.Store.CallsPerSecond }},
+	{Name: "store.routers_per_relay", Unit: UnitCount, Default: "150", Min: "1", Max: "10000", Effect: "Number of routers of a data centre for which one of them reads the grantor records; with 1 each router reads them itself.", pointer: func(r *Router) any { return &r.Store.RoutersPerRelay }},
+
+	{Name: "vms.address", Unit: UnitURL, Effect: "Address of the platform's list of VMs.", pointer: func(r *Router) any { return &r.VMs.Address }},
+	{Name: "vms.every", Unit: UnitDuration, Default: "2s", Min: "100ms", Max: "5m", Effect: "Time between two reads of the list of VMs.", pointer: func(r *Router) any { return &r.VMs.Every }},
+
+	{Name: "drain.limit", Unit: UnitDuration, Default: "30s", Min: "1s", Max: "1h", Effect: "Longest time that a graceful shutdown, or the move of a key, waits for requests in flight before it cuts them off.", pointer: func(r *Router) any { return &r.Drain.Limit }},
+	{Name: "drain.not_ready", Unit: UnitDuration, Default: "1s", Min: "0s", Max: "5m", Effect: "Time between reporting not ready and refusing new work, so that the load balancer can notice.", pointer: func(r *Router) any { return &r.Drain.NotReady }},
+
+	{Name: "timers.grant_renew", Unit: UnitDuration, Default: "80ms", Min: "10ms", Max: "10s", Effect: "Time between two renewals of a target's grants.", pointer: func(r *Router) any { return &r.Timers.GrantRenew }},
+	{Name: "timers.grant_ttl", Unit: UnitDuration, Default: "320ms", Min: "50ms", Max: "1m", Effect: "Time to live of a grant; at least 3 times timers.grant_renew. The keys of a lost owner are not served until it has passed.", pointer: func(r *Router) any { return &r.Timers.GrantTTL }},
+	{Name: "timers.probe", Unit: UnitDuration, Default: "500ms", Min: "50ms", Max: "1m", Effect: "Time between two health probes of a target.", pointer: func(r *Router) any { return &r.Timers.Probe }},
+	{Name: "timers.watch", Unit: UnitDuration, Default: "2s", Min: "1s", Max: "10m", Effect: "Longest time that one watch call waits at the store.", pointer: func(r *Router) any { return &r.Timers.Watch }},
+	{Name: "timers.rebalance", Unit: UnitDuration, Default: "1s", Min: "100ms", Max: "10m", Effect: "Time between two rounds of rebalancing.", pointer: func(r *Router) any { return &r.Timers.Rebalance }},
+	{Name: "timers.dial", Unit: UnitDuration, Default: "250ms", Min: "5ms", Max: "30s", Effect: "Longest time for opening a connection to a target or router.", pointer: func(r *Router) any { return &r.Timers.Dial }},
+	{Name: "timers.conn_age", Unit: UnitDuration, Default: "5m", Min: "1s", Max: "24h", Effect: "Age from which a connection to a target is closed as soon as it is idle.", pointer: func(r *Router) any { return &r.Timers.ConnAge }},
+	{Name: "timers.conn_idle", Unit: UnitDuration, Default: "30s", Min: "100ms", Max: "1h", Effect: "Idle time after which a connection to a target is closed.", pointer: func(r *Router) any { return &r.Timers.ConnIdle }},
+
+	{Name: "limits.header_size", Unit: UnitSize, Default: "64KiB", Min: "4KiB", Max: "1MiB", Effect: "Largest header of a request.", pointer: func(r *Router) any { return &r.Limits.HeaderSize }},
+	{Name: "limits.in_flight", Unit: UnitCount, Default: "10000", Min: "1", Max: "1000000", Effect: "Largest number of callers' requests in flight; more are refused as not run.", pointer: func(r *Router) any { return &r.Limits.InFlight }},
+	{Name: "limits.upload_rate", Unit: UnitSize, Default: "8KiB", Min: "1KiB", Max: "1MiB", Effect: "Lowest rate per second at which a request's body must arrive while other requests wait for the slot that it holds; slower requests are cut off. It does not apply while no request waits.", pointer: func(r *Router) any { return &r.Limits.UploadRate }},
+	{Name: "limits.own_delay", Unit: UnitDuration, Default: "10ms", Min: "0s", Max: "1s", Effect: "Longest time that work may wait for this router's own processor before some of it is refused as not run: retries first, then batch work, then interactive work. 0 disables this.", pointer: func(r *Router) any { return &r.Limits.OwnDelay }},
+	{Name: "limits.retry_share", Unit: UnitShare, Default: "0.1", Min: "0", Max: "1", Effect: "Retries as a share of answered requests. Without answers all routers together make at most one retry a second and twenty at once, or one for each router if there are more routers. 0 disables retries.", pointer: func(r *Router) any { return &r.Limits.RetryShare }},
+	{Name: "limits.metric_callers", Unit: UnitCount, Default: "50", Min: "1", Max: "1000", Effect: "Number of callers with metrics of their own; all others are counted as one.", pointer: func(r *Router) any { return &r.Limits.MetricCallers }},
+	{Name: "limits.journal_events", Unit: UnitCount, Default: "4096", Min: "16", Max: "1000000", Effect: "Number of events that the journal keeps in memory.", pointer: func(r *Router) any { return &r.Limits.JournalEvents }},
+	{Name: "limits.mailbox", Unit: UnitCount, Default: "1024", Min: "16", Max: "65536", Effect: "Largest number of messages queued for one duty.", pointer: func(r *Router) any { return &r.Limits.Mailbox }},
+	{Name: "limits.moves_per_minute", Unit: UnitCount, Default: "60", Min: "0", Max: "100000", Effect: "Largest number of units of keys that rebalancing moves per minute and service.", pointer: func(r *Router) any { return &r.Limits.MovesPerMinute }},
+
+	{Name: "tls.reload_every", Unit: UnitDuration, Default: "10s", Min: "100ms", Max: "1h", Effect: "Time between two checks of the certificate files; a changed file takes effect without cutting connections, as it does at SIGHUP.", pointer: func(r *Router) any { return &r.TLS.ReloadEvery }},
+	{Name: "tls.warn_before", Unit: UnitDuration, Default: "336h", Min: "1h", Max: "8760h", Effect: "Time before its expiry from which a certificate is reported, by an event and in the status.", pointer: func(r *Router) any { return &r.TLS.WarnBefore }},
+
+	{Name: "tls.callers.cert", Unit: UnitFile, Optional: true, Effect: "Certificate, with its chain, of the callers' listener.", pointer: func(r *Router) any { return &r.TLS.Callers.Cert }},
+	{Name: "tls.callers.key", Unit: UnitFile, Optional: true, Effect: "Its key; not readable by all users of the VM.", pointer: func(r *Router) any { return &r.TLS.Callers.Key }},
+	{Name: "tls.callers.ca", Unit: UnitFile, Optional: true, Effect: "Authorities of callers' certificates; a caller that presents no certificate of theirs gets no connection. Callers need no certificate if not set.", pointer: func(r *Router) any { return &r.TLS.Callers.CA }},
+	{Name: "tls.callers.crl", Unit: UnitFile, Optional: true, Effect: "Revocation lists of these authorities; a caller whose certificate is revoked is refused, on open connections too.", pointer: func(r *Router) any { return &r.TLS.Callers.CRL }},
+	{Name: "tls.callers.plain_text", Unit: UnitBool, Default: "false", Effect: "Answer callers in plain text although listen.caller is not on loopback.", pointer: func(r *Router) any { return &r.TLS.Callers.PlainText }},
+
+	{Name: "tls.operator.cert", Unit: UnitFile, Optional: true, Effect: "Certificate, with its chain, of the operators' listener.", pointer: func(r *Router) any { return &r.TLS.Operator.Cert }},
+	{Name: "tls.operator.key", Unit: UnitFile, Optional: true, Effect: "Its key.", pointer: func(r *Router) any { return &r.TLS.Operator.Key }},
+	{Name: "tls.operator.ca", Unit: UnitFile, Optional: true, Effect: "Authorities of the operators' certificates, whose organisational unit is the role: read, operate or administer.", pointer: func(r *Router) any { return &r.TLS.Operator.CA }},
+	{Name: "tls.operator.crl", Unit: UnitFile, Optional: true, Effect: "Revocation lists of these authorities; an operator whose certificate is revoked is refused, on open connections too.", pointer: func(r *Router) any { return &r.TLS.Operator.CRL }},
+	{Name: "tls.operator.plain_text", Unit: UnitBool, Default: "false", Effect: "Answer operators in plain text although listen.operator is not on loopback; calls from other machines may then only read.", pointer: func(r *Router) any { return &r.TLS.Operator.PlainText }},
+
+	{Name: "tls.peers.cert", Unit: UnitFile, Optional: true, Effect: "Certificate that this router shows to others: its name as a DNS name, the organisational unit router, for servers and clients.", pointer: func(r *Router) any { return &r.TLS.Peers.Cert }},
+	{Name: "tls.peers.key", Unit: UnitFile, Optional: true, Effect: "Its key.", pointer: func(r *Router) any { return &r.TLS.Peers.Key }},
+	{Name: "tls.peers.ca", Unit: UnitFile, Optional: true, Effect: "Authorities of the routers' certificates.", pointer: func(r *Router) any { return &r.TLS.Peers.CA }},
+	{Name: "tls.peers.crl", Unit: UnitFile, Optional: true, Effect: "Revocation lists of these authorities; a router whose certificate one names is refused, and its open sessions end.", pointer: func(r *Router) any { return &r.TLS.Peers.CRL }},
+	{Name: "tls.peers.plain_text", Unit: UnitBool, Default: "false", Effect: "Talk with other routers in plain text although listen.peer is not on loopback; whoever reaches it may pass for a router then.", pointer: func(r *Router) any { return &r.TLS.Peers.PlainText }},
+
+	{Name: "tls.targets.ca", Unit: UnitFile, Optional: true, Effect: "Authorities of the targets' certificates, which must be valid for the target's name; targets are reached over TLS where it is set.", pointer: func(r *Router) any { return &r.TLS.Targets.CA }},
+	{Name: "tls.targets.service_ca", Unit: UnitFiles, Optional: true, Effect: "Authorities for the targets of single services, in place of tls.targets.ca.", pointer: func(r *Router) any { return &r.TLS.Targets.ServiceCA }},
+	{Name: "tls.targets.crl", Unit: UnitFile, Optional: true, Effect: "Revocation lists of the authorities in tls.targets.ca; a target whose certificate is revoked gets no work.", pointer: func(r *Router) any { return &r.TLS.Targets.CRL }},
+	{Name: "tls.targets.service_crl", Unit: UnitFiles, Optional: true, Effect: "Revocation lists of the authorities in tls.targets.service_ca, by service.", pointer: func(r *Router) any { return &r.TLS.Targets.ServiceCRL }},
+	{Name: "tls.targets.cert", Unit: UnitFile, Optional: true, Effect: "Certificate that is presented to targets that ask for one.", pointer: func(r *Router) any { return &r.TLS.Targets.Cert }},
+	{Name: "tls.targets.key", Unit: UnitFile, Optional: true, Effect: "Its key.", pointer: func(r *Router) any { return &r.TLS.Targets.Key }},
+	{Name: "tls.targets.plain_text", Unit: UnitBool, Default: "false", Effect: "Connect in plain text to targets for which no authority is named, although they are not on loopback; without this setting they get no work.", pointer: func(r *Router) any { return &r.TLS.Targets.PlainText }},
+
+	{Name: "tls.platform.ca", Unit: UnitFile, Optional: true, Effect: "Authorities of the platform's certificate if its URLs are https; those of the operating system if not set.", pointer: func(r *Router) any { return &r.TLS.Platform.CA }},
+
+	{Name: "log.level", Unit: UnitLevel, Default: "info", Effect: "Lowest level that is logged.", pointer: func(r *Router) any { return &r.Log.Level }},
 }
 
 func settingByName(name string) *Setting {
@@ -135,17 +134,17 @@
 	return nil
 }
 
-// settingsUnder returns the names of the fields of a table, each once.
+// settingsUnder returns the names of a table's fields and subtables, without duplicates.
 func settingsUnder(table string) []string {
 	var names []string
 	for i := range Settings {
 		rest := Settings[i].Name
 		if table != "" {
-			below, found := strings.CutPrefix(rest, table+".")
+			suffix, found := strings.CutPrefix(rest, table+".")
 			if !found {
 				continue
 			}
-			rest = below
+			rest = suffix
 		}
 		name, _, _ := strings.Cut(rest, ".")
 		if !slices.Contains(names, name) {
@@ -157,10 +156,10 @@
 
 func sortedKeys(table map[string]any) []string { return slices.Sorted(maps.Keys(table)) }
 
-// read sets the setting from its text form.
-func (s *Setting) read(text string, r *Router) error {
+// parse sets the setting in r from its text form.
+func (s *Setting) parse(text string, r *Router) error {
 	var err error
-	switch into := s.at(r).(type) {
+	switch into := s.pointer(r).(type) {
 	case *string:
 		*into = text
 	case *[]string:
@@ -176,12 +175,12 @@
 	case *bool:
 		*into, err = strconv.ParseBool(text)
 	default:
-		panic(fmt.Sprintf("config: no reader for %T", into))
+		panic(fmt.Sprintf("config: no parser for type %T", into))
 	}
 	return err
 }
 
-// check returns what is wrong with a value and the mend; empty where it is right.
+// check describes the error in a value and how to correct it; both are empty if it is valid.
 func (s *Setting) check(value any) (text, mend string) {
 	switch value := value.(type) {
 	case *string:
@@ -191,30 +190,30 @@
 	case *map[string]string:
 		return checkServiceFiles(*value)
 	case *time.Duration:
-		return bounded(s, *value, time.ParseDuration)
+		return checkBounds(s, *value, time.ParseDuration)
 	case *Size:
-		return bounded(s, *value, ParseSize)
+		return checkBounds(s, *value, ParseSize)
 	case *int:
-		return bounded(s, *value, strconv.Atoi)
+		return checkBounds(s, *value, strconv.Atoi)
 	case *float64:
 		if math.IsNaN(*value) {
-			return "it is not a number", s.bounds()
+			return "it is not a number", s.boundsHint()
 		}
-		return bounded(s, *value, func(t string) (float64, error) { return strconv.ParseFloat(t, 64) })
+		return checkBounds(s, *value, func(t string) (float64, error) { return strconv.ParseFloat(t, 64) })
 	}
 	return "", ""
 }
 
-func bounded[T cmp.Ordered](s *Setting, value T, parse func(string) (T, error)) (text, mend string) {
-	least, lowErr := parse(s.Least)
-	most, highErr := parse(s.Most)
-	if lowErr == nil && value < least || highErr == nil && value > most {
-		return fmt.Sprintf("%v is not allowed", value), s.bounds()
+func checkBounds[T cmp.Ordered](s *Setting, value T, parse func(string) (T, error)) (text, mend string) {
+	lower, lowerErr := parse(s.Min)
+	upper, upperErr := parse(s.Max)
+	if lowerErr == nil && value < lower || upperErr == nil && value > upper {
+		return fmt.Sprintf("%v is not allowed", value), s.boundsHint()
 	}
 	return "", ""
 }
 
-func (s *Setting) bounds() string { return fmt.Sprintf("use %s to %s", s.Least, s.Most) }
+func (s *Setting) boundsHint() string { return fmt.Sprintf("use %s to %s", s.Min, s.Max) }
 
 func (s *Setting) checkText(value string) (text, mend string) {
 	switch s.Unit {
@@ -238,8 +237,8 @@
 	if len(urls) == 0 {
 		return "the list is empty", "name at least one URL"
 	}
-	for _, one := range urls {
-		if text := checkURL(one); text != "" {
+	for _, url := range urls {
+		if text := checkURL(url); text != "" {
 			return text, "write a URL, for instance http://127.0.0.1:9000"
 		}
 	}
--- a/config/size.go
+++ b/config/size.go
@@ -11,7 +11,8 @@
 // Size is a number of bytes, written with a unit: B, KiB, MiB or GiB.
 type Size int64
 
-// sizeUnits are the units from the largest down; B is last because the others end with it.
+// sizeUnits are the units, largest first. B is last because the names of the others end with
+// it.
 var sizeUnits = []struct {
 	name  string
 	bytes Size
--- a/config/tls.go
+++ b/config/tls.go
@@ -11,8 +11,8 @@
 	"tarragongw/core/model"
 )
 
-// TLS names the certificates, keys and authorities of the process. A side without
-// them speaks plain text, off loopback only where its PlainText says so.
+// TLS holds the files of the certificates, keys and authorities of the process. A listener or
+// connection without them uses plain text; other than on loopback it needs PlainText for this.
 type TLS struct {
 	ReloadEvery time.Duration
 	WarnBefore  time.Duration
@@ -32,18 +32,18 @@
 // CallersTLS is for the callers' listener.
 type CallersTLS struct {
 	CertFiles
-	// CA holds the authorities of callers' certificates; empty asks callers for none. CRL
-	// holds their revocation lists.
+	// CA is the file of the authorities of callers' certificates; if empty, callers need no
+	// certificate. CRL is the file of their revocation lists.
 	CA        string
 	CRL       string
 	PlainText bool
 }
 
-// MutualTLS is for a listener whose clients show certificates of the authorities in CA.
+// MutualTLS is for a listener whose clients must present a certificate of an authority in CA.
 type MutualTLS struct {
 	CertFiles
 	CA string
-	// CRL holds revocation lists of the authorities in CA.
+	// CRL is the file of the revocation lists of the authorities in CA.
 	CRL       string
 	PlainText bool
 }
@@ -52,9 +52,10 @@
 type TargetsTLS struct {
 	CertFiles
 	CA string
-	// ServiceCA are authorities by service, in place of CA.
+	// ServiceCA holds, by service, the file of authorities to use instead of CA.
 	ServiceCA map[string]string
-	// CRL holds revocation lists of the authorities in CA, and ServiceCRL by service.
+	// CRL is the file of the revocation lists of the authorities in CA, and ServiceCRL holds,
+	// by service, that of the authorities in ServiceCA.
 	CRL        string
 	ServiceCRL map[string]string
 	PlainText  bool
@@ -63,7 +64,7 @@
 // PlatformTLS is for the connections to the platform.
 type PlatformTLS struct{ CA string }
 
-// IsLoopback reports whether only the VM itself reaches the address, host:port.
+// IsLoopback reports whether the address, host:port, can be reached only from the VM itself.
 func IsLoopback(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -72,33 +73,35 @@
 	return host == "localhost" || net.ParseIP(host).IsLoopback()
 }
 
-// tlsRelations checks that the files of a side are given together.
-func (d *routerReader) tlsRelations() {
+// checkTLSRelations checks that settings that need each other are set together, and that none
+// contradict each other.
+func (d *routerReader) checkTLSRelations() {
 	t := &d.router.TLS
-	d.together("tls.callers", "cert", "key")
-	d.together("tls.operator", "cert", "key", "ca")
-	d.together("tls.peers", "cert", "key", "ca")
-	d.together("tls.targets", "cert", "key")
-	d.notBoth("tls.callers", t.Callers.Cert, t.Callers.PlainText)
-	d.notBoth("tls.operator", t.Operator.Cert, t.Operator.PlainText)
-	d.notBoth("tls.peers", t.Peers.Cert, t.Peers.PlainText)
-	d.notBoth("tls.targets", t.Targets.CA, t.Targets.PlainText)
-	d.needsAuthority("tls.callers.crl", t.Callers.CRL, t.Callers.CA)
+	d.checkTogether("tls.callers", "cert", "key")
+	d.checkTogether("tls.operator", "cert", "key", "ca")
+	d.checkTogether("tls.peers", "cert", "key", "ca")
+	d.checkTogether("tls.targets", "cert", "key")
+	d.checkNotBoth("tls.callers", t.Callers.Cert, t.Callers.PlainText)
+	d.checkNotBoth("tls.operator", t.Operator.Cert, t.Operator.PlainText)
+	d.checkNotBoth("tls.peers", t.Peers.Cert, t.Peers.PlainText)
+	d.checkNotBoth("tls.targets", t.Targets.CA, t.Targets.PlainText)
+	d.checkAuthority("tls.callers.crl", t.Callers.CRL, t.Callers.CA)
 	if t.Callers.CA != "" && t.Callers.Cert == "" {
 		d.fail("tls.callers.ca", "name tls.callers.cert and tls.callers.key as well", "tls.callers.ca is not enough for TLS")
 	}
-	d.needsAuthority("tls.operator.crl", t.Operator.CRL, t.Operator.CA)
-	d.needsAuthority("tls.peers.crl", t.Peers.CRL, t.Peers.CA)
-	d.needsAuthority("tls.targets.crl", t.Targets.CRL, t.Targets.CA)
+	d.checkAuthority("tls.operator.crl", t.Operator.CRL, t.Operator.CA)
+	d.checkAuthority("tls.peers.crl", t.Peers.CRL, t.Peers.CA)
+	d.checkAuthority("tls.targets.crl", t.Targets.CRL, t.Targets.CA)
 	for _, service := range slices.Sorted(maps.Keys(t.Targets.ServiceCRL)) {
-		d.needsAuthority("tls.targets.service_crl", t.Targets.ServiceCRL[service], t.Targets.ServiceCA[service])
+		d.checkAuthority("tls.targets.service_crl", t.Targets.ServiceCRL[service], t.Targets.ServiceCA[service])
 	}
 	if t.Targets.Cert != "" && t.Targets.CA == "" && len(t.Targets.ServiceCA) == 0 {
 		d.fail("tls.targets.cert", "name tls.targets.ca", "tls.targets.cert is not shown to anybody without an authority of the targets")
 	}
 }
 
-func (d *routerReader) together(table string, fields ...string) {
+// checkTogether checks that either all or none of the fields of a table are set.
+func (d *routerReader) checkTogether(table string, fields ...string) {
 	var given, missing []string
 	for _, field := range fields {
 		if name := table + "." + field; d.given[name] {
@@ -112,21 +115,23 @@
 	}
 }
 
-// needsAuthority checks that lists are given with the authorities that sign them.
-func (d *routerReader) needsAuthority(name, list, authority string) {
+// checkAuthority checks that revocation lists are set only together with the authorities that
+// sign them.
+func (d *routerReader) checkAuthority(name, list, authority string) {
 	if list != "" && authority == "" {
 		mend := strings.Replace(name, "crl", "ca", 1)
 		d.fail(name, "name "+mend+" as well", "%s names revocation lists, and %s no authority that signs them", name, mend)
 	}
 }
 
-func (d *routerReader) notBoth(table, file string, plain bool) {
+// checkNotBoth checks that plain_text is not set together with a file of the same table.
+func (d *routerReader) checkNotBoth(table, file string, plain bool) {
 	if file != "" && plain {
 		d.fail(table+".plain_text", "remove it, or the files", "%s.plain_text contradicts the files of %s", table, table)
 	}
 }
 
-// checkFile returns what is wrong with a file's name.
+// checkFile describes the error in a file's name; empty if it is valid.
 func checkFile(name string) string {
 	if strings.TrimSpace(name) == "" {
 		return "the name is empty"
@@ -134,7 +139,8 @@
 	return ""
 }
 
-// checkServiceFiles returns what is wrong with a table of services and files.
+// checkServiceFiles describes the error in a table of files by service and how to correct it;
+// both are empty if it is valid.
 func checkServiceFiles(files map[string]string) (text, mend string) {
 	for _, service := range slices.Sorted(maps.Keys(files)) {
 		if !model.IsName(service) {
--- a/config/tls_test.go
+++ b/config/tls_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestParseTLS(t *testing.T) {
-	r, err := ParseRouter(File{"r.toml", []byte(routerHead + `
+	r, err := ParseRouter(File{"r.toml", []byte(requiredSettings + `
 [tls.operator]
 cert = "o.crt"
 key = "o.key"
@@ -25,7 +25,7 @@
 }
 
 func TestParseTLSErrors(t *testing.T) {
-	_, err := ParseRouter(File{"r.toml", []byte(routerHead + `[tls.callers]
+	_, err := ParseRouter(File{"r.toml", []byte(requiredSettings + `[tls.callers]
 cert = "c.crt"
 plain_text = true
 [tls.operator]
