--- a/config/model.go
+++ b/config/model.go
@@ -182,8 +182,8 @@
 		name, add = s.Name, func() { m.Selectors = append(m.Selectors, s) }
 	}
 	ref := model.Ref{Kind: kind, Name: name}
-	invalid := len(d.doc.errors) > before
-	if name == "" && (invalid || d.doc.incomplete) {
+	faulty := len(d.doc.errors) > before
+	if name == "" && (faulty || d.doc.incomplete) {
 		return
 	}
 	if first, taken := r.definedAt[ref]; taken {
@@ -191,7 +191,7 @@
 		return
 	}
 	r.definedAt[ref] = origin{d.doc, path}
-	r.invalid[ref] = invalid
+	r.invalid[ref] = faulty
 	add()
 }
 
--- a/config/page.go
+++ b/config/page.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// Sample returns a sample settings file of a router process. Every setting is listed with its
-// effect; settings with a default are commented out and show it, and required settings have
-// a placeholder value.
+// Sample returns a sample settings file of a router process that lists every setting with its
+// effect. Required settings have a placeholder value. All others are commented out, with their
+// default, or a placeholder value if they have none.
 func Sample() string {
 	var b strings.Builder
 	b.WriteString("# Settings of a router process. Lines that are commented out show the defaults.\n")
--- a/config/settings.go
+++ b/config/settings.go
@@ -55,14 +55,14 @@
 	{Name: "name", Unit: UnitName, Effect: "Name of the router; unique among all routers and stable over restarts.", pointer: func(r *Router) any { return &r.Name }},
 	{Name: "data_centre", Unit: UnitName, Effect: "Data centre that the VM is in.", pointer: func(r *Router) any { return &r.DataCentre }},
 
-	{Name: "listen.caller", Unit: UnitAddress, Default: "0.0.0.0:8080", Effect: "Address that callers reach.", pointer: func(r *Router) any { return &r.Listen.Caller }},
+	{Name: "listen.caller", Unit: UnitAddress, Default: "0.0.0.0:8080", Effect: "Address on which the router listens for callers.", pointer: func(r *Router) any { return &r.Listen.Caller }},
 	{Name: "listen.operator", Unit: UnitAddress, Default: "127.0.0.1:8081", Effect: "Address of the operators' endpoint: changes, health, metrics, pprof.", pointer: func(r *Router) any { return &r.Listen.Operator }},
-	{Name: "listen.peer", Unit: UnitAddress, Default: "0.0.0.0:8082", Effect: "Address that other routers reach.", pointer: func(r *Router) any { return &r.Listen.Peer }},
+	{Name: "listen.peer", Unit: UnitAddress, Default: "0.0.0.0:8082", Effect: "Address on which the router listens for other routers.", pointer: func(r *Router) any { return &r.Listen.Peer }},
 	{Name: "listen.peer_datagrams", Unit: UnitBool, Default: "true", Effect: "Send heartbeats to other routers as UDP datagrams where the network lets them pass; false sends them over sessions and listens on no UDP port.", pointer: func(r *Router) any { return &r.Listen.PeerDatagrams }},
-	{Name: "listen.peer_advertised", Unit: UnitAddress, Optional: true, Effect: "Peer address that is given to other routers; listen.peer if not set. Required if listen.peer is 0.0.0.0.", pointer: func(r *Router) any { return &r.Listen.PeerAdvertised }},
+	{Name: "listen.peer_advertised", Unit: UnitAddress, Optional: true, Effect: "Peer address that is given to other routers; listen.peer if not set. Needed if listen.peer is 0.0.0.0.", pointer: func(r *Router) any { return &r.Listen.PeerAdvertised }},
 
 	{Name: "store.addresses", Unit: UnitURLs, Effect: "Addresses of the platform's key-value service, tried in turn.", pointer: func(r *Router) any { return &r.Store.Addresses }},
-	{Name: "store.timeout", Unit: UnitDuration, Default: "500ms", Min: "10ms", Max: "30s", Effect: "Longest wait for one call of the store; a watch waits for timers.watch.", pointer: func(r *Router) any { return &r.Store.Timeout }},
+	{Name: "store.timeout", Unit: UnitDuration, Default: "500ms", Min: "10ms", Max: "30s", Effect: "Longest wait for one call to the store; a watch waits for timers.watch.", pointer: func(r *Router) any { return &r.Store.Timeout }},
 	{Name: "store.calls_per_second", Unit: UnitPerSecond, Default: "100", Min: "1", Max: "10000", Effect: "Budget of store reads of this router, and four times its budget of writes; calls above it are refused locally.", pointer: func(r *Router) any { return &r.Store.CallsPerSecond }},
 	{Name: "store.routers_per_relay", Unit: UnitCount, Default: "150", Min: "1", Max: "10000", Effect: "Number of routers of a data centre for which one of them reads the grantor records; with 1 each router reads them itself.", pointer: func(r *Router) any { return &r.Store.RoutersPerRelay }},
 
@@ -83,7 +83,7 @@
 
 	{Name: "limits.header_size", Unit: UnitSize, Default: "64KiB", Min: "4KiB", Max: "1MiB", Effect: "Largest header of a request.", pointer: func(r *Router) any { return &r.Limits.HeaderSize }},
 	{Name: "limits.in_flight", Unit: UnitCount, Default: "10000", Min: "1", Max: "1000000", Effect: "Largest number of callers' requests in flight; more are refused as not run.", pointer: func(r *Router) any { return &r.Limits.InFlight }},
-	{Name: "limits.upload_rate", Unit: UnitSize, Default: "8KiB", Min: "1KiB", Max: "1MiB", Effect: "Lowest rate per second at which a request's body must arrive while other requests wait for the slot that it holds; slower requests are cut off. It does not apply while no request waits.", pointer: func(r *Router) any { return &r.Limits.UploadRate }},
+	{Name: "limits.upload_rate", Unit: UnitSize, Default: "8KiB", Min: "1KiB", Max: "1MiB", Effect: "Lowest rate, per second, at which a request's body must arrive while other requests wait for the slot that it holds; slower requests are cut off. It does not apply while no request waits.", pointer: func(r *Router) any { return &r.Limits.UploadRate }},
 	{Name: "limits.own_delay", Unit: UnitDuration, Default: "10ms", Min: "0s", Max: "1s", Effect: "Longest time that work may wait for this router's own processor before some of it is refused as not run: retries first, then batch work, then interactive work. 0 disables this.", pointer: func(r *Router) any { return &r.Limits.OwnDelay }},
 	{Name: "limits.retry_share", Unit: UnitShare, Default: "0.1", Min: "0", Max: "1", Effect: "Retries as a share of answered requests. Without answers all routers together make at most one retry a second and twenty at once, or one for each router if there are more routers. 0 disables retries.", pointer: func(r *Router) any { return &r.Limits.RetryShare }},
 	{Name: "limits.metric_callers", Unit: UnitCount, Default: "50", Min: "1", Max: "1000", Effect: "Number of callers with metrics of their own; all others are counted as one.", pointer: func(r *Router) any { return &r.Limits.MetricCallers }},
@@ -106,14 +106,14 @@
 	{Name: "tls.operator.crl", Unit: UnitFile, Optional: true, Effect: "Revocation lists of these authorities; an operator whose certificate is revoked is refused, on open connections too.", pointer: func(r *Router) any { return &r.TLS.Operator.CRL }},
 	{Name: "tls.operator.plain_text", Unit: UnitBool, Default: "false", Effect: "Answer operators in plain text although listen.operator is not on loopback; calls from other machines may then only read.", pointer: func(r *Router) any { return &r.TLS.Operator.PlainText }},
 
-	{Name: "tls.peers.cert", Unit: UnitFile, Optional: true, Effect: "Certificate that this router shows to others: its name as a DNS name, the organisational unit router, for servers and clients.", pointer: func(r *Router) any { return &r.TLS.Peers.Cert }},
+	{Name: "tls.peers.cert", Unit: UnitFile, Optional: true, Effect: "Certificate that this router presents to other routers. It must have the router's name as a DNS name and the organisational unit router, and be valid for servers and clients.", pointer: func(r *Router) any { return &r.TLS.Peers.Cert }},
 	{Name: "tls.peers.key", Unit: UnitFile, Optional: true, Effect: "Its key.", pointer: func(r *Router) any { return &r.TLS.Peers.Key }},
 	{Name: "tls.peers.ca", Unit: UnitFile, Optional: true, Effect: "Authorities of the routers' certificates.", pointer: func(r *Router) any { return &r.TLS.Peers.CA }},
-	{Name: "tls.peers.crl", Unit: UnitFile, Optional: true, Effect: "Revocation lists of these authorities; a router whose certificate one names is refused, and its open sessions end.", pointer: func(r *Router) any { return &r.TLS.Peers.CRL }},
-	{Name: "tls.peers.plain_text", Unit: UnitBool, Default: "false", Effect: "Talk with other routers in plain text although listen.peer is not on loopback; whoever reaches it may pass for a router then.", pointer: func(r *Router) any { return &r.TLS.Peers.PlainText }},
+	{Name: "tls.peers.crl", Unit: UnitFile, Optional: true, Effect: "Revocation lists of these authorities; a router whose certificate is revoked is refused, and its open sessions end.", pointer: func(r *Router) any { return &r.TLS.Peers.CRL }},
+	{Name: "tls.peers.plain_text", Unit: UnitBool, Default: "false", Effect: "Communicate with other routers in plain text although listen.peer is not on loopback; anyone who can reach it can then pose as a router.", pointer: func(r *Router) any { return &r.TLS.Peers.PlainText }},
 
-	{Name: "tls.targets.ca", Unit: UnitFile, Optional: true, Effect: "Authorities of the targets' certificates, which must be valid for the target's name; targets are reached over TLS where it is set.", pointer: func(r *Router) any { return &r.TLS.Targets.CA }},
-	{Name: "tls.targets.service_ca", Unit: UnitFiles, Optional: true, Effect: "Authorities for the targets of single services, in place of tls.targets.ca.", pointer: func(r *Router) any { return &r.TLS.Targets.ServiceCA }},
+	{Name: "tls.targets.ca", Unit: UnitFile, Optional: true, Effect: "Authorities of the targets' certificates, which must be valid for the target's name; targets are reached over TLS if it is set.", pointer: func(r *Router) any { return &r.TLS.Targets.CA }},
+	{Name: "tls.targets.service_ca", Unit: UnitFiles, Optional: true, Effect: "Authorities for the targets of single services, instead of tls.targets.ca.", pointer: func(r *Router) any { return &r.TLS.Targets.ServiceCA }},
 	{Name: "tls.targets.crl", Unit: UnitFile, Optional: true, Effect: "Revocation lists of the authorities in tls.targets.ca; a target whose certificate is revoked gets no work.", pointer: func(r *Router) any { return &r.TLS.Targets.CRL }},
 	{Name: "tls.targets.service_crl", Unit: UnitFiles, Optional: true, Effect: "Revocation lists of the authorities in tls.targets.service_ca, by service.", pointer: func(r *Router) any { return &r.TLS.Targets.ServiceCRL }},
 	{Name: "tls.targets.cert", Unit: UnitFile, Optional: true, Effect: "Certificate that is presented to targets that ask for one.", pointer: func(r *Router) any { return &r.TLS.Targets.Cert }},
