--- a/config/pieces.go
+++ b/config/pieces.go
@@ -218,7 +218,8 @@
 	return nil
 }
 
-// objectsPlaceholder stands for a list's objects in the skeleton of a record; it cannot occur in JSON.
+// objectsPlaceholder stands for a list's objects in the skeleton of a record; it cannot occur
+// in JSON.
 const objectsPlaceholder = "\x00"
 
 // appendDecoded decodes a list of objects, appends them to list and returns their range in it.
@@ -276,6 +277,7 @@
 	a.skeleton.WriteString("}")
 }
 
+// sortedByName reports whether a list is in order of name.
 func sortedByName[T any](list []T, name func(*T) string) bool {
 	for i := 1; i < len(list); i++ {
 		if name(&list[i-1]) > name(&list[i]) {
