--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -1,8 +1,8 @@
-// Package admission decides which requests may be at work at one target. All
-// requests to a target pass through one router, its grantor, which holds one
-// Gate for it: an exact limit on work in flight, a bounded queue that is fair
-// between callers and aware of deadlines, and interactive work before batch work
-// with a guaranteed share for batch.
+// Package admission decides which requests may be in flight to one target. All
+// requests to a target pass through one router, its grantor, which keeps one
+// Gate for it. The Gate enforces an exact limit on requests in flight, has a
+// bounded queue that is fair between callers and respects deadlines, and serves
+// interactive work before batch work with a guaranteed share for batch.
 //
 // The package is deterministic: time is a parameter, it starts no goroutine and
 // does no I/O. A Gate is not safe for concurrent use; package admit wraps it.
@@ -15,20 +15,20 @@
 	"tarragongw/core/request"
 )
 
-// ID names one item among all that a Gate holds.
+// ID identifies one item among all that a Gate holds.
 type ID uint64
 
 // Item is one request that asks for a slot.
 type Item struct {
 	// ID must differ from that of every item still held.
 	ID ID
-	// Caller is the name that fairness is measured by.
+	// Caller is the name by which the queue is fair: callers share slot time by weight.
 	Caller string
 	// Weight is the caller's share relative to others; zero or less means 1.
 	Weight float64
 	// Class is the priority class.
 	Class request.Class
-	// Deadline is when the work must have ended; the zero time means none.
+	// Deadline is the time by which the work must have ended; the zero time means none.
 	Deadline time.Time
 	// EstimatedService is the expected time at the target; zero means that the
 	// Gate's own measurement of the class is used.
@@ -41,9 +41,9 @@
 const (
 	// Admit means that the item holds a slot now.
 	Admit Verdict = iota
-	// Queue means that the item waits; a later Actions starts or refuses it.
+	// Queue means that the item waits; Actions returned later start or refuse it.
 	Queue
-	// Refuse means that the item was not taken and did not run.
+	// Refuse means that the item was rejected and did not run.
 	Refuse
 )
 
@@ -59,23 +59,24 @@
 	}
 }
 
-// Decision answers an offer. Kind and RetryAfter are set for Refuse only.
+// Decision is the answer to an offer. Kind and RetryAfter are set for Refuse only.
 type Decision struct {
 	Verdict Verdict
 	Kind    fault.Kind
-	// RetryAfter is when the backlog is expected to have room, from the drain rate.
+	// RetryAfter is the time until the queue is expected to have room, estimated from
+	// the rate at which it drains.
 	RetryAfter time.Duration
 }
 
-// Refusal ends a queued item that never ran.
+// Refusal rejects a queued item that never ran.
 type Refusal struct {
 	ID         ID
 	Kind       fault.Kind
 	RetryAfter time.Duration
 }
 
-// Actions is what the shell must carry out. The slices are valid until the next
-// call to the Gate.
+// Actions lists what the user of the Gate must carry out. The slices are valid until
+// the next call to the Gate.
 type Actions struct {
 	// Start lists the items that now hold a slot.
 	Start []ID
@@ -87,32 +88,33 @@
 type Outcome uint8
 
 const (
-	// Finished means that the target ended the work; its time feeds the estimates.
+	// Finished means that the target completed the work; its service time updates the
+	// estimates.
 	Finished Outcome = iota
-	// Failed means that the target is certainly not at work on the item.
+	// Failed means that the target is certainly not working on the item.
 	Failed
 	// Shed means that the target refused the item because it has no room.
 	Shed
-	// Unknown means that the target may still be at work on the item.
+	// Unknown means that the target may still be working on the item.
 	Unknown
-	// Awaiting means that the target may still be at work, and that most of the time went
-	// into waiting for the caller: it says nothing of the target.
+	// Awaiting means that the target may still be working on the item, and that most of
+	// the time was spent waiting for the caller, so it says nothing about the target.
 	Awaiting
-	// NotSent means that the slot was given back without use.
+	// NotSent means that the slot was returned unused.
 	NotSent
 )
 
 // Stats is a snapshot for metrics.
 type Stats struct {
-	// Limit is the present number of slots; InFlight and Held count those in use and
-	// those kept back for work of unknown end.
+	// Limit is the current number of slots. InFlight counts those in use, Held those
+	// reserved for work that may still be running at the target.
 	Limit, InFlight, Held int
 	// QueuedInteractive and QueuedBatch count waiting items.
 	QueuedInteractive, QueuedBatch int
-	// Callers counts the callers of whom state is kept.
+	// Callers counts the callers for which state is kept.
 	Callers int
 	// ServiceInteractive and ServiceBatch are the measured mean service times.
 	ServiceInteractive, ServiceBatch time.Duration
-	// Draining says that nothing new is admitted.
+	// Draining reports that nothing new is admitted.
 	Draining bool
 }
--- a/core/admission/config.go
+++ b/core/admission/config.go
@@ -9,48 +9,49 @@
 	DefaultBatchShare        = 0.1
 	DefaultBatchHeadroom     = 1
 	DefaultDeadlineShare     = 0.5
-	DefaultInteractiveMemory = 500 * time.Millisecond
+	DefaultInteractiveWindow = 500 * time.Millisecond
 	DefaultInitialService    = 20 * time.Millisecond
 	DefaultHoldUnknown       = time.Second
 	DefaultMaxRetryAfter     = 30 * time.Second
 	DefaultMinRetryAfter     = 50 * time.Millisecond
 )
 
-// Config is the setting of one target's Gate. The zero value of a field means
+// Config holds the settings of one target's Gate. The zero value of a field means
 // its default.
 type Config struct {
-	// Slots is the number of requests that the target works on at once; zero means
-	// unknown, and the limit then adapts to measured latency.
+	// Slots is the number of requests that the target works on concurrently. Zero means
+	// unknown; the limit then adapts to measured latency.
 	Slots int
-	// Distrust lets the limit adapt to latency below Slots too, for a target that
+	// AdaptBelowSlots lets latency lower the limit below Slots too, for a target that
 	// reports more slots than it has.
-	Distrust bool
-	// Adaptive bounds the limit where it adapts.
+	AdaptBelowSlots bool
+	// Adaptive configures the adaptive limit.
 	Adaptive LimiterConfig
-	// QueueLength bounds the waiting items of each class.
+	// QueueLength is the maximum number of waiting items of each class.
 	QueueLength int
-	// CallerShare is the part of the queue's free room that one caller may hold,
-	// in (0, 1]. A lone caller fills at most CallerShare/(1+CallerShare) of the queue.
+	// CallerShare is the fraction of the queue's free places that one caller may use,
+	// in (0, 1]. A single caller fills at most CallerShare/(1+CallerShare) of the queue.
 	CallerShare float64
-	// BatchShare is the least share of slot time that waiting batch work gets, in
+	// BatchShare is the minimum share of slot time that waiting batch work gets, in
 	// [0, 1). Negative means zero.
 	BatchShare float64
-	// BatchHeadroom is the least number of slots that batch work beyond its share
-	// leaves free while interactive work was offered within InteractiveMemory, so
+	// BatchHeadroom is the minimum number of slots that batch work beyond its share
+	// leaves free when interactive work was offered within the last InteractiveWindow, so
 	// that a person does not wait for the end of a long batch job. The headroom grows
-	// where batch work keeps interactive work waiting all the same. Negative means zero.
+	// when batch work makes interactive work wait nevertheless. Negative means zero.
 	BatchHeadroom     int
-	InteractiveMemory time.Duration
-	// DeadlineShare is the part of the time left until its deadline that an item may
-	// be expected to wait and work, in (0, 1]. The rest is for what the estimate
-	// misses; without it, overload keeps every queue as long as deadlines allow and
-	// much of what waits ends in a late refusal.
+	InteractiveWindow time.Duration
+	// DeadlineShare is the fraction of the time left until its deadline that an item's
+	// expected wait and service may take, in (0, 1]. The rest is a margin for errors of
+	// the estimate. Without it, overload keeps every queue as long as deadlines allow,
+	// and many of the waiting items are refused late.
 	DeadlineShare float64
-	// InitialService is the service time assumed before any was measured.
+	// InitialService is the service time assumed before one has been measured.
 	InitialService time.Duration
-	// HoldUnknown bounds how long a slot stays taken after work of unknown end.
+	// HoldUnknown is the maximum time for which a slot stays reserved after an outcome
+	// of Unknown or Awaiting.
 	HoldUnknown time.Duration
-	// MinRetryAfter and MaxRetryAfter bound the advice given with a refusal.
+	// MinRetryAfter and MaxRetryAfter bound the RetryAfter of a refusal.
 	MinRetryAfter time.Duration
 	MaxRetryAfter time.Duration
 }
@@ -75,15 +76,15 @@
 	if c.DeadlineShare <= 0 || c.DeadlineShare > 1 {
 		c.DeadlineShare = DefaultDeadlineShare
 	}
-	setDuration(&c.InteractiveMemory, DefaultInteractiveMemory)
-	setDuration(&c.InitialService, DefaultInitialService)
-	setDuration(&c.HoldUnknown, DefaultHoldUnknown)
-	setDuration(&c.MinRetryAfter, DefaultMinRetryAfter)
-	setDuration(&c.MaxRetryAfter, DefaultMaxRetryAfter)
+	defaultDuration(&c.InteractiveWindow, DefaultInteractiveWindow)
+	defaultDuration(&c.InitialService, DefaultInitialService)
+	defaultDuration(&c.HoldUnknown, DefaultHoldUnknown)
+	defaultDuration(&c.MinRetryAfter, DefaultMinRetryAfter)
+	defaultDuration(&c.MaxRetryAfter, DefaultMaxRetryAfter)
 	return c
 }
 
-func setDuration(d *time.Duration, fallback time.Duration) {
+func defaultDuration(d *time.Duration, fallback time.Duration) {
 	if *d <= 0 {
 		*d = fallback
 	}
--- a/core/admission/entry.go
+++ b/core/admission/entry.go
@@ -5,24 +5,26 @@
 	"time"
 )
 
-// entry is one item that the Gate holds, waiting or at work.
+// entry is one item that the Gate holds, queued or in flight.
 type entry struct {
 	item   Item
 	caller *flow
-	// cost is the slot time charged at the start, in seconds.
+	// cost is the estimated slot time that is charged when the item starts, in seconds.
 	cost float64
-	// creditRate is what a second of its slot time adds to the credit of batch work.
+	// creditRate is what one second of the item's slot time adds to the batch credit.
 	creditRate float64
-	// latestStart is when the item can no longer end in time; zero means never.
+	// latestStart is the time from which on the item can no longer meet its deadline; zero
+	// means never.
 	latestStart time.Time
-	// expiry is the index in the expiry heap, or -1.
-	expiry int
-	// queued tells waiting from at work; prev and next link the caller's waiting items.
+	// expiryIndex is the index in the expiry heap, or -1.
+	expiryIndex int
+	// queued is true while the item waits and false once it is in flight; prev and next
+	// link the caller's waiting items.
 	queued     bool
 	prev, next *entry
 }
 
-// expiryHeap orders waiting items by the latest time at which they may start.
+// expiryHeap orders waiting items by latestStart.
 type expiryHeap []*entry
 
 func (h expiryHeap) Len() int { return len(h) }
@@ -36,12 +38,12 @@
 
 func (h expiryHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].expiry, h[j].expiry = i, j
+	h[i].expiryIndex, h[j].expiryIndex = i, j
 }
 
 func (h *expiryHeap) Push(x any) {
 	e := x.(*entry)
-	e.expiry = len(*h)
+	e.expiryIndex = len(*h)
 	*h = append(*h, e)
 }
 
@@ -50,14 +52,14 @@
 	e := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	e.expiry = -1
+	e.expiryIndex = -1
 	return e
 }
 
 func (g *Gate) leaveQueue(e *entry) {
 	e.queued = false
-	if e.expiry >= 0 {
-		heap.Remove(&g.expiries, e.expiry)
+	if e.expiryIndex >= 0 {
+		heap.Remove(&g.expiries, e.expiryIndex)
 	}
 }
 
@@ -68,7 +70,7 @@
 	} else {
 		g.free = e.next
 	}
-	*e = entry{item: item, expiry: -1}
+	*e = entry{item: item, expiryIndex: -1}
 	return e
 }
 
--- a/core/admission/estimate.go
+++ b/core/admission/estimate.go
@@ -5,8 +5,8 @@
 // estimateGain is the weight of a new sample in the moving averages.
 const estimateGain = 0.1
 
-// estimate is a moving mean and mean deviation of service times, in seconds, in
-// the manner of RFC 6298.
+// estimate keeps a moving mean and mean deviation of service times, in seconds, as
+// RFC 6298 does for round-trip times.
 type estimate struct {
 	mean, deviation float64
 	samples         int
@@ -31,14 +31,14 @@
 	e.deviation += estimateGain * (diff - e.deviation)
 }
 
-// addAtLeast takes a sample that was cut off: the true time is at least that.
-// Without it a target that became slow would keep its old, short estimate, because
-// nothing finishes any more, and the queue would take work that has no chance.
+// addAtLeast adds a truncated sample: the true service time is at least sample. Without
+// it a target that has become slow would keep its old, short estimate, because nothing
+// finishes any more, and the queue would accept work that cannot meet its deadline.
 func (e *estimate) addAtLeast(sample time.Duration) {
 	if sample.Seconds() > e.mean {
 		e.add(sample)
 	}
 }
 
-// high is a cautious estimate of one service time, in seconds.
-func (e *estimate) high() float64 { return e.mean + 2*e.deviation }
+// upper is a service time that few items exceed, in seconds.
+func (e *estimate) upper() float64 { return e.mean + 2*e.deviation }
--- a/core/admission/fair.go
+++ b/core/admission/fair.go
@@ -2,20 +2,21 @@
 
 import "container/heap"
 
-// flow is one caller in one class.
+// flow is the state of one caller in one class.
 type flow struct {
 	name   string
 	weight float64
 	// tag is the virtual start time of the caller's next item.
 	tag float64
-	// order breaks ties between equal tags by the order of arrival.
+	// order breaks ties between equal tags by the order in which flows were created.
 	order      uint64
 	head, tail *entry
 	queued     int
 	inFlight   int
 	// index is the position in the heap of waiting callers, or -1.
 	index int
-	// idlePrev and idleNext link callers with nothing held but a debt.
+	// An idle caller has nothing queued or in flight, but its tag is ahead of virtual
+	// time: a debt. idlePrev and idleNext link the idle callers.
 	idle               bool
 	idlePrev, idleNext *flow
 }
@@ -48,9 +49,9 @@
 
 // flowHeap orders waiting callers by virtual start time.
 //
-// Its methods stand again in expiryHeap and in core/balance, but for names: one heap with
-// a type parameter for all three took about a tenth longer with a backlog
-// (BenchmarkOfferDoneBacklog, least of 12 alternating runs: 715 ns for 647 ns).
+// Its methods are duplicated in expiryHeap and in core/balance: one generic heap for all
+// three was about a tenth slower with a backlog (BenchmarkOfferDoneBacklog, minimum of
+// 12 alternating runs: 715 ns instead of 647 ns).
 type flowHeap []*flow
 
 func (h flowHeap) Len() int { return len(h) }
@@ -83,21 +84,20 @@
 }
 
 // fairQueue is start-time fair queueing (Goyal, Vin and Cheng, 1996) over the
-// callers of one class. Each caller's next item carries a virtual start time; the
-// smallest is served, and the caller's tag then advances by slot time over weight.
-// Choosing costs O(log callers).
+// callers of one class. Each caller's next item has a virtual start time, its tag. The
+// caller with the smallest tag is served, and its tag then advances by slot time
+// divided by weight. Choosing a caller costs O(log callers).
 type fairQueue struct {
 	flows   map[string]*flow
 	waiting flowHeap
-	// virtual is the tag of the item last started.
+	// virtual is the virtual time: the tag of the item started last.
 	virtual float64
-	// weights is the sum over callers with waiting items.
+	// weights is the sum of the weights of callers with waiting items.
 	weights float64
 	queued  int
 	order   uint64
-	// Callers that hold nothing but are ahead of their share, oldest first. They are
-	// remembered so that a caller can't shed its debt by a pause; the bound keeps
-	// memory finite when callers' names are made up.
+	// The list of idle callers, oldest first. It is kept so that a caller can't get rid
+	// of its debt by pausing; idleCap bounds memory when callers invent names.
 	idleHead, idleTail *flow
 	idleCount, idleCap int
 	free               *flow
@@ -107,7 +107,7 @@
 	return fairQueue{flows: make(map[string]*flow), idleCap: idleCap}
 }
 
-// flow returns the caller's state, made if need be.
+// flow returns the caller's state, which it creates if there is none.
 func (q *fairQueue) flow(name string, weight float64) *flow {
 	f := q.flows[name]
 	if f == nil {
@@ -147,7 +147,7 @@
 	heap.Push(&q.waiting, f)
 }
 
-// dequeue removes the item that is next in fair order and charges its caller.
+// dequeue removes the next item in fair order and charges its caller.
 func (q *fairQueue) dequeue() *entry {
 	f := q.waiting[0]
 	e := f.head
@@ -157,7 +157,7 @@
 	return e
 }
 
-// unlink removes a waiting item without a charge.
+// unlink removes a waiting item without charging its caller.
 func (q *fairQueue) unlink(e *entry) {
 	f := e.caller
 	f.remove(e)
@@ -173,8 +173,8 @@
 	}
 }
 
-// settle corrects a caller's charge by the difference between actual and
-// estimated slot time, so that understating the estimate wins nothing.
+// settle corrects a caller's charge by the difference between actual and estimated
+// slot time, so that understating the estimate gains nothing.
 func (q *fairQueue) settle(f *flow, difference float64) {
 	f.tag += difference / f.weight
 	if f.index >= 0 {
@@ -182,49 +182,51 @@
 	}
 }
 
-// release forgets a caller that holds nothing, or keeps its debt for a while.
-func (q *fairQueue) release(f *flow) {
+// releaseIfUnused deletes a caller with nothing queued or in flight, or moves it to the
+// idle list if it has a debt.
+func (q *fairQueue) releaseIfUnused(f *flow) {
 	if f.queued > 0 || f.inFlight > 0 {
 		return
 	}
 	if q.queued == 0 {
-		// Nobody waits, so nobody was passed over and every debt is void.
-		q.drop(f)
+		// Nobody waits, so nobody is at a disadvantage and all debts can be dropped.
+		q.deleteFlow(f)
 		for q.idleHead != nil {
 			idle := q.idleHead
 			q.unlinkIdle(idle)
-			q.drop(idle)
+			q.deleteFlow(idle)
 		}
 		return
 	}
 	if f.tag <= q.virtual {
-		q.drop(f)
+		q.deleteFlow(f)
 		return
 	}
 	q.linkIdle(f)
 	if q.idleCount > q.idleCap {
-		q.forgetOldest()
+		q.evictOldestIdle()
 	}
 }
 
-// forgetOldest drops the debt that was kept longest. Virtual time moves on to it, so
-// that who comes from now on, the dropped caller too, starts there and not before those
-// who wait with smaller debts. Without it virtual time would stand still where callers
-// are more than debts are kept: each is served at the same tag, forgotten and back, and
-// a caller that waits with a debt is passed over until its deadline.
-func (q *fairQueue) forgetOldest() {
+// evictOldestIdle deletes the caller that has been idle longest and advances virtual
+// time to its tag, so that callers that arrive later, the evicted one included, start
+// there and not before callers that wait with smaller debts. Otherwise virtual time
+// would stand still when there are more callers than idleCap: each is served at the same
+// tag, evicted and returns, and a caller that waits with a debt is passed over until its
+// deadline.
+func (q *fairQueue) evictOldestIdle() {
 	oldest := q.idleHead
 	q.virtual = max(q.virtual, oldest.tag)
 	q.unlinkIdle(oldest)
-	q.drop(oldest)
+	q.deleteFlow(oldest)
 }
 
-func (q *fairQueue) drop(f *flow) {
+func (q *fairQueue) deleteFlow(f *flow) {
 	delete(q.flows, f.name)
 	*f = flow{idleNext: q.free, index: -1}
 	q.free = f
 	if len(q.flows) == 0 {
-		// Nobody is left to compare with; starting again keeps the tags small.
+		// There are no other tags to compare with; restarting at zero keeps them small.
 		q.virtual = 0
 	}
 }
--- a/core/admission/gate.go
+++ b/core/admission/gate.go
@@ -18,17 +18,19 @@
 	entries map[ID]*entry
 	queues  [classes]fairQueue
 	service [classes]estimate
-	// inFlight counts items at work by class.
+	// inFlight counts items in flight by class.
 	inFlight [classes]int
 	expiries expiryHeap
-	// holds are the ends of slots kept for work of unknown end, in order of time.
+	// holds are the times at which reserved slots become free, in ascending order. Slots
+	// are reserved for work that the target may still be doing.
 	holds []time.Time
-	// inherited slots are kept for a predecessor's work until inheritedUntil.
+	// inherited is the number of slots reserved until inheritedUntil for work that the
+	// previous grantor sent.
 	inherited      int
 	inheritedUntil time.Time
 	credit         batchCredit
 	headroom       headroom
-	// interactiveUntil is when recent interactive work is forgotten.
+	// interactiveUntil is the time up to which interactive work counts as recent.
 	interactiveUntil time.Time
 
 	draining  bool
@@ -42,7 +44,7 @@
 func New(cfg Config) *Gate {
 	cfg = cfg.withDefaults()
 	g := &Gate{cfg: cfg, entries: make(map[ID]*entry)}
-	g.headroom = headroom{least: cfg.BatchHeadroom, slots: float64(cfg.BatchHeadroom)}
+	g.headroom = headroom{minimum: cfg.BatchHeadroom, slots: float64(cfg.BatchHeadroom)}
 	for class := range g.queues {
 		g.queues[class] = newFairQueue(cfg.QueueLength)
 		g.service[class] = newEstimate(cfg.InitialService)
@@ -51,8 +53,9 @@
 	return g
 }
 
-// setLimiter chooses how the limit follows the target. With trusted slots it
-// starts at that number and only the target's own refusals shrink it.
+// setLimiter replaces the limiter. With a known number of slots the limit starts at that
+// number, and unless Config.AdaptBelowSlots is set only the target's own refusals
+// lower it.
 func (g *Gate) setLimiter(slots int) {
 	limits := g.cfg.Adaptive
 	if slots > 0 {
@@ -61,11 +64,11 @@
 		limits.Floor = min(max(limits.Floor, 1), slots)
 	}
 	g.cfg.Slots = slots
-	g.limiter = NewLimiter(limits, slots <= 0 || g.cfg.Distrust)
+	g.limiter = NewLimiter(limits, slots <= 0 || g.cfg.AdaptBelowSlots)
 }
 
-// SetSlots changes the number of slots; zero means unknown. Work in flight above a
-// lower number goes on, and nothing starts until it is below.
+// SetSlots changes the number of slots; zero means unknown. If more requests than that
+// are in flight they continue, and nothing starts until fewer are.
 func (g *Gate) SetSlots(now time.Time, slots int) Actions {
 	if slots != g.cfg.Slots {
 		g.setLimiter(slots)
@@ -80,7 +83,7 @@
 	}
 	class := classOf(item.Class)
 	if class == int(request.Interactive) {
-		g.interactiveUntil = now.Add(g.cfg.InteractiveMemory)
+		g.interactiveUntil = now.Add(g.cfg.InteractiveWindow)
 	}
 	if g.draining {
 		return refuse(g.drainKind, 0)
@@ -92,10 +95,10 @@
 		return refuse(fault.DeadlineUnmeetable, g.cfg.MinRetryAfter)
 	}
 	if class == int(request.Batch) && g.queues[class].queued == 0 {
-		g.credit.forget(g.service[class].mean)
+		g.credit.limitToReserve(g.service[class].mean)
 	}
-	cost := g.serviceOf(&item, class)
-	direct := g.queues[class].queued == 0 && g.hasRoom(now, class, cost)
+	cost := g.expectedService(&item, class)
+	direct := g.queues[class].queued == 0 && g.mayStart(now, class, cost)
 	if class == int(request.Interactive) && g.inFlight[request.Batch] > 0 {
 		limit := g.limiter.Limit()
 		g.headroom.observe(!direct && g.inFlight[class] < limit, limit)
@@ -114,13 +117,13 @@
 	g.begin(now, e, class)
 }
 
-// begin counts an item as at work and moves the account between the classes.
+// begin counts an item as in flight and charges or pays into the batch credit.
 func (g *Gate) begin(now time.Time, e *entry, class int) {
 	switch {
 	case class == int(request.Interactive) && g.queues[request.Batch].queued > 0:
-		e.creditRate = rate(g.cfg.BatchShare)
-	case class == int(request.Batch) && g.spare(now):
-		g.credit.takeSpare(e.cost, g.service[class].mean)
+		e.creditRate = creditRate(g.cfg.BatchShare)
+	case class == int(request.Batch) && g.hasSpareSlot(now):
+		g.credit.chargeSpare(e.cost, g.service[class].mean)
 	case class == int(request.Batch):
 		e.creditRate = -1
 	}
@@ -128,8 +131,8 @@
 	g.credit.add(e.creditRate * e.cost)
 }
 
-// Done ends work in a slot. elapsed is the time since the item's start. It
-// returns the items that start in its place; an unknown id is ignored.
+// Done frees the slot of an item. elapsed is the time since the item started. It
+// returns the items that start in its place. An unknown id is ignored.
 func (g *Gate) Done(now time.Time, id ID, outcome Outcome, elapsed time.Duration) Actions {
 	e := g.entries[id]
 	if e == nil || e.queued {
@@ -144,13 +147,13 @@
 	if f := e.caller; f != nil {
 		f.inFlight--
 		g.queues[class].settle(f, correction)
-		g.queues[class].release(f)
+		g.queues[class].releaseIfUnused(f)
 	}
 	g.freeEntry(e)
 	return g.advance(now)
 }
 
-// observe feeds the estimates, the limiter and the held slots.
+// observe updates the estimates, the limiter and the reserved slots.
 func (g *Gate) observe(now time.Time, e *entry, class int, outcome Outcome, elapsed time.Duration) {
 	total := g.inFlight[0] + g.inFlight[1]
 	switch outcome {
@@ -163,8 +166,8 @@
 		g.service[class].addAtLeast(elapsed)
 		g.hold(now, class)
 	case Awaiting:
-		// Counted as service time, a few trickled bodies would make every deadline look
-		// unmeetable, and nobody could wait for the slots that they hold.
+		// If this counted as service time, a few bodies sent very slowly would make every
+		// deadline look unmeetable, and no request could wait for the slots they occupy.
 		g.hold(now, class)
 	}
 }
@@ -176,8 +179,8 @@
 	return max(elapsed.Seconds(), 0)
 }
 
-// Cancel removes a waiting item; it reports false where the item is at work or
-// unknown, in which case only Done ends it.
+// Cancel removes a waiting item. It returns false if the item is in flight or unknown;
+// an item in flight is ended only by Done.
 func (g *Gate) Cancel(_ time.Time, id ID) bool {
 	e := g.entries[id]
 	if e == nil || !e.queued {
@@ -185,15 +188,15 @@
 	}
 	g.leaveQueue(e)
 	g.queues[classOf(e.item.Class)].unlink(e)
-	g.forget(e)
+	g.discard(e)
 	return true
 }
 
-// Expire refuses the items that can no longer end in time and starts what held
-// slots and passing time allow. Call it at NextWake.
+// Expire refuses the items that can no longer meet their deadline and starts items for
+// which a slot has become free with time. Call it at NextWake.
 func (g *Gate) Expire(now time.Time) Actions { return g.advance(now) }
 
-// NextWake is when Expire should be called; the zero time means never.
+// NextWake returns the time at which Expire should be called; the zero time means never.
 func (g *Gate) NextWake() time.Time {
 	var wake time.Time
 	if len(g.expiries) > 0 {
@@ -210,14 +213,14 @@
 	}
 	occupied := g.inFlight[0] + g.inFlight[1] + len(g.holds) + min(g.inherited, g.limiter.Limit())
 	if g.queues[request.Batch].queued > 0 && occupied < g.limiter.Limit() {
-		// Only the headroom can keep batch work from a free slot.
+		// A slot is free, so only the headroom can keep batch work from starting.
 		wake = earlier(wake, g.interactiveUntil)
 	}
 	return wake
 }
 
-// Drain refuses all waiting items as not run with kind and everything offered
-// from now on. Work in flight goes on to its end.
+// Drain refuses all waiting items with kind, as not run, and every item offered until
+// Resume. Work in flight continues to its end.
 func (g *Gate) Drain(_ time.Time, kind fault.Kind) Actions {
 	g.resetActions()
 	g.draining, g.drainKind = true, kind
@@ -238,7 +241,7 @@
 
 // Stats returns a snapshot.
 func (g *Gate) Stats(now time.Time) Stats {
-	used := g.used(now)
+	used := g.usedSlots(now)
 	inFlight := g.inFlight[0] + g.inFlight[1]
 	return Stats{
 		Limit:              g.limiter.Limit(),
--- a/core/admission/gate_test.go
+++ b/core/admission/gate_test.go
@@ -17,7 +17,7 @@
 
 const ms = time.Millisecond
 
-// fill admits ids from first on until all slots are taken.
+// fill admits n items with consecutive ids from first, each of which must get a slot.
 func fill(t *testing.T, g *Gate, first ID, n int) {
 	t.Helper()
 	for i := range n {
@@ -44,10 +44,10 @@
 	assert.Equal(t, g.Offer(epoch, Item{ID: 2}).Kind, fault.Internal)
 }
 
-func TestCannotFinishInTimeIsRefusedAtOnce(t *testing.T) {
+func TestUnmeetableDeadlineIsRefusedAtOnce(t *testing.T) {
 	g := New(Config{Slots: 1, InitialService: 100 * ms, DeadlineShare: 1})
-	passed := g.Offer(epoch, Item{ID: 9, Deadline: at(-ms)})
-	assert.Equal(t, passed.Kind, fault.DeadlineUnmeetable)
+	expired := g.Offer(epoch, Item{ID: 9, Deadline: at(-ms)})
+	assert.Equal(t, expired.Kind, fault.DeadlineUnmeetable)
 	fill(t, g, 1, 1)
 	deadline := at(350 * ms)
 	assert.Equal(t, g.Offer(epoch, Item{ID: 2, Deadline: deadline}).Verdict, Queue, "waits 100, works 100")
@@ -58,7 +58,7 @@
 	assert.Equal(t, late.RetryAfter, 50*ms, "waits 300, works 100, too late by 50")
 }
 
-func TestWaitingItemThatBecameTooLateIsRefused(t *testing.T) {
+func TestWaitingItemIsRefusedOnceDeadlineIsUnmeetable(t *testing.T) {
 	g := New(Config{Slots: 1, InitialService: 100 * ms, DeadlineShare: 1})
 	fill(t, g, 1, 1)
 	assert.Equal(t, g.Offer(epoch, Item{ID: 2, Deadline: at(300 * ms)}).Verdict, Queue)
@@ -71,7 +71,7 @@
 	assert.Assert(t, g.NextWake().IsZero())
 }
 
-func TestQueueIsBoundedAndAdvisesDrainTime(t *testing.T) {
+func TestQueueIsBoundedAndRetryAfterIsDrainTime(t *testing.T) {
 	g := New(Config{Slots: 2, QueueLength: 40, CallerShare: 1, InitialService: 100 * ms})
 	fill(t, g, 1, 2)
 	for i := range 40 {
@@ -113,7 +113,7 @@
 	assert.DeepEqual(t, g.Done(epoch, 1, Finished, ms).Start, []ID{3})
 }
 
-func TestDrainHandsBackWhatWaitsAndLetsWorkEnd(t *testing.T) {
+func TestDrainRefusesWaitingItemsAndLetsWorkEnd(t *testing.T) {
 	g := New(Config{Slots: 1})
 	fill(t, g, 1, 1)
 	g.Offer(epoch, Item{ID: 2})
@@ -128,7 +128,7 @@
 	assert.Equal(t, g.Offer(at(ms), Item{ID: 4}).Verdict, Admit)
 }
 
-func TestFewerSlotsWaitForWorkInFlight(t *testing.T) {
+func TestLoweredSlotsWaitForWorkInFlight(t *testing.T) {
 	g := New(Config{Slots: 3})
 	fill(t, g, 1, 3)
 	g.Offer(epoch, Item{ID: 4})
@@ -140,28 +140,25 @@
 	assert.DeepEqual(t, g.SetSlots(epoch, 2).Start, []ID{5})
 }
 
-// Symptom: a target with 3 slots reports 4 requests at work.
-// Sequence: the connection of one goes silent; the router gives it up after the
-// progress timeout and sends the next; the target is still at work on the lost one.
-// Cause: a slot was taken for free though the end of its work was not known.
-func TestSlotOfLostWorkIsHeldBack(t *testing.T) {
+// Guards against overloading a target: after a progress timeout the router can't know
+// whether the target is still working on the request. If it reused the slot at once, a
+// target with 3 slots would work on 4 requests.
+func TestSlotOfUnknownOutcomeIsHeld(t *testing.T) {
 	g := New(Config{Slots: 1, InitialService: 100 * ms, HoldUnknown: time.Second})
 	fill(t, g, 1, 1)
 	g.Offer(epoch, Item{ID: 2})
 	assert.Equal(t, len(g.Done(at(50*ms), 1, Unknown, 50*ms).Start), 0)
 	assert.Equal(t, g.Offer(at(60*ms), Item{ID: 3}).Verdict, Queue)
 	assert.Equal(t, g.NextWake(), at(150*ms))
-	assert.Equal(t, g.Offer(at(151*ms), Item{ID: 4}).Verdict, Queue, "behind those who wait")
-	assert.Equal(t, g.NextWake(), at(150*ms), "the wake is not forgotten")
+	assert.Equal(t, g.Offer(at(151*ms), Item{ID: 4}).Verdict, Queue, "behind the waiting items")
+	assert.Equal(t, g.NextWake(), at(150*ms), "the wake-up is still due")
 	assert.DeepEqual(t, g.Expire(at(151*ms)).Start, []ID{2})
 }
 
-// Symptom: after a target froze for a minute it gets no work although it is well.
-// Sequence: everything at the target times out; the estimate of its service time
-// grows beyond the deadlines; each new request is refused as unmeetable; nothing
-// finishes that could correct the estimate.
-// Cause: a measured estimate was allowed to refuse work for a free slot.
-func TestEstimateFromFreezeDoesNotLockOut(t *testing.T) {
+// Guards against a target that gets no work after it was suspended for a minute: all of
+// its requests timed out, so the estimated service time exceeds every deadline. If the
+// estimate could refuse work while a slot is free, nothing would finish to correct it.
+func TestEstimateFromSuspendedTargetDoesNotBlockIt(t *testing.T) {
 	g := New(Config{Slots: 2, InitialService: 10 * ms})
 	now := epoch
 	id := ID(0)
@@ -184,26 +181,26 @@
 }
 
 func TestBatchLeavesHeadroomWhileInteractiveIsRecent(t *testing.T) {
-	g := New(Config{Slots: 3, BatchHeadroom: 1, InteractiveMemory: 100 * ms})
+	g := New(Config{Slots: 3, BatchHeadroom: 1, InteractiveWindow: 100 * ms})
 	assert.Equal(t, g.Offer(epoch, Item{ID: 1}).Verdict, Admit)
 	g.Done(at(ms), 1, Finished, ms)
 	for id := ID(10); id < 12; id++ {
 		assert.Equal(t, g.Offer(at(ms), Item{ID: id, Class: request.Batch}).Verdict, Admit)
 	}
 	assert.Equal(t, g.Offer(at(ms), Item{ID: 12, Class: request.Batch}).Verdict, Queue)
-	assert.Equal(t, g.NextWake(), at(100*ms), "when interactive work is forgotten")
+	assert.Equal(t, g.NextWake(), at(100*ms), "when interactive work is no longer recent")
 	assert.DeepEqual(t, g.Expire(at(100*ms)).Start, []ID{12})
 	assert.Assert(t, g.NextWake().IsZero())
 }
 
-func TestBatchOfOneSlotIsNotLockedOutByHeadroom(t *testing.T) {
+func TestHeadroomDoesNotBlockBatchWithOneSlot(t *testing.T) {
 	g := New(Config{Slots: 1, BatchHeadroom: 5})
 	fill(t, g, 1, 1)
 	assert.Equal(t, g.Offer(epoch, Item{ID: 2, Class: request.Batch}).Verdict, Queue)
 	assert.DeepEqual(t, g.Done(epoch, 1, Finished, ms).Start, []ID{2})
 }
 
-func TestExpectedWaitLeavesPartOfTheTime(t *testing.T) {
+func TestExpectedWaitIsLimitedToDeadlineShare(t *testing.T) {
 	g := New(Config{Slots: 1, InitialService: 100 * ms, DeadlineShare: 0.5})
 	fill(t, g, 1, 1)
 	assert.Equal(t, g.Offer(epoch, Item{ID: 2, Deadline: at(400 * ms)}).Verdict, Queue, "waits 100, works 100 of 400")
@@ -212,12 +209,11 @@
 	assert.Equal(t, late.RetryAfter, 100*ms, "waits 200, works 100 of 200 allowed")
 }
 
-// Symptom: pages are slow every night.
-// Sequence: interactive work uses half of the slots; the export takes all others
-// but one with long jobs; most pages find no free slot.
-// Cause: a fixed headroom that does not know how many slots interactive work needs.
-func TestHeadroomGrowsWhereBatchMakesPeopleWait(t *testing.T) {
-	h := headroom{least: 1, slots: 1}
+// Guards against slow interactive requests beside long batch jobs: with a fixed headroom
+// of one slot, when interactive work needs half of the slots, batch jobs take all others
+// but one and most interactive requests find no free slot.
+func TestHeadroomGrowsWhenBatchMakesInteractiveWait(t *testing.T) {
+	h := headroom{minimum: 1, slots: 1}
 	for range 50 {
 		h.observe(true, 6)
 	}
@@ -229,11 +225,10 @@
 	assert.Equal(t, h.width(6), 1)
 }
 
-// Symptom: after a change of grantor a target with 3 slots reports 6 at work.
-// Sequence: the old grantor sends 3 orders and is lost; the new one starts with an
-// empty account and sends 3 more.
-// Cause: the new account did not allow for work that the old one had sent.
-func TestTakeOverHoldsSlotsOfThePredecessor(t *testing.T) {
+// Guards against overloading a target after a change of grantor: the old grantor sent 3
+// requests and was lost. If the new one ignored them and sent 3 more, a target with 3
+// slots would work on 6.
+func TestTakeOverHoldsSlotsOfPreviousGrantor(t *testing.T) {
 	g := New(Config{Slots: 3})
 	g.Hold(epoch, at(time.Second), 3)
 	g.Hold(epoch, at(time.Second), 3)
@@ -244,10 +239,9 @@
 	assert.DeepEqual(t, g.Expire(at(time.Second)).Start, []ID{1})
 }
 
-// Symptom: the router's memory grows without end.
-// Sequence: every request carries another, made-up caller name.
-// Cause: state kept for each name ever seen.
-func TestMadeUpCallersLeaveBoundedState(t *testing.T) {
+// Guards against unbounded memory when every request carries a new, invented caller name:
+// state must not be kept for each name ever seen.
+func TestInventedCallersLeaveBoundedState(t *testing.T) {
 	const length = 50
 	g := New(Config{Slots: 2, QueueLength: length, CallerShare: 1})
 	fill(t, g, 1, 2)
@@ -270,7 +264,7 @@
 	assert.Equal(t, g.Stats(at(time.Hour)).Callers, 0)
 }
 
-func TestSlotGivenBackUnusedIsNotCharged(t *testing.T) {
+func TestUnusedSlotIsNotCharged(t *testing.T) {
 	g := New(Config{Slots: 1})
 	fill(t, g, 1, 1)
 	g.Offer(epoch, Item{ID: 2, Caller: "a"})
@@ -280,11 +274,10 @@
 	assert.DeepEqual(t, g.Done(at(11*ms), 2, NotSent, 10*ms).Start, []ID{3})
 }
 
-// Symptom: at the start of the nightly export pages stand still.
-// Sequence: a batch job of 10 s waits while interactive work runs and is cancelled;
-// then a thousand jobs of 10 ms come.
-// Cause: the credit that the long job had saved up was left to the short ones.
-func TestCreditOfCancelledBatchWorkIsVoid(t *testing.T) {
+// Guards against interactive requests that stall when a batch run starts: a batch job of
+// 10 s waits while interactive work runs, is cancelled, and many jobs of 10 ms follow.
+// They must not use the credit that accumulated for the long job.
+func TestCreditOfCancelledBatchWorkIsLimited(t *testing.T) {
 	g := New(Config{Slots: 1, QueueLength: 1000, BatchShare: 0.1, InitialService: 10 * ms})
 	fill(t, g, 1, 1)
 	g.Offer(epoch, Item{ID: 2, Class: request.Batch, EstimatedService: 10 * time.Second})
--- a/core/admission/hold.go
+++ b/core/admission/hold.go
@@ -2,45 +2,45 @@
 
 import "time"
 
-// inheritedAt is the number of slots kept for a predecessor's work.
-func (g *Gate) inheritedAt(now time.Time) int {
+// inheritedSlots returns the number of slots reserved for the previous grantor's work.
+func (g *Gate) inheritedSlots(now time.Time) int {
 	if !now.Before(g.inheritedUntil) {
 		return 0
 	}
 	return min(g.inherited, g.limiter.Limit())
 }
 
-func (g *Gate) lapsedHolds(now time.Time) int {
-	lapsed := 0
-	for lapsed < len(g.holds) && !g.holds[lapsed].After(now) {
-		lapsed++
+func (g *Gate) expiredHolds(now time.Time) int {
+	expired := 0
+	for expired < len(g.holds) && !g.holds[expired].After(now) {
+		expired++
 	}
-	return lapsed
+	return expired
 }
 
-// dropLapsedHolds is called where free slots are filled and nowhere else: a hold
-// that lapsed stays in NextWake until then, so that no waiting item is forgotten.
-func (g *Gate) dropLapsedHolds(now time.Time) {
-	if lapsed := g.lapsedHolds(now); lapsed > 0 {
-		g.holds = append(g.holds[:0], g.holds[lapsed:]...)
+// dropExpiredHolds must be called only where free slots are filled: until then an
+// expired hold stays in NextWake, so that no waiting item misses the free slot.
+func (g *Gate) dropExpiredHolds(now time.Time) {
+	if expired := g.expiredHolds(now); expired > 0 {
+		g.holds = append(g.holds[:0], g.holds[expired:]...)
 	}
 	if !now.Before(g.inheritedUntil) {
 		g.inherited = 0
 	}
 }
 
-// hold keeps the slot of work that the target may still be doing. Without it the
-// router would send the next item while the target is at work on the lost one, and
-// the target would work on more than its slots allow. The time is the cautious
-// estimate of one service time, since the lost item started before now.
+// hold reserves the slot of an item that the target may still be working on. Otherwise
+// the router would send the next item meanwhile, and the target would work on more
+// requests than it has slots. The hold lasts for the upper estimate of one service
+// time, which is enough because the item has already started.
 func (g *Gate) hold(now time.Time, class int) {
-	length := min(seconds(g.service[class].high()), g.cfg.HoldUnknown)
+	length := min(seconds(g.service[class].upper()), g.cfg.HoldUnknown)
 	g.holdUntil(now.Add(length))
 }
 
-// Hold keeps n slots back until a time. A router that takes a target over calls it
-// with the end of the longest order that its predecessor may have sent; without it
-// the two routers' work together could exceed the slots.
+// Hold reserves n slots until the given time. A router that takes over a target calls it
+// with the latest end of the work that the previous grantor may have sent; otherwise the
+// work of both routers together could exceed the slots.
 func (g *Gate) Hold(now, until time.Time, n int) {
 	if !until.After(now) {
 		return
@@ -50,10 +50,11 @@
 	}
 }
 
-// Inherit keeps n slots back until a time for work that a predecessor sent, in
-// place of what an earlier call kept; zero slots end it. A router that takes a
-// target over calls it with all slots, and again with what the target still has at
-// work of another router once that is known. It returns the items that start.
+// Inherit reserves n slots until the given time for work that the previous grantor sent.
+// It replaces the reservation of an earlier call; zero ends it. A router that takes over
+// a target calls it with all slots, and again with the number of the other router's
+// requests that the target is still working on once that is known. It returns the items
+// that start.
 func (g *Gate) Inherit(now, until time.Time, n int) Actions {
 	g.inherited, g.inheritedUntil = max(n, 0), until
 	return g.advance(now)
--- a/core/admission/inherit_test.go
+++ b/core/admission/hold_test.go
@@ -7,9 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Symptom: a target has more work than slots for a moment after each takeover.
-// Sequence: a grantor dies with work under way; the next one sends its own at once.
-// Cause: the new grantor counts only what it sent itself.
+// Guards against more requests than slots at a target after a takeover: the old grantor
+// died with requests in flight, and the new one must not count only its own.
 func TestInheritedSlotsAreKeptUntilKnownToBeFree(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	g := New(Config{Slots: 3})
@@ -20,7 +19,7 @@
 	assert.Equal(t, g.Stats(now).Held, 3)
 	started := g.Inherit(now, now.Add(time.Second), 2).Start
 	assert.DeepEqual(t, started, []ID{1})
-	assert.Equal(t, g.NextWake(), now.Add(time.Second), "the queue must not be forgotten")
+	assert.Equal(t, g.NextWake(), now.Add(time.Second), "the wake-up must remain while items wait")
 	started = g.Expire(now.Add(time.Second)).Start
 	assert.DeepEqual(t, started, []ID{2, 3})
 	assert.Equal(t, g.Stats(now.Add(time.Second)).Held, 0)
--- a/core/admission/limiter.go
+++ b/core/admission/limiter.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	// shedFactor and slowFactor shrink the limit after a refusal by the target and
-	// after a window of raised latency.
+	// shedFactor multiplies the limit after a refusal by the target, slowFactor after a
+	// window of raised latency.
 	shedFactor = 0.7
 	slowFactor = 0.9
-	// minWindow is the least number of samples between two changes.
+	// minWindow is the minimum number of samples between two changes of the limit.
 	minWindow = 40
-	// probeEvery is the number of windows between two probes of normal latency.
+	// probeEvery is the number of windows between two probes of the baseline latency.
 	probeEvery = 30
-	// baseGain is the weight of a new measurement of normal latency.
-	baseGain = 0.3
-	// fasterFactor is the ratio to normal latency below which any window lowers it: too
-	// low for chance over minWindow samples.
+	// baselineGain is the weight of a new measurement of the baseline latency.
+	baselineGain = 0.3
+	// fasterFactor is the ratio to the baseline below which any window's mean updates the
+	// baseline. Over minWindow samples such a low mean is unlikely to be chance.
 	fasterFactor = 0.7
-	// saturation is the least mean share of the limit in use for it to grow.
+	// saturation is the minimum mean fraction of the limit in use for the limit to grow.
 	saturation = 0.75
 )
 
 // LimiterConfig bounds the adaptive limit. Zero fields mean the defaults.
 type LimiterConfig struct {
-	// Floor and Cap bound the limit; Initial is where it begins.
+	// Floor and Cap bound the limit; Initial is its first value.
 	Floor, Cap, Initial int
-	// Tolerance is the ratio to normal latency above which the limit shrinks.
+	// Tolerance is the ratio to the baseline latency above which the limit shrinks.
 	Tolerance float64
 }
 
@@ -54,26 +54,27 @@
 	return c
 }
 
-// Limiter finds how many requests a target can work on at once: additive
-// increase while latency stays near normal, multiplicative decrease when it
-// rises or when the target refuses work.
+// Limiter finds how many requests a target can work on concurrently: additive increase
+// while latency stays near the baseline, multiplicative decrease when it rises or when
+// the target refuses work.
 //
-// Normal latency is measured where no queue of ours can be its cause: at the
-// floor, and in a probe now and then for which the limit is halved; and whatever is
-// clearly faster than normal lowers it, as after a cold start. A least value
-// over time would follow the luckiest window down to the floor, and a value that
-// drifts with what is seen would follow its own queue up to the cap.
+// The baseline is measured when this router's requests can't be queueing at the target:
+// at the floor, and in a periodic probe for which the limit is halved. A window that is
+// clearly faster lowers the baseline too, as after a cold start. If the baseline were
+// the minimum over time, the luckiest window would pull the limit down to the floor; if
+// it followed every window, it would include the latency of the limiter's own queue and
+// let the limit rise to the cap.
 type Limiter struct {
 	cfg        LimiterConfig
 	useLatency bool
 	limit      float64
-	base       float64
-	// windows counts those since the last probe; skip counts the samples that began
-	// before the present window's limit was in force.
-	windows int
-	probing bool
-	skip    int
-	// Sums over the present window.
+	baseline   float64
+	// windows counts the windows since the last probe; skip is the number of samples still
+	// to ignore because their requests started before the current limit was in force.
+	windows     int
+	probing     bool
+	skipSamples int
+	// Sums over the current window.
 	count    int
 	total    float64
 	inFlight float64
@@ -88,7 +89,7 @@
 	return &Limiter{cfg: cfg, useLatency: useLatency, limit: float64(cfg.Initial)}
 }
 
-// Limit returns the present limit, at least 1.
+// Limit returns the current limit, at least 1.
 func (l *Limiter) Limit() int {
 	limit := int(l.limit)
 	if l.probing {
@@ -97,10 +98,11 @@
 	return max(limit, 1)
 }
 
-// Finished takes the latency of work that ended with inFlight items at work.
+// Finished records the latency of an item that ended while inFlight items, itself
+// included, were in flight.
 func (l *Limiter) Finished(latency time.Duration, inFlight int) {
-	if l.skip > 0 {
-		l.skip--
+	if l.skipSamples > 0 {
+		l.skipSamples--
 		return
 	}
 	l.count++
@@ -111,8 +113,8 @@
 	}
 }
 
-// Shed takes a refusal by the target. Refusals that arrive within one service
-// time of each other speak of the same overload and count once.
+// Shed records a refusal by the target. Refusals that arrive within one service time of
+// each other have the same overload as their cause and count once.
 func (l *Limiter) Shed(now time.Time, service time.Duration) {
 	l.shed = true
 	if !l.lastShed.IsZero() && now.Sub(l.lastShed) < service {
@@ -128,30 +130,30 @@
 	shed, probed := l.shed, l.probing
 	l.count, l.total, l.inFlight, l.shed, l.probing = 0, 0, 0, false, false
 	l.windows++
-	if probed || l.base == 0 || l.Limit() <= l.cfg.Floor || mean < fasterFactor*l.base {
-		l.learn(mean)
+	if probed || l.baseline == 0 || l.Limit() <= l.cfg.Floor || mean < fasterFactor*l.baseline {
+		l.updateBaseline(mean)
 	}
 	l.adjust(mean, used, shed || probed)
 	if l.useLatency && l.windows >= probeEvery {
 		l.windows = 0
-		l.skip = l.Limit()
+		l.skipSamples = l.Limit()
 		l.probing = true
 	}
 }
 
-func (l *Limiter) learn(mean float64) {
-	if l.base == 0 {
-		l.base = mean
+func (l *Limiter) updateBaseline(mean float64) {
+	if l.baseline == 0 {
+		l.baseline = mean
 		return
 	}
-	l.base += baseGain * (mean - l.base)
+	l.baseline += baselineGain * (mean - l.baseline)
 }
 
-// adjust moves the limit after a window; keep leaves it as it is.
+// adjust changes the limit after a window, unless keep is set.
 func (l *Limiter) adjust(mean, used float64, keep bool) {
 	switch {
 	case keep:
-	case l.useLatency && mean > l.base*l.cfg.Tolerance:
+	case l.useLatency && mean > l.baseline*l.cfg.Tolerance:
 		l.set(l.limit * slowFactor)
 	case used >= saturation*float64(l.Limit()):
 		l.set(l.limit + 1)
--- a/core/admission/limiter_test.go
+++ b/core/admission/limiter_test.go
@@ -10,10 +10,10 @@
 	"tarragongw/core/fault"
 )
 
-// queueing is a target with true slots that queues what is above them, so that
-// latency grows in proportion. It returns the range of the limit between probes
-// and the mean with them, over the second half.
-func queueing(l *Limiter, slots int, service time.Duration, rounds int) (low, high, mean float64) {
+// runQueueing simulates a target that queues the requests above its slots, so that
+// latency grows in proportion. Over the second half of the rounds it returns the range of
+// the limit without the reduction by probes, and the mean limit with it.
+func runQueueing(l *Limiter, slots int, service time.Duration, rounds int) (low, high, mean float64) {
 	low = 1000
 	for i := range rounds {
 		n := l.Limit()
@@ -30,15 +30,15 @@
 func TestLimitFindsUnknownSlots(t *testing.T) {
 	for _, slots := range []float64{3, 6, 24} {
 		l := NewLimiter(LimiterConfig{}, true)
-		low, high, mean := queueing(l, int(slots), 10*time.Millisecond, 20000)
+		low, high, mean := runQueueing(l, int(slots), 10*time.Millisecond, 20000)
 		assert.Assert(t, low >= slots*0.75, "%v slots: limit fell to %.1f", slots, low)
 		assert.Assert(t, high <= slots*1.5+2, "%v slots: limit rose to %.1f", slots, high)
 		assert.Assert(t, mean >= slots*0.9 && mean <= slots*1.5, "%v slots: mean limit %.1f", slots, mean)
 	}
 }
 
-// With random service times too, a limit has to stay near the slots: neither may a
-// lucky window pull it to the floor nor its own queue carry it to the cap.
+// With random service times the limit must also stay near the slots: a lucky window must
+// not pull it down to the floor, and its own queue must not raise it to the cap.
 func TestLimitFindsSlotsUnderRandomServiceTimes(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	l := NewLimiter(LimiterConfig{}, true)
@@ -56,20 +56,19 @@
 	assert.Assert(t, mean > 0.75*slots && mean < 1.75*slots, "mean limit %.2f of %d slots", mean, slots)
 }
 
-// Symptom: a target that was cold when the router met it is sent ten times what it
-// can work on.
-// Sequence: its first answers take 100 ms, later ones 10 ms.
-// Cause: the latency of the cold target was taken as normal for ever.
-func TestLimitForgetsColdStart(t *testing.T) {
+// Guards against a limit far too high for a target that was cold at first: its first
+// answers take 100 ms, later ones 10 ms, and the latency of the cold target must not
+// remain the baseline.
+func TestLimitRecoversFromColdStart(t *testing.T) {
 	l := NewLimiter(LimiterConfig{}, true)
 	for range 100 {
 		l.Finished(100*time.Millisecond, l.Limit())
 	}
-	_, high, mean := queueing(l, 6, 10*time.Millisecond, 20000)
+	_, high, mean := runQueueing(l, 6, 10*time.Millisecond, 20000)
 	assert.Assert(t, high <= 11 && mean <= 9, "limit up to %.1f, mean %.1f, of 6", high, mean)
 }
 
-func TestLimitKeepsFloorAndCapAndIgnoresIdleness(t *testing.T) {
+func TestLimitStaysWithinBoundsAndGrowsOnlyWhenUsed(t *testing.T) {
 	l := NewLimiter(LimiterConfig{Floor: 2, Cap: 5, Initial: 3}, true)
 	for range 1000 {
 		l.Finished(time.Millisecond, l.Limit())
@@ -85,21 +84,20 @@
 	assert.Equal(t, l.Limit(), 2, "a limit that is not used does not grow")
 }
 
-// Symptom: a target that became slower for good is left at one request at a time.
-// Sequence: its normal latency was learned as 10 ms; after an update it is 40 ms;
-// each window looks overloaded.
-// Cause: normal latency was only ever lowered and never measured again.
+// Guards against a limit that stays at the floor after a target became slower for good:
+// if the baseline of 10 ms were only ever lowered and not measured again, each window at
+// 40 ms would look overloaded.
 func TestLimitRecoversAfterLastingSlowdown(t *testing.T) {
 	l := NewLimiter(LimiterConfig{}, true)
-	queueing(l, 6, 10*time.Millisecond, 5000)
-	low, _, mean := queueing(l, 6, 40*time.Millisecond, 20000)
+	runQueueing(l, 6, 10*time.Millisecond, 5000)
+	low, _, mean := runQueueing(l, 6, 40*time.Millisecond, 20000)
 	assert.Assert(t, low >= 4.5 && mean >= 5.4, "limit is at least %.1f, mean %.1f, of 6", low, mean)
 }
 
-// Symptom: a target with 3 slots refuses half of what it gets.
-// Sequence: its settings say 6 slots; the router sends 6 at a time.
-// Cause: the number of slots was believed against the target's own refusals.
-func TestTooHighReportOfSlotsIsCorrectedByRefusals(t *testing.T) {
+// Guards against a configured number of slots that is too high: a target with 3 slots
+// whose settings say 6 would refuse half of its requests if its refusals did not lower
+// the limit.
+func TestRefusalsCorrectTooManyConfiguredSlots(t *testing.T) {
 	g := New(Config{Slots: 6})
 	now := epoch
 	working := []ID{}
--- a/core/admission/pace.go
+++ b/core/admission/pace.go
@@ -6,41 +6,42 @@
 	"time"
 )
 
-// Pace follows how fast a caller sends the body of a request that holds a slot. A
-// body may be waited for as long as its patience lasts; each byte that arrives gives
-// back what it may take at the least rate, up to the whole patience.
+// Pace measures how fast a caller sends the body of a request that holds a slot. The
+// caller has a time allowance, which waiting for it uses up. Each byte that arrives
+// refunds the time that one byte takes at the minimum rate, up to the whole allowance.
 //
-// What goes wrong without it: callers that send a byte now and then hold all slots of
-// a target until their deadlines; one notices a target that is busy and does nothing.
+// Without it, callers that send a byte now and then occupy all slots of a target until
+// their deadlines, and the target looks busy while it does nothing.
 type Pace struct {
-	// perByte is what a byte may take, at the least rate.
-	perByte  time.Duration
-	patience time.Duration
-	credit   time.Duration
-	idle     time.Duration
+	// perByte is the time that one byte takes at the minimum rate.
+	perByte   time.Duration
+	allowance time.Duration
+	credit    time.Duration
+	idle      time.Duration
 }
 
-// NewPace returns the account of a body that begins now. rate is in bytes a second
-// and above zero.
-func NewPace(rate int64, patience time.Duration) Pace {
-	return Pace{perByte: time.Second / time.Duration(rate), patience: patience, credit: patience}
+// NewPace returns the Pace of a body that begins now. rate is the minimum rate in bytes
+// per second and must be above zero.
+func NewPace(rate int64, allowance time.Duration) Pace {
+	return Pace{perByte: time.Second / time.Duration(rate), allowance: allowance, credit: allowance}
 }
 
-// Arrived books n bytes that came after a wait for the caller.
+// Arrived records n bytes that arrived after the caller was waited for.
 func (p *Pace) Arrived(n int, waited time.Duration) {
 	p.idle += waited
-	p.credit = min(p.credit-waited+time.Duration(n)*p.perByte, p.patience)
+	p.credit = min(p.credit-waited+time.Duration(n)*p.perByte, p.allowance)
 }
 
-// Behind returns by how much the body is late, zero or less where it is in time.
-// waiting is how long the wait has lasted that is under way.
+// Behind returns by how much the body is late; zero or less means that it is not.
+// waiting is the duration of the current wait for the caller.
 func (p *Pace) Behind(waiting time.Duration) time.Duration { return waiting - p.credit }
 
-// Idle returns how long the caller was waited for in all.
+// Idle returns the total time spent waiting for the caller, the current wait included.
 func (p *Pace) Idle(waiting time.Duration) time.Duration { return p.idle + waiting }
 
-// Shortage counts the waiting items that get no slot before work in flight ends: none
-// while a slot is free, and none for a slot that is held back and comes free by itself.
+// Shortage returns the number of waiting items that get no slot until work in flight
+// ends. It is zero while a slot is free, and slots that are held are subtracted because
+// they become free by themselves.
 func (s Stats) Shortage() int {
 	if s.InFlight+s.Held < s.Limit {
 		return 0
@@ -49,43 +50,44 @@
 }
 
 const (
-	// looksBeforeCut is for how many looks in a row slots must have been short before
-	// the first of few late bodies is cut. It shrinks with the slots that late bodies
-	// hold: where they hold all, nothing else can make room.
-	looksBeforeCut = 10
-	// cutsPerLook is the part of the slots that one look may take back, at least one.
-	// Cut all at once, the next bodies would all become late at once too, and whoever
-	// waits would wait for as long again.
-	cutsPerLook = 8
+	// checksBeforeCut is the number of consecutive checks with a shortage after which a
+	// body is cut off when few bodies are late. It shrinks with the fraction of slots that
+	// late bodies occupy: if they occupy all slots, nothing else can free one.
+	checksBeforeCut = 10
+	// slotsPerCut limits one check to cutting off one body for so many slots, but at least
+	// one. If all late bodies were cut off together, the next ones would also become late
+	// together, and waiting requests would wait for as long again.
+	slotsPerCut = 8
 )
 
-// Laggards decides which bodies are cut for others who wait for their slots. The zero
-// value is ready.
+// Laggards decides which late bodies are cut off because other requests wait for their
+// slots. The zero value is ready to use.
 type Laggards struct {
-	// shortLooks counts the looks in a row at which slots were short.
-	shortLooks int
+	// shortChecks counts the consecutive checks that found a shortage.
+	shortChecks int
 }
 
-// Look takes the state of a target's slots and by how much each body is late, and
-// returns the places of those to cut, the latest first. While nobody waits it is none,
-// and a queue that comes and goes costs nobody an upload.
+// Look checks the state of a target's slots and by how much each body is late. It returns
+// the indices of the bodies to cut off, the latest first. It returns none while nobody
+// waits, so that a short-lived queue does not cut off any upload.
 func (l *Laggards) Look(s Stats, behind []time.Duration) []int {
 	shortage := s.Shortage()
 	if shortage == 0 {
-		l.shortLooks = 0
+		l.shortChecks = 0
 		return nil
 	}
-	l.shortLooks++
-	late := latest(behind)
-	turning := max(s.Limit-len(late), 0)
-	if len(late) == 0 || l.shortLooks*s.Limit <= looksBeforeCut*turning {
+	l.shortChecks++
+	late := latestFirst(behind)
+	notLate := max(s.Limit-len(late), 0)
+	if len(late) == 0 || l.shortChecks*s.Limit <= checksBeforeCut*notLate {
 		return nil
 	}
-	return late[:min(len(late), shortage, max(s.Limit/cutsPerLook, 1))]
+	return late[:min(len(late), shortage, max(s.Limit/slotsPerCut, 1))]
 }
 
-// latest returns the places of the late bodies in the order in which they are cut.
-func latest(behind []time.Duration) []int {
+// latestFirst returns the indices of the late bodies in the order in which they are cut
+// off.
+func latestFirst(behind []time.Duration) []int {
 	var late []int
 	for i, by := range behind {
 		if by > 0 {
--- a/core/admission/property_test.go
+++ b/core/admission/property_test.go
@@ -13,8 +13,8 @@
 	"tarragongw/core/request"
 )
 
-// book is the test's own account of every item, kept beside the Gate's.
-type book struct {
+// bookkeeping is the test's own record of every item, compared with the Gate's state.
+type bookkeeping struct {
 	t        *rapid.T
 	gate     *Gate
 	cfg      Config
@@ -26,49 +26,49 @@
 	deadline map[ID]time.Time
 }
 
-func (b *book) answer(id ID, how string) {
-	if limit := b.deadline[id]; how == "start" && !limit.IsZero() && limit.Before(b.now) {
+func (b *bookkeeping) record(id ID, answer string) {
+	if limit := b.deadline[id]; answer == "start" && !limit.IsZero() && limit.Before(b.now) {
 		b.t.Fatalf("%d started after its deadline", id)
 	}
-	if how == "start" && b.answered[id] != "" {
+	if answer == "start" && b.answered[id] != "" {
 		b.t.Fatalf("%d started after %q", id, b.answered[id])
 	}
-	if how != "start" && b.answered[id] != "" && b.answered[id] != "start" {
-		b.t.Fatalf("%d answered %q after %q", id, how, b.answered[id])
+	if answer != "start" && b.answered[id] != "" && b.answered[id] != "start" {
+		b.t.Fatalf("%d answered %q after %q", id, answer, b.answered[id])
 	}
-	b.answered[id] = how
+	b.answered[id] = answer
 }
 
-func (b *book) leave(list *[]ID, id ID) {
+func (b *bookkeeping) removeID(list *[]ID, id ID) {
 	i := slices.Index(*list, id)
 	if i < 0 {
-		b.t.Fatalf("%d is not where it should be", id)
+		b.t.Fatalf("%d is not in the expected list", id)
 	}
 	*list = slices.Delete(*list, i, i+1)
 }
 
-func (b *book) carryOut(a Actions) {
+func (b *bookkeeping) apply(a Actions) {
 	for _, r := range a.Refuse {
-		b.leave(&b.waiting, r.ID)
-		b.answer(r.ID, "refuse")
+		b.removeID(&b.waiting, r.ID)
+		b.record(r.ID, "refuse")
 	}
 	for _, id := range a.Start {
-		b.leave(&b.waiting, id)
+		b.removeID(&b.waiting, id)
 		b.working = append(b.working, id)
-		b.answer(id, "start")
+		b.record(id, "start")
 	}
 	b.check()
 }
 
-// check compares the accounts: no slot too many, nothing lost, bounded memory, and
-// no slot that stands idle while an item waits.
-func (b *book) check() {
+// check compares the Gate's state with the test's record: no more items in flight than
+// slots, no lost item, bounded memory, and no idle slot while an item waits.
+func (b *bookkeeping) check() {
 	stats := b.gate.Stats(b.now)
 	if len(b.working) > b.cfg.Slots {
-		b.t.Fatalf("%d at work in %d slots", len(b.working), b.cfg.Slots)
+		b.t.Fatalf("%d in flight in %d slots", len(b.working), b.cfg.Slots)
 	}
 	if stats.InFlight != len(b.working) || stats.QueuedInteractive+stats.QueuedBatch != len(b.waiting) {
-		b.t.Fatalf("gate says %+v, book has %d at work, %d waiting", stats, len(b.working), len(b.waiting))
+		b.t.Fatalf("gate reports %+v, test recorded %d in flight, %d waiting", stats, len(b.working), len(b.waiting))
 	}
 	if len(b.gate.entries) != len(b.working)+len(b.waiting) {
 		b.t.Fatalf("%d entries for %d items", len(b.gate.entries), len(b.working)+len(b.waiting))
@@ -83,18 +83,18 @@
 	if idle <= 0 || len(b.waiting) == 0 {
 		return
 	}
-	// Only batch work may wait beside idle slots, only beside the headroom and only
-	// for as long as interactive work is remembered.
+	// Only batch work may wait while a slot is idle, only if the idle slots are part of the
+	// headroom, and only for as long as interactive work counts as recent.
 	due := b.now
 	if idle <= b.gate.headroom.width(stats.Limit) && stats.QueuedInteractive == 0 {
-		due = b.now.Add(DefaultInteractiveMemory)
+		due = b.now.Add(DefaultInteractiveWindow)
 	}
 	if wake := b.gate.NextWake(); wake.IsZero() || wake.After(due) {
 		b.t.Fatalf("a slot is idle while %d wait and the next wake is %s", len(b.waiting), wake)
 	}
 }
 
-func (b *book) offer() {
+func (b *bookkeeping) offer() {
 	b.next++
 	item := Item{
 		ID:     b.next,
@@ -111,34 +111,34 @@
 	switch decision.Verdict {
 	case Admit:
 		b.working = append(b.working, item.ID)
-		b.answer(item.ID, "start")
+		b.record(item.ID, "start")
 	case Queue:
 		b.waiting = append(b.waiting, item.ID)
 		mayWait := item.Class == request.Batch && free.Limit-free.InFlight-free.Held <= b.gate.headroom.width(free.Limit)
 		if free.InFlight+free.Held < free.Limit && len(b.waiting) == 1 && !mayWait {
-			b.t.Fatalf("queued though a slot was free and nobody waited")
+			b.t.Fatalf("queued although a slot was free and nothing else waited")
 		}
 	case Refuse:
 		if fault.New(decision.Kind, "").Ran != fault.NotRun {
-			b.t.Fatalf("refused with %s, which does not say not run", decision.Kind)
+			b.t.Fatalf("refused with %s, which does not guarantee that the item did not run", decision.Kind)
 		}
-		b.answer(item.ID, "refuse")
+		b.record(item.ID, "refuse")
 	}
 	b.check()
 }
 
-func (b *book) finish() {
+func (b *bookkeeping) finish() {
 	if len(b.working) == 0 {
 		return
 	}
 	id := rapid.SampledFrom(b.working).Draw(b.t, "done")
 	outcome := Outcome(rapid.IntRange(0, int(NotSent)).Draw(b.t, "outcome"))
 	took := time.Duration(rapid.IntRange(1, 50).Draw(b.t, "took")) * ms
-	b.leave(&b.working, id)
-	b.carryOut(b.gate.Done(b.now, id, outcome, took))
+	b.removeID(&b.working, id)
+	b.apply(b.gate.Done(b.now, id, outcome, took))
 }
 
-func (b *book) cancel() {
+func (b *bookkeeping) cancel() {
 	if len(b.waiting) == 0 {
 		return
 	}
@@ -146,17 +146,17 @@
 	if !b.gate.Cancel(b.now, id) {
 		b.t.Fatalf("waiting %d could not be cancelled", id)
 	}
-	b.leave(&b.waiting, id)
-	b.answer(id, "cancel")
+	b.removeID(&b.waiting, id)
+	b.record(id, "cancel")
 	b.check()
 }
 
-func (b *book) pass() {
+func (b *bookkeeping) advanceTime() {
 	b.now = b.now.Add(time.Duration(rapid.IntRange(1, 40).Draw(b.t, "pass")) * ms)
-	b.carryOut(b.gate.Expire(b.now))
+	b.apply(b.gate.Expire(b.now))
 }
 
-func TestNoItemIsLostOrAnsweredTwiceAndSlotsHold(t *testing.T) {
+func TestItemsAreAnsweredOnceAndSlotsAreNotExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{
 			Slots:       rapid.SampledFrom([]int{1, 3, 6}).Draw(t, "slots"),
@@ -164,17 +164,17 @@
 			// Zero would mean the default.
 			BatchHeadroom: rapid.SampledFrom([]int{-1, 1, 2}).Draw(t, "headroom"),
 		}
-		b := &book{t: t, cfg: cfg, gate: New(cfg), now: epoch, answered: map[ID]string{}, deadline: map[ID]time.Time{}}
+		b := &bookkeeping{t: t, cfg: cfg, gate: New(cfg), now: epoch, answered: map[ID]string{}, deadline: map[ID]time.Time{}}
 		t.Repeat(map[string]func(*rapid.T){
 			"offer":  func(*rapid.T) { b.offer() },
 			"offer2": func(*rapid.T) { b.offer() },
 			"finish": func(*rapid.T) { b.finish() },
 			"cancel": func(*rapid.T) { b.cancel() },
-			"pass":   func(*rapid.T) { b.pass() },
+			"pass":   func(*rapid.T) { b.advanceTime() },
 		})
 		for len(b.working)+len(b.waiting) > 0 {
 			b.now = b.now.Add(time.Second)
-			b.carryOut(b.gate.Expire(b.now))
+			b.apply(b.gate.Expire(b.now))
 			if len(b.working) == 0 && len(b.waiting) > 0 {
 				t.Fatalf("%d wait for ever", len(b.waiting))
 			}
@@ -182,8 +182,8 @@
 				break
 			}
 			id := b.working[0]
-			b.leave(&b.working, id)
-			b.carryOut(b.gate.Done(b.now, id, Finished, ms))
+			b.removeID(&b.working, id)
+			b.apply(b.gate.Done(b.now, id, Finished, ms))
 		}
 		for id := ID(1); id <= b.next; id++ {
 			if b.answered[id] == "" {
@@ -193,18 +193,18 @@
 	})
 }
 
-// backlog keeps n items of a caller waiting and counts what starts.
+// backlog is the load of one caller that always has items waiting.
 type backlog struct {
-	caller  string
-	weight  float64
-	class   request.Class
-	service time.Duration
-	declare time.Duration
-	started float64
+	caller   string
+	weight   float64
+	class    request.Class
+	service  time.Duration
+	declared time.Duration
+	served   float64
 }
 
-// saturate serves for a number of seconds of injected time with all backlogs kept
-// full and returns with the slot time of each in started.
+// saturate runs the gate for the given simulated time with items of every backlog
+// waiting, and adds the slot time that each backlog got to its served field.
 func saturate(g *Gate, slots int, loads []*backlog, length time.Duration) {
 	owner := map[ID]*backlog{}
 	type work struct {
@@ -220,7 +220,7 @@
 			for f := g.queues[classOf(l.class)].flows[l.caller]; f == nil || f.queued < 2; f = g.queues[classOf(l.class)].flows[l.caller] {
 				next++
 				owner[next] = l
-				d := g.Offer(now, Item{ID: next, Caller: l.caller, Weight: l.weight, Class: l.class, EstimatedService: l.declare})
+				d := g.Offer(now, Item{ID: next, Caller: l.caller, Weight: l.weight, Class: l.class, EstimatedService: l.declared})
 				if d.Verdict == Admit {
 					begin(next)
 				}
@@ -234,7 +234,7 @@
 		busy = busy[1:]
 		now = done.end
 		l := owner[done.id]
-		l.started += l.service.Seconds()
+		l.served += l.service.Seconds()
 		for _, id := range g.Done(now, done.id, Finished, l.service).Start {
 			begin(id)
 		}
@@ -255,17 +255,17 @@
 		{"equal", []*backlog{{caller: "a", service: 10 * ms}, {caller: "b", service: 10 * ms}}, []float64{0.5, 0.5}},
 		{"one to three", []*backlog{{caller: "a", weight: 1, service: 10 * ms}, {caller: "b", weight: 3, service: 10 * ms}}, []float64{0.25, 0.75}},
 		{"long work counts more", []*backlog{{caller: "a", service: 50 * ms}, {caller: "b", service: 10 * ms}}, []float64{0.5, 0.5}},
-		{"a false estimate wins nothing", []*backlog{{caller: "a", service: 50 * ms, declare: ms}, {caller: "b", service: 10 * ms}}, []float64{0.5, 0.5}},
+		{"a false estimate gains nothing", []*backlog{{caller: "a", service: 50 * ms, declared: ms}, {caller: "b", service: 10 * ms}}, []float64{0.5, 0.5}},
 	}
 	for _, c := range cases {
 		g := New(Config{Slots: 3, QueueLength: 100})
 		saturate(g, 3, c.loads, 60*time.Second)
 		total := 0.0
 		for _, l := range c.loads {
-			total += l.started
+			total += l.served
 		}
 		for i, l := range c.loads {
-			got := l.started / total
+			got := l.served / total
 			assert.Assert(t, got > c.want[i]-0.02 && got < c.want[i]+0.02, "%s: caller %s has %.3f of the slot time, want %.3f", c.name, l.caller, got, c.want[i])
 		}
 	}
@@ -273,8 +273,8 @@
 
 func TestBatchGetsItsShareAndNoMore(t *testing.T) {
 	cases := []struct {
-		share            float64
-		service, declare time.Duration
+		share             float64
+		service, declared time.Duration
 	}{
 		{0.1, 10 * ms, 0},
 		{0.1, 100 * ms, 0},
@@ -285,11 +285,11 @@
 	for _, c := range cases {
 		g := New(Config{Slots: 3, QueueLength: 100, BatchShare: c.share})
 		interactive := &backlog{caller: "a", service: 10 * ms}
-		batch := &backlog{caller: "export", class: request.Batch, service: c.service, declare: c.declare}
+		batch := &backlog{caller: "export", class: request.Batch, service: c.service, declared: c.declared}
 		saturate(g, 3, []*backlog{interactive, batch}, 60*time.Second)
-		got := batch.started / (batch.started + interactive.started)
+		got := batch.served / (batch.served + interactive.served)
 		assert.Assert(t, got > c.share-0.02 && got < c.share+0.02,
-			"batch of %s, declared as %s, has %.3f of the slot time, want %.3f", c.service, c.declare, got, c.share)
+			"batch of %s, declared as %s, has %.3f of the slot time, want %.3f", c.service, c.declared, got, c.share)
 	}
 }
 
--- a/core/admission/queue.go
+++ b/core/admission/queue.go
@@ -8,7 +8,7 @@
 	"tarragongw/core/request"
 )
 
-// enqueue takes an item into its class's queue or refuses it at once.
+// enqueue adds an item to its class's queue or refuses it.
 func (g *Gate) enqueue(now time.Time, item Item, class int) Decision {
 	q := &g.queues[class]
 	if q.queued >= g.cfg.QueueLength {
@@ -21,10 +21,10 @@
 	if own >= g.callerRoom(q) {
 		return refuse(fault.CallerLimit, g.retryAfter(class, g.ahead(q, own, weight)/2))
 	}
-	cost := g.serviceOf(&item, class)
+	cost := g.expectedService(&item, class)
 	if !item.Deadline.IsZero() {
 		wait := g.waitFor(class, g.ahead(q, own, weight))
-		needed := wait + seconds(g.cautious(&item, class))
+		needed := wait + seconds(g.upperService(&item, class))
 		allowed := time.Duration(g.cfg.DeadlineShare * float64(item.Deadline.Sub(now)))
 		if needed > allowed {
 			return refuse(fault.DeadlineUnmeetable, g.clampRetry(needed-allowed))
@@ -43,17 +43,17 @@
 	return Decision{Verdict: Queue}
 }
 
-// callerRoom is how many items one caller may have waiting: a share of the room
-// that is still free, so that a newcomer always finds some (the dynamic thresholds
-// of Choudhury and Hahne, 1998). Without it one caller's flood would fill the queue
-// and every other caller would be refused.
+// callerRoom returns how many items one caller may have waiting: a fraction of the free
+// places, so that a new caller always finds one (the dynamic thresholds of Choudhury and
+// Hahne, 1998). Otherwise one caller's flood would fill the queue and every other caller
+// would be refused.
 func (g *Gate) callerRoom(q *fairQueue) int {
 	room := float64(g.cfg.QueueLength-q.queued) * g.cfg.CallerShare
 	return max(int(room), 1)
 }
 
-// ahead estimates how many items are served before the next one of a caller that
-// has own items waiting: in its turn each other caller is served in proportion.
+// ahead estimates how many items are served before the next item of a caller that has
+// own items waiting, given that callers are served in proportion to their weights.
 func (g *Gate) ahead(q *fairQueue, own int, weight float64) float64 {
 	weights := q.weights
 	if own == 0 {
@@ -63,14 +63,13 @@
 	return min(fair, float64(q.queued))
 }
 
-// waitFor estimates how long an item with that many before it waits for a slot.
+// waitFor estimates how long an item waits for a slot when ahead items are served first.
 func (g *Gate) waitFor(class int, ahead float64) time.Duration {
 	rate := g.drainRate(class)
 	return seconds((ahead + 1) / rate)
 }
 
-// drainRate is how many items of the class start in a second while it has a
-// backlog.
+// drainRate returns how many items of the class start per second while it has a backlog.
 func (g *Gate) drainRate(class int) float64 {
 	slots := float64(max(g.limiter.Limit()-len(g.holds), 1))
 	other := g.queues[1-class].queued > 0
@@ -92,26 +91,28 @@
 	return min(max(d, g.cfg.MinRetryAfter), g.cfg.MaxRetryAfter)
 }
 
-// serviceOf is the expected service time of an item, in seconds.
-func (g *Gate) serviceOf(item *Item, class int) float64 {
+// expectedService returns the expected service time of an item, in seconds.
+func (g *Gate) expectedService(item *Item, class int) float64 {
 	if item.EstimatedService > 0 {
 		return item.EstimatedService.Seconds()
 	}
 	return g.service[class].mean
 }
 
-// cautious is a service time that few items exceed, in seconds.
-func (g *Gate) cautious(item *Item, class int) float64 {
+// upperService returns the item's own estimate or a service time that few items of the
+// class exceed, in seconds.
+func (g *Gate) upperService(item *Item, class int) float64 {
 	if item.EstimatedService > 0 {
 		return item.EstimatedService.Seconds()
 	}
-	return g.service[class].high()
+	return g.service[class].upper()
 }
 
-// advance refuses what came too late and fills the free slots.
+// advance refuses the items that can no longer meet their deadline and fills the free
+// slots.
 func (g *Gate) advance(now time.Time) Actions {
 	g.resetActions()
-	g.dropLapsedHolds(now)
+	g.dropExpiredHolds(now)
 	for len(g.expiries) > 0 && !g.expiries[0].latestStart.After(now) {
 		e := g.expiries[0]
 		class := classOf(e.item.Class)
@@ -120,7 +121,7 @@
 		g.refuseQueued(e, fault.DeadlineUnmeetable, g.retryAfter(class, float64(g.queues[class].queued)))
 	}
 	for {
-		class, ok := g.next(now)
+		class, ok := g.nextClass(now)
 		if !ok {
 			return g.actions
 		}
@@ -128,14 +129,14 @@
 	}
 }
 
-// next chooses the class whose turn it is. Batch work goes first where it has
-// saved up its share, else where a slot is spare.
-func (g *Gate) next(now time.Time) (int, bool) {
+// nextClass returns the class of which an item starts next. Batch work goes first if its
+// credit covers the item or a spare slot is free.
+func (g *Gate) nextClass(now time.Time) (int, bool) {
 	const interactive, batch = int(request.Interactive), int(request.Batch)
-	if g.used(now) >= g.limiter.Limit() {
+	if g.usedSlots(now) >= g.limiter.Limit() {
 		return 0, false
 	}
-	if q := &g.queues[batch]; q.queued > 0 && g.hasRoom(now, batch, q.waiting[0].head.cost) {
+	if q := &g.queues[batch]; q.queued > 0 && g.mayStart(now, batch, q.waiting[0].head.cost) {
 		return batch, true
 	}
 	return interactive, g.queues[interactive].queued > 0
@@ -151,15 +152,15 @@
 	g.actions.Start = append(g.actions.Start, e.item.ID)
 }
 
-// refuseQueued ends an item that was taken out of its queue.
+// refuseQueued refuses an item that has been removed from its queue.
 func (g *Gate) refuseQueued(e *entry, kind fault.Kind, after time.Duration) {
 	g.actions.Refuse = append(g.actions.Refuse, Refusal{ID: e.item.ID, Kind: kind, RetryAfter: after})
-	g.forget(e)
+	g.discard(e)
 }
 
-// forget drops an item that never started.
-func (g *Gate) forget(e *entry) {
+// discard deletes an item that never started.
+func (g *Gate) discard(e *entry) {
 	delete(g.entries, e.item.ID)
-	g.queues[classOf(e.item.Class)].release(e.caller)
+	g.queues[classOf(e.item.Class)].releaseIfUnused(e.caller)
 	g.freeEntry(e)
 }
--- a/core/admission/starve_test.go
+++ b/core/admission/starvation_test.go
@@ -7,12 +7,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// Symptom: under overload by many callers a few requests wait until their deadline
-// while hundreds that came later are served.
-// Sequence: more callers than the queue is long take turns; one that was served asks
-// again and waits with its debt; those served meanwhile leave debts too, of which the
-// oldest are forgotten, so that their callers come back without one.
-// Cause: virtual time stood still, since all that was served began at the same tag.
+// Guards against requests that wait until their deadline while hundreds of later ones are
+// served, under overload by more callers than the queue is long. A caller that was served
+// waits again with its debt, while the debts of other callers are evicted, so that these
+// return without one. If virtual time did not advance on eviction, all of them would be
+// served at the same tag, before the caller with the debt.
 func TestDebtorIsServedAmongManyCallers(t *testing.T) {
 	const length, callers = 4, 100
 	g := New(Config{Slots: 1, QueueLength: length, CallerShare: 1, InitialService: 20 * ms})
@@ -40,12 +39,12 @@
 	offer("first")
 	serve()
 	for range 3 {
-		// One place is free: the debtor takes it, and is served or waits with its debt.
+		// One place in the queue is free: the debtor takes it and waits with its debt.
 		assert.Equal(t, offer("debtor"), Queue)
 		waited := 0
 		for serve() != "debtor" {
 			waited++
-			assert.Assert(t, waited <= 4*length, "%d were served before one that waits", waited)
+			assert.Assert(t, waited <= 4*length, "%d were served before the debtor", waited)
 		}
 	}
 }
