--- a/core/balance/moves.go
+++ b/core/balance/moves.go
@@ -2,37 +2,38 @@
 
 import "time"
 
-// evacuate finds owners for units whose target may not own them: heaviest first,
-// each to the target with the least load. Protected units wait until their work
-// has ended, unless their owner is unknown here and nothing can be under way.
-func (b *board) evacuate(limit int) []Move {
+// evacuate assigns new owners to units whose target may not own them, the units with the
+// most load first, each to the target with the least load. Protected units stay until
+// their work has ended, unless their owner is not among the targets, so that no work can
+// be in flight.
+func (b *planState) evacuate(limit int) []Move {
 	var moves []Move
-	order := sortedIndex(len(b.in.Units), func(i, j int) bool { return b.in.Units[i].Load > b.in.Units[j].Load })
+	order := sortedIndices(len(b.in.Units), func(i, j int) bool { return b.in.Units[i].Load > b.in.Units[j].Load })
 	for _, u := range order {
 		if len(moves) >= limit {
 			break
 		}
 		from := b.owner[u]
-		if from >= 0 && (b.allowed(u, from) || b.in.Units[u].Protected) {
+		if from >= 0 && (b.mayOwn(u, from) || b.in.Units[u].Protected) {
 			continue
 		}
-		to := b.coolest(u)
+		to := b.leastLoaded(u)
 		if to < 0 {
 			continue
 		}
 		if from >= 0 {
-			b.take(u)
+			b.unassign(u)
 		}
-		b.place(u, to)
+		b.assign(u, to)
 		b.moved[u] = true
 		moves = append(moves, Move{Unit: b.in.Units[u].Name, From: b.in.Units[u].Owner, To: b.in.Targets[to].Name, Forced: true})
 	}
 	return moves
 }
 
-// coolest is the allowed target with the least relative load, preferably in the
-// data centre of the owner.
-func (b *board) coolest(unit int) int {
+// leastLoaded returns the allowed target with the least relative load, preferably in the
+// data centre of the owner, or -1.
+func (b *planState) leastLoaded(unit int) int {
 	home := ""
 	if t := b.owner[unit]; t >= 0 {
 		home = b.in.Targets[t].DataCentre
@@ -40,7 +41,7 @@
 	best, bestCost := -1, 0.0
 	load := b.in.Units[unit].Load
 	for t := range b.in.Targets {
-		if !b.allowed(unit, t) {
+		if !b.mayOwn(unit, t) {
 			continue
 		}
 		cost := b.relative(t, load) + float64(len(b.owned[t]))*1e-9
@@ -54,21 +55,21 @@
 	return best
 }
 
-// best is the move with the greatest benefit per unit of keys moved, away from a
-// target above the mean. The busiest is tried first; where none of its units can
-// move with a benefit, the next one is.
-func (b *board) best(now time.Time) (Move, bool) {
-	hot := sortedIndex(len(b.in.Targets), func(i, j int) bool { return b.relative(i, 0) > b.relative(j, 0) })
-	for _, from := range hot {
-		if !b.giving[from] || b.splitting[from] {
+// bestMove applies and returns the move with the greatest benefit per key moved, from a
+// source above the mean. It tries the busiest source first, and the next one if no unit
+// of it can move with a benefit.
+func (b *planState) bestMove(now time.Time) (Move, bool) {
+	byLoad := sortedIndices(len(b.in.Targets), func(i, j int) bool { return b.relative(i, 0) > b.relative(j, 0) })
+	for _, from := range byLoad {
+		if !b.isSource[from] || b.hasSplit[from] {
 			continue
 		}
 		if b.relative(from, 0)-1 <= b.stop && b.overload(from, 0) == 0 {
 			continue
 		}
-		if unit, to, benefit := b.bestFrom(now, from); unit >= 0 {
-			b.take(unit)
-			b.place(unit, to)
+		if unit, to, benefit := b.bestMoveFrom(now, from); unit >= 0 {
+			b.unassign(unit)
+			b.assign(unit, to)
 			b.moved[unit] = true
 			return Move{
 				Unit: b.in.Units[unit].Name, From: b.in.Targets[from].Name, To: b.in.Targets[to].Name, Benefit: benefit,
@@ -78,15 +79,15 @@
 	return Move{}, false
 }
 
-func (b *board) bestFrom(now time.Time, from int) (unit, to int, benefit float64) {
+func (b *planState) bestMoveFrom(now time.Time, from int) (unit, to int, benefit float64) {
 	unit, to = -1, -1
-	cool := b.coolTargets(from)
+	candidates := b.leastLoadedTargets(from)
 	for _, u := range b.owned[from] {
 		if !b.movable(now, u) {
 			continue
 		}
-		for _, t := range cool {
-			if !b.allowed(u, t) {
+		for _, t := range candidates {
+			if !b.mayOwn(u, t) {
 				continue
 			}
 			if gain := b.benefit(u, from, t) / b.keyShare(u); gain > benefit {
@@ -97,12 +98,13 @@
 	return unit, to, benefit
 }
 
-// coolTargets are the two least loaded targets of the same data centre and of the
-// others; no other can be better for equal units.
-func (b *board) coolTargets(from int) []int {
-	const each = 2
+// leastLoadedTargets returns the two least loaded targets of the same data centre and of
+// the others, since for equal units no other target can be better. If Allowed restricts
+// the targets it returns all eligible ones.
+func (b *planState) leastLoadedTargets(from int) []int {
+	const perGroup = 2
 	var same, other []int
-	order := sortedIndex(len(b.in.Targets), func(i, j int) bool { return b.relative(i, 0) < b.relative(j, 0) })
+	order := sortedIndices(len(b.in.Targets), func(i, j int) bool { return b.relative(i, 0) < b.relative(j, 0) })
 	for _, t := range order {
 		if t == from || !b.in.Targets[t].Eligible {
 			continue
@@ -116,10 +118,10 @@
 	if b.in.Allowed != nil {
 		return append(same, other...)
 	}
-	return append(same[:min(each, len(same))], other[:min(each, len(other))]...)
+	return append(same[:min(perGroup, len(same))], other[:min(perGroup, len(other))]...)
 }
 
-func (b *board) movable(now time.Time, unit int) bool {
+func (b *planState) movable(now time.Time, unit int) bool {
 	u := &b.in.Units[unit]
 	if u.Protected || b.moved[unit] || u.Load <= 0 {
 		return false
@@ -127,11 +129,11 @@
 	return u.Moved.IsZero() || now.Sub(u.Moved) >= b.cfg.CoolDown
 }
 
-// benefit is what moving the unit brings, by the service's weights: the decrease
-// of the squared deviations from the mean and of the load that finds no capacity,
-// less the cost of the keys moved and of their time without service. It is at most
-// zero where the move is not worth it.
-func (b *board) benefit(unit, from, to int) float64 {
+// benefit returns the net benefit of a move by the service's weights: the decrease of the
+// squared deviations from the mean and of the load above safe capacity, less the cost of
+// the keys moved and of their time without service. It is at most zero if the move is
+// not worth it.
+func (b *planState) benefit(unit, from, to int) float64 {
 	load := b.in.Units[unit].Load
 	before := square(b.relative(from, 0)-1) + square(b.relative(to, 0)-1)
 	after := square(b.relative(from, -load)-1) + square(b.relative(to, load)-1)
--- a/core/balance/poweroftwo_test.go
+++ b/core/balance/poweroftwo_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func tally(candidates []Candidate) []int {
+func countChoices(candidates []Candidate) []int {
 	random := rand.New(rand.NewPCG(1, 2))
 	counts := make([]int, len(candidates))
 	for range 10_000 {
@@ -27,14 +27,14 @@
 	}{
 		{"the only one", []Candidate{{Weight: 1}}, 1, 1},
 		{"weight zero gets none", []Candidate{{Weight: 0}, {Weight: 1}}, 0, 0},
-		{"less in flight of two wins", []Candidate{{Weight: 1, InFlight: 1, Latency: fast}, {Weight: 1, InFlight: 2, Latency: fast}}, 1, 1},
+		{"fewer in flight wins", []Candidate{{Weight: 1, InFlight: 1, Latency: fast}, {Weight: 1, InFlight: 2, Latency: fast}}, 1, 1},
 		{"slow loses", []Candidate{{Weight: 1, Latency: slow}, {Weight: 1, Latency: fast, InFlight: 3}}, 0, 0},
-		{"unmeasured counts as the other", []Candidate{{Weight: 1, InFlight: 1}, {Weight: 1, Latency: slow}}, 0, 0},
-		{"cold of three is drawn seldom and loses", []Candidate{{Weight: 0.1, Latency: fast}, {Weight: 1, Latency: fast}, {Weight: 1, Latency: fast}}, 0, 0},
-		{"cold of three gets work when others are busy", []Candidate{{Weight: 0.1, Latency: fast}, {Weight: 1, Latency: fast, InFlight: 20}, {Weight: 1, Latency: fast, InFlight: 20}}, 0.05, 0.25},
+		{"unmeasured counts as fast as the other", []Candidate{{Weight: 1, InFlight: 1}, {Weight: 1, Latency: slow}}, 0, 0},
+		{"low weight of three is drawn rarely and loses", []Candidate{{Weight: 0.1, Latency: fast}, {Weight: 1, Latency: fast}, {Weight: 1, Latency: fast}}, 0, 0},
+		{"low weight of three gets work when others are busy", []Candidate{{Weight: 0.1, Latency: fast}, {Weight: 1, Latency: fast, InFlight: 20}, {Weight: 1, Latency: fast, InFlight: 20}}, 0.05, 0.25},
 	}
 	for _, c := range cases {
-		share := float64(tally(c.candidates)[0]) / 10_000
+		share := float64(countChoices(c.candidates)[0]) / 10_000
 		assert.Assert(t, share >= c.low && share <= c.high, "%s: %.3f", c.name, share)
 	}
 	assert.Equal(t, PowerOfTwo([]Candidate{{}, {}}, rand.New(rand.NewPCG(1, 2))), -1)
--- a/core/balance/rebalance.go
+++ b/core/balance/rebalance.go
@@ -12,7 +12,7 @@
 const (
 	DefaultStart          = 0.10
 	DefaultStop           = 0.05
-	GreatestStart         = 0.15
+	MaxStart              = 0.15
 	DefaultMovesPerMinute = 30
 	DefaultMovesPerPlan   = 8
 	DefaultForcedPerPlan  = 1024
@@ -27,35 +27,35 @@
 	DefaultSplits         = 64
 )
 
-// leastKeys is the part of a mean unit's keys that a smaller unit counts as.
-const leastKeys = 0.25
+// minKeyFraction is the fraction of a mean unit's keys that a smaller unit counts as.
+const minKeyFraction = 0.25
 
-// RebalanceConfig bounds rebalancing of one service. The zero value of a field
+// RebalanceConfig configures rebalancing of one service. The zero value of a field
 // means its default.
 type RebalanceConfig struct {
-	// Start and Stop are the hysteresis: moves begin where the busiest target is above
-	// the mean by more than Start and go on until it is within Stop. Where churn weighs
-	// more than imbalance both grow by the square root of the ratio, Start up to
-	// GreatestStart; a band too narrow for the moves that pay would never be left.
+	// Start and Stop are the hysteresis: units move away from a target once it is above the
+	// mean by more than Start, until it is within Stop. If churn has more weight than
+	// imbalance both grow by the square root of the ratio, Start up to MaxStart; with a band
+	// too narrow for the moves that are worth their cost, Stop would never be reached.
 	Start, Stop float64
-	// MovesPerMinute is the budget of moves; MovesPerPlan and ForcedPerPlan bound one
-	// plan's chosen moves and its moves away from targets that may not own.
+	// MovesPerMinute is the budget of moves for balance, MovesPerPlan bounds those of one
+	// plan, and ForcedPerPlan bounds its moves away from targets that may not own a unit.
 	MovesPerMinute, MovesPerPlan, ForcedPerPlan int
-	// CoolDown is how long a unit stays after a move.
+	// CoolDown is the minimum time between two moves of a unit.
 	CoolDown time.Duration
-	// Pause is how long a move keeps a unit from being served, and Horizon is the time
-	// over which a better balance must pay for it.
+	// Pause is how long a unit is not served during a move, and Horizon the time over which
+	// the better balance must outweigh that.
 	Pause, Horizon time.Duration
-	// ChurnCost is the gain in balance that moving the whole of a target's even share
-	// of keys must bring at equal weights. For a unit of mean load the gain is twice
-	// the difference of the two targets' relative loads, so 0.1 asks for 0.05 at least.
+	// ChurnCost is the gain in balance that moving a target's whole even share of keys must
+	// bring at equal weights. For a unit of mean load the gain is twice the difference of
+	// the two targets' relative loads, so 0.1 requires a difference of at least 0.05.
 	ChurnCost float64
 	// CrossCost multiplies the cost of a move to another data centre.
 	CrossCost float64
 	// SafeLoad is the share of its capacity above which a target counts as overloaded.
 	SafeLoad float64
-	// A key that makes up SplitShare of its unit and SplitLoad of the mean load of a
-	// target is proposed as a unit of its own, up to Splits at once.
+	// A key with at least SplitShare of its unit's load and SplitLoad of the mean load of a
+	// target is proposed as a unit of its own, at most Splits in one plan.
 	SplitShare, SplitLoad float64
 	Splits                int
 }
@@ -65,18 +65,19 @@
 	Name string
 	// Owner is the name of the owning target; empty means none.
 	Owner string
-	// Load is the estimated load, in the same measure as Target.Capacity.
+	// Load is the estimated load, in the same unit as Target.Capacity.
 	Load float64
-	// Protected units have at-most-once work under way and do not move.
+	// Protected units have at-most-once work in flight and do not move.
 	Protected bool
 	// Moved is when the unit last changed owner.
 	Moved time.Time
 	// HotKey is the unit's heaviest key, and HotLoad its load; empty means unknown.
 	HotKey  string
 	HotLoad float64
-	// Single says that the unit is a single key already.
+	// Single means that the unit is already a single key.
 	Single bool
-	// Keys is the number of keys, as estimated; zero means as many as the mean.
+	// Keys is the estimated number of keys; zero means unknown, and the mean of
+	// the units with a known number is used.
 	Keys float64
 }
 
@@ -84,27 +85,30 @@
 type Target struct {
 	Name       string
 	DataCentre string
-	// Capacity is the load that it can serve, in the measure of Unit.Load; above zero.
+	// Capacity is the load that it can serve, in the unit of Unit.Load; it must be above
+	// zero.
 	Capacity float64
-	// Eligible targets may own units; others are emptied.
+	// Eligible targets may own units; the units of other targets are moved away.
 	Eligible bool
 }
 
-// Input is all that a plan depends on. Units and Targets are in a fixed order.
+// Input is everything that a plan depends on besides the Rebalancer's state. The order of
+// Units and Targets must be stable between plans.
 type Input struct {
 	Units   []Unit
 	Targets []Target
 	Weights model.Weights
-	// Allowed says whether a target may own a unit; nil allows all.
+	// Allowed reports whether a target may own a unit; nil allows all.
 	Allowed func(unit *Unit, target *Target) bool
 }
 
 // Move gives a unit a new owner.
 type Move struct {
 	Unit, From, To string
-	// Benefit is the gain less the cost, per even share of a target's keys moved.
+	// Benefit is the gain less the cost, divided by the keys moved in units of a target's
+	// even share.
 	Benefit float64
-	// Forced moves leave a target that may not own the unit.
+	// Forced means that the previous owner may not own the unit.
 	Forced bool
 }
 
@@ -114,27 +118,27 @@
 	Load      float64
 }
 
-// Plan is what a rebalancer proposes.
+// Plan is the result of Rebalancer.Plan.
 type Plan struct {
 	Moves  []Move
 	Splits []Split
 }
 
-// Rebalancer plans moves within a budget. Its state is the budget and which targets
-// are to give units away.
+// Rebalancer plans moves within a budget. Its state is the remaining budget and the
+// targets from which units are being moved away.
 type Rebalancer struct {
 	cfg RebalanceConfig
-	// giving holds the names of the targets that exceeded the start of the band and are
-	// not back within its stop.
-	giving map[string]bool
-	tokens float64
-	last   time.Time
+	// sources holds the names of the targets that exceeded the start of the hysteresis and
+	// have not returned to its stop yet.
+	sources map[string]bool
+	tokens  float64
+	last    time.Time
 }
 
 // NewRebalancer returns a rebalancer with a full budget.
 func NewRebalancer(cfg RebalanceConfig) *Rebalancer {
 	cfg = cfg.withDefaults()
-	return &Rebalancer{cfg: cfg, giving: make(map[string]bool), tokens: float64(cfg.MovesPerMinute)}
+	return &Rebalancer{cfg: cfg, sources: make(map[string]bool), tokens: float64(cfg.MovesPerMinute)}
 }
 
 func (c RebalanceConfig) withDefaults() RebalanceConfig {
@@ -161,18 +165,18 @@
 	}
 }
 
-// Plan proposes moves and splits. Forced moves come first and are outside the
-// budget, since a unit without a rightful owner is not served at all.
+// Plan proposes moves and splits. Forced moves come first and don't count against the
+// budget, since a unit whose owner may not own it is not served at all.
 func (r *Rebalancer) Plan(now time.Time, in Input) Plan {
 	r.refill(now)
-	b := newBoard(r.cfg, in)
+	b := newPlanState(r.cfg, in)
 	var plan Plan
 	plan.Moves = b.evacuate(r.cfg.ForcedPerPlan)
 	plan.Splits = b.splits(r.cfg)
-	r.chooseGivers(b)
+	r.updateSources(b)
 	limit := min(r.cfg.MovesPerPlan, int(r.tokens))
 	for range limit {
-		move, ok := b.best(now)
+		move, ok := b.bestMove(now)
 		if !ok {
 			break
 		}
@@ -190,35 +194,39 @@
 	r.last = now
 }
 
-// chooseGivers keeps the hysteresis, for each target by itself. Without it noise in the
-// estimates around one threshold would move the same keys to and fro, which shows as
-// churn with no change of imbalance. With one for all of them, a hot key on one target
-// had others give units away that were within the band all the time.
-func (r *Rebalancer) chooseGivers(b *board) {
+// updateSources applies the hysteresis to each target separately. Without hysteresis,
+// noise of the estimates around a single threshold would move the same keys back and
+// forth, which shows as churn without a change of imbalance. With one state for all
+// targets, a hot key on one target made units move away from others that were within the
+// band all the time.
+func (r *Rebalancer) updateSources(b *planState) {
 	for i, t := range b.in.Targets {
 		excess := b.relative(i, 0) - 1
 		switch {
 		case !t.Eligible || excess <= b.stop && b.overload(i, 0) == 0:
-			delete(r.giving, t.Name)
+			delete(r.sources, t.Name)
 		case excess > b.start || b.overload(i, 0) > 0:
-			r.giving[t.Name] = true
+			r.sources[t.Name] = true
 		}
-		b.giving[i] = r.giving[t.Name]
+		b.isSource[i] = r.sources[t.Name]
 	}
-	for name := range r.giving {
+	for name := range r.sources {
 		if _, known := b.index[name]; !known {
-			delete(r.giving, name)
+			delete(r.sources, name)
 		}
 	}
 }
 
-// Imbalance is the load of the busiest eligible target over the mean, relative to
-// capacity; 1 is even.
-func Imbalance(in Input) float64 { return newBoard(RebalanceConfig{}.withDefaults(), in).excess() + 1 }
+// Imbalance returns the load of the busiest eligible target, relative to its capacity,
+// divided by the mean; 1 is an even load.
+func Imbalance(in Input) float64 {
+	return newPlanState(RebalanceConfig{}.withDefaults(), in).maxExcess() + 1
+}
 
-// Bound is the least imbalance that any assignment can reach while each unit has
-// one owner: the heaviest unit over the mean load of a target, or 1.
-func Bound(in Input) float64 {
+// MinImbalance returns a lower bound of the imbalance that any assignment can reach while
+// each unit has one owner: the load of the heaviest unit, relative to the largest
+// capacity, divided by the mean, but at least 1.
+func MinImbalance(in Input) float64 {
 	total, heaviest, capacity, targets := 0.0, 0.0, 0.0, 0
 	for _, u := range in.Units {
 		total += u.Load
@@ -238,8 +246,9 @@
 	return max(1, heaviest/largest/(total/capacity))
 }
 
-// weigh turns the service's weights into factors whose mean is 1.
-func weigh(w model.Weights) model.Weights {
+// normalizeWeights scales the service's weights so that their mean is 1. Without any
+// positive weight, or with one that is not finite, all are 1.
+func normalizeWeights(w model.Weights) model.Weights {
 	sum := max(w.Imbalance, 0) + max(w.Churn, 0) + max(w.Unavailable, 0)
 	if sum == 0 || math.IsNaN(sum) || math.IsInf(sum, 0) {
 		return model.Weights{Imbalance: 1, Churn: 1, Unavailable: 1}
@@ -251,8 +260,8 @@
 	}
 }
 
-// sortedIndex returns indices 0..n-1 ordered by less, ties by index.
-func sortedIndex(n int, less func(i, j int) bool) []int {
+// sortedIndices returns the indices 0 to n-1 ordered by less, ties by index.
+func sortedIndices(n int, less func(i, j int) bool) []int {
 	index := make([]int, n)
 	for i := range index {
 		index[i] = i
--- a/core/balance/rebalance_test.go
+++ b/core/balance/rebalance_test.go
@@ -13,14 +13,15 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// The weights of two firms: one that minds unavailable time, one that minds churn.
+// Weights of a service that avoids unavailable time, and of one that avoids churn.
 var (
 	availabilityFirst = model.Weights{Imbalance: 1, Churn: 1, Unavailable: 3}
 	churnFirst        = model.Weights{Imbalance: 1, Churn: 3, Unavailable: 1}
 )
 
-// grid returns n targets with capacity for 10 and units of them in turn, with loads.
-func grid(n int, loads ...float64) Input {
+// newInput returns n targets of capacity 10 and one unit for each load, assigned to the
+// targets round robin.
+func newInput(n int, loads ...float64) Input {
 	in := Input{Weights: model.Weights{Imbalance: 1, Churn: 1, Unavailable: 1}}
 	for i := range n {
 		in.Targets = append(in.Targets, Target{Name: fmt.Sprint("t", i), DataCentre: "dc", Capacity: 10, Eligible: true})
@@ -31,7 +32,7 @@
 	return in
 }
 
-// apply carries the moves out.
+// apply carries out the moves on in.
 func apply(in *Input, now time.Time, moves []Move) {
 	for _, m := range moves {
 		for u := range in.Units {
@@ -42,8 +43,8 @@
 	}
 }
 
-func TestBusyTargetGivesAwayWhatHelpsMost(t *testing.T) {
-	in := grid(2, 4, 1, 3, 1, 0.1, 1)
+func TestUnitWithGreatestBenefitIsMoved(t *testing.T) {
+	in := newInput(2, 4, 1, 3, 1, 0.1, 1)
 	plan := NewRebalancer(RebalanceConfig{}).Plan(epoch, in)
 	assert.Assert(t, len(plan.Moves) >= 1)
 	assert.Equal(t, plan.Moves[0].Unit, "u2", "7.1 against 3: the unit of 3 evens out better than that of 4 or 0.1")
@@ -51,22 +52,22 @@
 }
 
 func TestFewerKeysAreMovedForNearlyTheSameLoad(t *testing.T) {
-	in := grid(2, 2, 1, 1.8, 1, 2, 1)
+	in := newInput(2, 2, 1, 1.8, 1, 2, 1)
 	in.Units[0].Keys, in.Units[2].Keys, in.Units[4].Keys = 1000, 500, 2000
 	moves := NewRebalancer(RebalanceConfig{ChurnCost: 1e-9}).Plan(epoch, in).Moves
 	assert.Assert(t, len(moves) > 0)
 	assert.Equal(t, moves[0].Unit, "u2")
 }
 
-func TestHysteresisHoldsStillWithinBand(t *testing.T) {
+func TestNothingMovesWithinHysteresis(t *testing.T) {
 	r := NewRebalancer(RebalanceConfig{Start: 0.2, Stop: 0.05, ChurnCost: 1e-9})
-	within := grid(2, 1, 1, 1, 1, 1, 0.5, 0.2, 0.2, 0.2, 0.1)
+	within := newInput(2, 1, 1, 1, 1, 1, 0.5, 0.2, 0.2, 0.2, 0.1)
 	assert.Assert(t, Imbalance(within) > 1.05 && Imbalance(within) < 1.2)
 	assert.Equal(t, len(r.Plan(epoch, within).Moves), 0)
-	above := grid(2, 1, 1, 1, 1, 1, 0.1, 0.4, 0.1)
+	above := newInput(2, 1, 1, 1, 1, 1, 0.1, 0.4, 0.1)
 	assert.Assert(t, Imbalance(above) > 1.2)
 	assert.Assert(t, len(r.Plan(epoch, above).Moves) > 0)
-	assert.Assert(t, len(r.Plan(epoch, within).Moves) > 0, "goes on to the lower bound once begun")
+	assert.Assert(t, len(r.Plan(epoch, within).Moves) > 0, "moves continue down to Stop once started")
 }
 
 func TestBudgetBoundsMovesPerMinute(t *testing.T) {
@@ -74,7 +75,7 @@
 	for i := range loads {
 		loads[i] = float64(1 + i%2*9)
 	}
-	in := grid(2, loads...)
+	in := newInput(2, loads...)
 	r := NewRebalancer(RebalanceConfig{MovesPerMinute: 12, MovesPerPlan: 5, ChurnCost: 1e-9})
 	moved := 0
 	for s := range 60 {
@@ -84,11 +85,11 @@
 		moved += len(plan.Moves)
 		apply(&in, now, plan.Moves)
 	}
-	assert.Assert(t, moved >= 22 && moved <= 24, "%d moves: 12 saved up and 12 paid in", moved)
+	assert.Assert(t, moved >= 22 && moved <= 24, "%d moves: a full budget of 12 and 12 refilled", moved)
 }
 
-func TestProtectedCoolingAndForeignUnitsStay(t *testing.T) {
-	in := grid(2, 8, 1, 8, 1)
+func TestProtectedRecentlyMovedAndRestrictedUnitsStay(t *testing.T) {
+	in := newInput(2, 8, 1, 8, 1)
 	in.Units[0].Protected = true
 	in.Units[2].Moved = epoch.Add(-DefaultCoolDown + time.Second)
 	r := NewRebalancer(RebalanceConfig{})
@@ -98,8 +99,8 @@
 	assert.Equal(t, len(r.Plan(epoch.Add(time.Minute), in).Moves), 0, "no other target is allowed")
 }
 
-func TestUnitsLeaveTargetThatMayNotOwn(t *testing.T) {
-	in := grid(3, 5, 5, 5, 1, 1, 1)
+func TestUnitsMoveOffIneligibleTarget(t *testing.T) {
+	in := newInput(3, 5, 5, 5, 1, 1, 1)
 	in.Targets[0].Eligible = false
 	in.Units[3].Protected = true
 	in.Units = append(in.Units, Unit{Name: "orphan", Load: 2})
@@ -110,12 +111,12 @@
 	})
 }
 
-func TestJoinMovesCloseToLeast(t *testing.T) {
+func TestJoiningTargetGetsItsEvenShareWithFewMoves(t *testing.T) {
 	loads := make([]float64, 160)
 	for i := range loads {
 		loads[i] = 0.4
 	}
-	in := grid(4, loads...)
+	in := newInput(4, loads...)
 	in.Targets = append(in.Targets, Target{Name: "new", DataCentre: "dc", Capacity: 10, Eligible: true})
 	r := NewRebalancer(RebalanceConfig{MovesPerMinute: 1000, MovesPerPlan: 1000})
 	now, moved := epoch, 0
@@ -129,8 +130,8 @@
 	assert.Assert(t, moved <= 32, "%d units moved; an even share of the new target is 32", moved)
 }
 
-func TestHotKeyIsSplitOut(t *testing.T) {
-	in := grid(2, 6, 1, 1, 1, 1, 1)
+func TestSplitIsProposedForHotKey(t *testing.T) {
+	in := newInput(2, 6, 1, 1, 1, 1, 1)
 	in.Units[0].HotKey, in.Units[0].HotLoad = "stall-7", 4
 	in.Units[1].HotKey, in.Units[1].HotLoad = "quiet", 0.9
 	splits := NewRebalancer(RebalanceConfig{}).Plan(epoch, in).Splits
@@ -141,26 +142,25 @@
 	assert.Equal(t, len(NewRebalancer(RebalanceConfig{}).Plan(epoch, in).Splits), 0)
 }
 
-func TestPrefersOwnDataCentre(t *testing.T) {
-	in := grid(3, 4, 1.05, 1, 4, 0.1, 0.1)
+func TestMoveWithinDataCentreIsPreferred(t *testing.T) {
+	in := newInput(3, 4, 1.05, 1, 4, 0.1, 0.1)
 	in.Targets[1].DataCentre = "dc"
 	in.Targets[2].DataCentre = "other"
 	moves := NewRebalancer(RebalanceConfig{ChurnCost: 0.1}).Plan(epoch, in).Moves
 	assert.Assert(t, len(moves) > 0)
-	assert.Equal(t, moves[0].To, "t1", "though t2 has a little less load")
+	assert.Equal(t, moves[0].To, "t1", "although t2 has slightly less load")
 }
 
-func TestBoundIsTheHeaviestUnit(t *testing.T) {
-	bound := Bound(grid(2, 6, 1, 1))
+func TestMinImbalanceFollowsHeaviestUnit(t *testing.T) {
+	bound := MinImbalance(newInput(2, 6, 1, 1))
 	assert.Assert(t, bound > 1.499 && bound < 1.501, "%f", bound)
-	assert.Equal(t, Bound(grid(2, 1, 1, 1, 1)), 1.0)
+	assert.Equal(t, MinImbalance(newInput(2, 1, 1, 1, 1)), 1.0)
 }
 
-// Each firm's weights must show in what is done: where load is uneven but within
-// capacity, the firm that minds churn moves less; where targets are overloaded,
-// both act.
-func TestWeightsOfTheTwoFirmsDiffer(t *testing.T) {
-	// One of eight targets has 12% more than the others.
+// A service's weights must affect its plans: if load is uneven but within capacity, the
+// service that avoids churn moves less; if targets are overloaded, both move units.
+func TestWeightsAffectMoves(t *testing.T) {
+	// One of eight targets has 12% more load than the others.
 	run := func(w model.Weights, scale float64) (moves int, imbalance float64) {
 		loads := make([]float64, 128)
 		for i := range loads {
@@ -169,7 +169,7 @@
 				loads[i] *= 1.12
 			}
 		}
-		in := grid(8, loads...)
+		in := newInput(8, loads...)
 		in.Weights = w
 		r := NewRebalancer(RebalanceConfig{})
 		for minute := range 10 {
@@ -180,18 +180,18 @@
 		}
 		return moves, Imbalance(in)
 	}
-	calmA, evenA := run(availabilityFirst, 0.3)
-	calmC, evenC := run(churnFirst, 0.3)
-	assert.Equal(t, calmC, 0, "the unevenness harms nobody")
-	assert.Assert(t, calmA > 0 && evenA < evenC, "%d moves, %.3f and %.3f", calmA, evenA, evenC)
-	busyC, _ := run(churnFirst, 0.55)
-	assert.Assert(t, busyC > 0, "the busiest target is above its safe load")
+	movesAvailability, imbalanceAvailability := run(availabilityFirst, 0.3)
+	movesChurn, imbalanceChurn := run(churnFirst, 0.3)
+	assert.Equal(t, movesChurn, 0, "the uneven load is within capacity")
+	assert.Assert(t, movesAvailability > 0 && imbalanceAvailability < imbalanceChurn, "%d moves, %.3f and %.3f", movesAvailability, imbalanceAvailability, imbalanceChurn)
+	movesOverloaded, _ := run(churnFirst, 0.55)
+	assert.Assert(t, movesOverloaded > 0, "the busiest target is above its safe load")
 }
 
-func TestPlansKeepTheirBoundsAndRepeat(t *testing.T) {
+func TestPlansAreBoundedAndDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "targets")
-		in := grid(n, rapid.SliceOfN(rapid.Float64Range(0, 20), 0, 40).Draw(t, "loads")...)
+		in := newInput(n, rapid.SliceOfN(rapid.Float64Range(0, 20), 0, 40).Draw(t, "loads")...)
 		for i := range in.Targets {
 			in.Targets[i].Eligible = rapid.IntRange(0, 9).Draw(t, "eligible") > 0
 			in.Targets[i].Capacity = rapid.Float64Range(1, 20).Draw(t, "capacity")
@@ -236,18 +236,17 @@
 	for i := range loads {
 		loads[i] = float64(i%7) * 0.01
 	}
-	in := grid(16, loads...)
+	in := newInput(16, loads...)
 	b.ReportAllocs()
 	for b.Loop() {
 		NewRebalancer(RebalanceConfig{}).Plan(epoch, in)
 	}
 }
 
-// Symptom: units move away from targets that are hardly above the mean, each time a
-// key becomes hot somewhere else.
-// Sequence: one target is far above the band and can give nothing away.
-// Cause: one hysteresis for all targets.
-func TestOnlyTargetsAboveTheBandGive(t *testing.T) {
+// Guards against units that move away from targets hardly above the mean whenever a key
+// becomes hot on another target. It happened when one hysteresis state applied to all
+// targets and the target far above the band could move nothing away.
+func TestUnitsMoveOnlyFromTargetsAboveHysteresis(t *testing.T) {
 	in := Input{Weights: model.Weights{Imbalance: 1}}
 	for i, load := range []float64{1.17, 1.08, 0.75} {
 		name := fmt.Sprint("t", i)
--- a/core/balance/sketch.go
+++ b/core/balance/sketch.go
@@ -1,6 +1,6 @@
-// Package balance decides where load goes: which keys are hot, which units of
-// keys move between targets, and which target serves a request of a service that
-// is not divided by key.
+// Package balance distributes load: it finds hot keys, plans which units of keys move
+// between targets, and chooses the target for a request of a service that is not
+// partitioned by key.
 //
 // The package is deterministic: time and random sources are parameters.
 package balance
@@ -12,7 +12,7 @@
 )
 
 // MaxKeyLength bounds the keys that a Sketch keeps, in bytes. Longer keys are not
-// counted; with the capacity this bounds its memory whatever callers send.
+// counted. Together with the capacity this bounds memory, whatever callers send.
 const MaxKeyLength = 256
 
 // HotKey is one key that a Sketch holds. Its true weight lies between
@@ -23,10 +23,10 @@
 }
 
 // Sketch finds the heaviest keys of a stream in bounded memory, by the
-// space-saving algorithm of Metwally, Agrawal and El Abbadi (2005): a key that is
-// not held takes the place of the lightest one and inherits its weight as error.
-// Every key heavier than the total divided by the capacity is held. It is own code
-// because the library that exists has neither decay nor a bound on key length.
+// space-saving algorithm of Metwally, Agrawal and El Abbadi (2005): a key that is not
+// held replaces the lightest one and takes over its weight as error. Every key heavier
+// than the total divided by the capacity is held. The existing library has neither decay
+// nor a bound on key length, hence this implementation.
 type Sketch struct {
 	capacity int
 	total    float64
@@ -37,7 +37,7 @@
 
 type counter struct {
 	HotKey
-	// order breaks ties between equal weights by arrival.
+	// order breaks ties between equal weights by order of insertion.
 	order uint64
 	index int
 }
@@ -47,7 +47,7 @@
 	return &Sketch{capacity: max(capacity, 1), keys: make(map[string]*counter)}
 }
 
-// Add counts weight for key. It costs O(log capacity).
+// Add adds weight to key. It costs O(log capacity).
 func (s *Sketch) Add(key string, weight float64) {
 	if weight <= 0 || len(key) > MaxKeyLength {
 		return
@@ -73,8 +73,8 @@
 	heap.Fix(&s.lightest, 0)
 }
 
-// Decay multiplies all weights by factor, from 0 to 1, so that keys which were hot
-// give way to those which are.
+// Decay multiplies all weights by factor, from 0 to 1, so that keys that were hot before
+// are replaced by keys that are hot now.
 func (s *Sketch) Decay(factor float64) {
 	factor = min(max(factor, 0), 1)
 	s.total *= factor
@@ -84,7 +84,7 @@
 	}
 }
 
-// Total is the decayed weight of all that was counted.
+// Total returns the decayed weight of everything counted.
 func (s *Sketch) Total() float64 { return s.total }
 
 // Top returns the n heaviest keys, heaviest first.
@@ -105,7 +105,7 @@
 	return top[:min(max(n, 0), len(top))]
 }
 
-// counters is a heap with the lightest key first.
+// counters is a heap of counters with the lightest key first.
 type counters []*counter
 
 func (h counters) Len() int { return len(h) }
--- a/core/balance/sketch_test.go
+++ b/core/balance/sketch_test.go
@@ -56,7 +56,7 @@
 	})
 }
 
-func TestSketchForgetsAndIsBounded(t *testing.T) {
+func TestSketchDecaysAndIsBounded(t *testing.T) {
 	s := NewSketch(4)
 	s.Add("morning", 1000)
 	for range 10 {
