--- a/admit/admit.go
+++ b/admit/admit.go
@@ -1,5 +1,6 @@
-// Package admit is the concurrent shell around core/admission: it holds a Gate
-// behind a mutex, lets requests wait for their slot and keeps the Gate's timer.
+// Package admit makes core/admission usable by concurrent requests: it guards an
+// admission.Gate by a mutex, blocks requests until they have a slot and runs the timer
+// that the Gate needs.
 package admit
 
 import (
@@ -11,8 +12,8 @@
 	"tarragongw/core/fault"
 )
 
-// Release gives a slot back. It must be called once, with how the work ended;
-// further calls do nothing.
+// Release returns a slot. It must be called with the outcome of the work; only the first
+// call has an effect.
 type Release func(outcome admission.Outcome)
 
 // Gate admits requests to one target. It is safe for concurrent use.
@@ -24,12 +25,12 @@
 	nextID  admission.ID
 	waiting map[admission.ID]*waiter
 	timer   *time.Timer
-	// wake is when the timer fires; zero where it is stopped.
+	// wake is the time at which the timer fires; zero means that it is not set.
 	wake time.Time
 }
 
-// waiter is a request in the queue. It is answered exactly once, under the Gate's
-// mutex: started, or refused with a fault.
+// waiter is a queued request. It gets exactly one answer, sent with the Gate's mutex
+// locked: nil when it starts, or the fault with which it is refused.
 type waiter struct {
 	answer chan *fault.Fault
 }
@@ -43,12 +44,11 @@
 	}
 }
 
-// Acquire waits for a slot. It returns a release function, or a fault with
-// NotRun: the work never reached a slot. The item's ID is chosen here, and a zero
-// deadline is taken from ctx.
+// Acquire waits for a slot. It returns a release function, or a fault with NotRun if the
+// item got no slot. Acquire sets the item's ID, and takes a zero deadline from ctx.
 func (g *Gate) Acquire(ctx context.Context, item admission.Item) (Release, *fault.Fault) {
 	if ctx.Err() != nil {
-		return nil, gone(ctx)
+		return nil, contextFault(ctx)
 	}
 	if limit, ok := ctx.Deadline(); ok && item.Deadline.IsZero() {
 		item.Deadline = limit
@@ -79,7 +79,7 @@
 func (g *Gate) await(ctx context.Context, id admission.ID, w *waiter) (Release, *fault.Fault) {
 	select {
 	case f := <-w.answer:
-		return g.answered(id, f)
+		return g.result(id, f)
 	case <-ctx.Done():
 	}
 	g.mu.Lock()
@@ -90,19 +90,19 @@
 	}
 	g.mu.Unlock()
 	if cancelled {
-		return nil, gone(ctx)
+		return nil, contextFault(ctx)
 	}
-	// The answer came first. A slot that arrives for a caller who left goes straight
-	// back, else it would be lost for good.
-	release, f := g.answered(id, <-w.answer)
+	// The answer came before the cancellation. The slot of a caller that has left must be
+	// returned at once, or it would never be free again.
+	release, f := g.result(id, <-w.answer)
 	if f != nil {
 		return nil, f
 	}
 	release(admission.NotSent)
-	return nil, gone(ctx)
+	return nil, contextFault(ctx)
 }
 
-func (g *Gate) answered(id admission.ID, f *fault.Fault) (Release, *fault.Fault) {
+func (g *Gate) result(id admission.ID, f *fault.Fault) (Release, *fault.Fault) {
 	if f != nil {
 		return nil, f
 	}
@@ -120,12 +120,12 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	g.carryOut(g.core.Done(now, id, outcome, now.Sub(start)))
+	g.apply(g.core.Done(now, id, outcome, now.Sub(start)))
 }
 
-// carryOut answers the waiters. The channels have room for the one answer, so it
-// never blocks.
-func (g *Gate) carryOut(actions admission.Actions) {
+// apply sends the answers to the waiters. Each channel is buffered for its only answer,
+// so apply never blocks.
+func (g *Gate) apply(actions admission.Actions) {
 	for _, id := range actions.Start {
 		g.answer(id, nil)
 	}
@@ -141,8 +141,8 @@
 	w.answer <- f
 }
 
-// schedule sets the timer to the Gate's next wake. A timer that fires too early
-// does no harm, so a later wake leaves it as it is.
+// schedule sets the timer to the Gate's NextWake. A timer that fires too early does no
+// harm, so it is not reset to a later time.
 func (g *Gate) schedule() {
 	next := g.core.NextWake()
 	if next.IsZero() || (!g.wake.IsZero() && !next.Before(g.wake)) {
@@ -161,17 +161,18 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.wake = time.Time{}
-	g.carryOut(g.core.Expire(g.now()))
+	g.apply(g.core.Expire(g.now()))
 }
 
 // SetSlots changes the number of slots; zero means unknown.
 func (g *Gate) SetSlots(slots int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.carryOut(g.core.SetSlots(g.now(), slots))
+	g.apply(g.core.SetSlots(g.now(), slots))
 }
 
-// Hold keeps n slots back for a time, for work that a predecessor may have sent.
+// Hold reserves n slots for the given time, for work that the previous grantor may have
+// sent.
 func (g *Gate) Hold(length time.Duration, n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -180,20 +181,20 @@
 	g.schedule()
 }
 
-// Inherit keeps n slots back for a time for work that a predecessor sent, in place
-// of what an earlier call kept.
+// Inherit reserves n slots for the given time for work that the previous grantor sent. It
+// replaces the reservation of an earlier call.
 func (g *Gate) Inherit(length time.Duration, n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	g.carryOut(g.core.Inherit(now, now.Add(length), n))
+	g.apply(g.core.Inherit(now, now.Add(length), n))
 }
 
-// Drain refuses with kind all that waits and all that comes; work in slots goes on.
+// Drain refuses all waiting and new requests with kind; work in flight continues.
 func (g *Gate) Drain(kind fault.Kind) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.carryOut(g.core.Drain(g.now(), kind))
+	g.apply(g.core.Drain(g.now(), kind))
 }
 
 // Resume ends a drain.
@@ -214,7 +215,7 @@
 func (g *Gate) Close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.carryOut(g.core.Drain(g.now(), fault.Stopping))
+	g.apply(g.core.Drain(g.now(), fault.Stopping))
 	if g.timer != nil {
 		g.timer.Stop()
 	}
@@ -227,8 +228,8 @@
 	return f
 }
 
-// gone is the fault of a request whose caller left before it had a slot.
-func gone(ctx context.Context) *fault.Fault {
+// contextFault is the fault of a request whose context ended before it had a slot.
+func contextFault(ctx context.Context) *fault.Fault {
 	kind := fault.CallerGone
 	if ctx.Err() == context.DeadlineExceeded {
 		kind = fault.DeadlineUnmeetable
--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -20,8 +20,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// inBubble runs the test on a time of its own with a gate that it closes: what waits in
-// it is known, and no busy machine is late with it.
+// inBubble runs test with a new gate in a synctest bubble. There synctest.Wait shows that
+// the requests are queued, and a busy machine does not delay the timers.
 func inBubble(t *testing.T, cfg admission.Config, test func(t *testing.T, g *Gate)) {
 	synctest.Test(t, func(t *testing.T) {
 		g := New(cfg)
@@ -30,7 +30,7 @@
 	})
 }
 
-func TestSlotsHoldUnderThousandCallers(t *testing.T) {
+func TestSlotsAreNotExceededByThousandCallers(t *testing.T) {
 	const slots, callers, rounds = 6, 1000, 5
 	inBubble(t, admission.Config{Slots: slots, QueueLength: callers, CallerShare: 1}, func(t *testing.T, g *Gate) {
 		var working, highest, served, refused, cancelled atomic.Int64
@@ -98,11 +98,10 @@
 	})
 }
 
-// Symptom: a target with free slots serves nothing.
-// Sequence: a waiter's slot comes at the moment at which its caller goes away; the
-// waiter returns without the slot.
-// Cause: a slot that was given to a caller who left was not given back.
-func TestSlotThatCameTooLateIsGivenBack(t *testing.T) {
+// Guards against leaked slots, after which a target with free slots serves nothing: a
+// waiter gets its slot at the moment at which its context is cancelled, and must return
+// the slot.
+func TestSlotGrantedOnCancellationIsReturned(t *testing.T) {
 	inBubble(t, admission.Config{Slots: 1}, func(t *testing.T, g *Gate) {
 		for range 300 {
 			release, f := g.Acquire(context.Background(), admission.Item{})
@@ -124,7 +123,7 @@
 	})
 }
 
-func TestTimerRefusesWaiterThatBecameTooLate(t *testing.T) {
+func TestTimerRefusesWaiterWithUnmeetableDeadline(t *testing.T) {
 	inBubble(t, admission.Config{Slots: 1, InitialService: time.Millisecond}, func(t *testing.T, g *Gate) {
 		release, f := g.Acquire(context.Background(), admission.Item{})
 		assert.Assert(t, f == nil)
@@ -145,7 +144,7 @@
 	})
 }
 
-func TestHeldSlotsComeFree(t *testing.T) {
+func TestHeldSlotsBecomeFree(t *testing.T) {
 	inBubble(t, admission.Config{Slots: 2}, func(t *testing.T, g *Gate) {
 		g.Hold(20*time.Millisecond, 2)
 		assert.Equal(t, g.Stats().Held, 2)
@@ -179,7 +178,7 @@
 	})
 }
 
-func TestContextThatEndedIsRefusedWithoutSlot(t *testing.T) {
+func TestEndedContextIsRefusedWithoutSlot(t *testing.T) {
 	inBubble(t, admission.Config{Slots: 1}, func(t *testing.T, g *Gate) {
 		ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(-time.Second))
 		defer cancel()
--- a/core/shed/shed_test.go
+++ b/core/shed/shed_test.go
@@ -9,9 +9,10 @@
 
 const tick = 20 * time.Millisecond
 
-// probes feeds delays of probes that set out tick after tick.
-func probes(c *Controller, offered Offered, delays ...time.Duration) (s Shares) {
-	at := c.sent.Add(c.last)
+// runProbes runs probes with the given delays, each sent one tick after the last arrived,
+// and returns the shares after the last one.
+func runProbes(c *Controller, offered Offered, delays ...time.Duration) (s Shares) {
+	at := c.sent.Add(c.lastDelay)
 	for _, delay := range delays {
 		at = at.Add(tick)
 		c.Sent(at)
@@ -21,18 +22,18 @@
 	return s
 }
 
-// Symptom: requests are refused although the router has time to spare.
-// Sequence: the process gets no processor time for a moment, again and again.
-// Cause: one late probe is taken for a queue, or the cut outlasts its cause.
-func TestPausesRefuseNothingForLong(t *testing.T) {
+// Guards against requests that are refused although the router is not overloaded: the
+// process repeatedly gets no processor time for a moment. A single late probe must not
+// count as a queue, and refusals must end soon after their cause.
+func TestPausesDoNotCauseLastingRefusals(t *testing.T) {
 	const pause = 300 * time.Millisecond
 	c := New(0)
 	for range 5 {
-		assert.Equal(t, probes(c, Offered{}, 0, 0, pause, 0), Shares{})
+		assert.Equal(t, runProbes(c, Offered{}, 0, 0, pause, 0), Shares{})
 	}
-	probes(c, Offered{}, pause, pause)
+	runProbes(c, Offered{}, pause, pause)
 	assert.Assert(t, c.Admitted() < 1)
-	probes(c, Offered{}, 0, 0)
+	runProbes(c, Offered{}, 0, 0)
 	assert.Equal(t, c.Admitted(), 1.0)
 }
 
@@ -49,7 +50,7 @@
 		{0.50, Offered{}, Shares{0.5, 0.5, 0.5}},
 		{0, Offered{10, 30, 60}, Shares{}},
 	} {
-		got := share(c.refused, c.offered)
+		got := divide(c.refused, c.offered)
 		for rank := range got {
 			assert.Assert(t, got[rank]-c.want[rank] < 1e-9 && c.want[rank]-got[rank] < 1e-9, "%v: %v", c, got)
 		}
@@ -63,15 +64,15 @@
 	assert.Equal(t, refused, 300)
 }
 
-// Symptom: all work is refused for seconds because of one burst, or callers come back
-// at once.
-func TestCutFollowsTheLoad(t *testing.T) {
+// Guards against refusing all work for seconds because of one burst, and against a
+// RetryAfter that does not grow with the overload.
+func TestAdmissionFollowsLoad(t *testing.T) {
 	c := New(0)
-	probes(c, Offered{}, 15*time.Millisecond, 30*time.Millisecond)
+	runProbes(c, Offered{}, 15*time.Millisecond, 30*time.Millisecond)
 	first := c.Admitted()
-	assert.Assert(t, first < 1 && first >= leastFactor)
-	probes(c, Offered{}, 20*time.Millisecond)
+	assert.Assert(t, first < 1 && first >= minFactor)
+	runProbes(c, Offered{}, 20*time.Millisecond)
 	assert.Assert(t, c.Admitted() >= first, "the queue shrinks")
 	assert.Assert(t, RetryAfter(first) > RetryAfter(1))
-	assert.Equal(t, RetryAfter(0), mostWait)
+	assert.Equal(t, RetryAfter(0), maxRetryAfter)
 }
--- a/heap/headroom.go
+++ b/heap/headroom.go
@@ -3,47 +3,47 @@
 import "time"
 
 const (
-	// minHeadroom is Go's own smallest: a router at rest stays as small as without pacing.
+	// minHeadroom is the smallest headroom of Go itself, so that an idle router uses no more
+	// memory than without pacing.
 	minHeadroom = 4 << 20
-	// maxHeadroom bounds the memory that pacing adds; beyond it the collector's own
-	// rule, as much again as is live, asks for more anyway.
+	// maxHeadroom bounds the memory that pacing adds. With a larger live heap the
+	// collector's default, as much garbage as is live, allows more anyway.
 	maxHeadroom = 64 << 20
-	// basePercent is the least that is ever set, the collector's default.
-	basePercent = 100
-	// busyInterval and restInterval are the times between two collections below and
-	// above which the headroom grows and shrinks.
+	// defaultPercent is the collector's default and the lowest percentage that is set.
+	defaultPercent = 100
+	// The headroom grows if the time between two collections is below busyInterval, and
+	// shrinks if it is above idleInterval.
 	busyInterval = 500 * time.Millisecond
-	restInterval = 5 * time.Second
-	// tolerance is the part, one in so many, by which the percentage that is set may be
-	// off: setting it stops the world.
-	tolerance = 4
-	// leastLive is the smallest live heap, in bytes, that is reckoned with.
-	leastLive = 1 << 20
+	idleInterval = 5 * time.Second
+	// toleranceDivisor sets the tolerance: the percentage in force may differ from the
+	// wanted one by 1/toleranceDivisor of itself, because setting it stops the world.
+	toleranceDivisor = 4
+	// minLive is the smallest live heap, in bytes, from which the percentage is computed.
+	minLive = 1 << 20
 )
 
-// headroom decides how much garbage may gather between two collections.
+// headroom decides how much garbage may accumulate between two collections.
 type headroom struct {
-	// bytes is the garbage allowed at present.
+	// bytes is the garbage currently allowed.
 	bytes int64
-	// percent is what the collector was told last.
+	// percent is the percentage that was set last.
 	percent int
 }
 
-func newHeadroom() headroom { return headroom{bytes: minHeadroom, percent: basePercent} }
+func newHeadroom() headroom { return headroom{bytes: minHeadroom, percent: defaultPercent} }
 
-// collected notes a collection that left live bytes, sinceLast after the one
-// before. It returns the percentage that is to hold from now on and whether it is
-// another one.
+// collected records a collection that left live bytes, sinceLast after the previous one.
+// It returns the percentage to use from now on and whether it has changed.
 func (h *headroom) collected(sinceLast time.Duration, live int64) (percent int, changed bool) {
 	switch {
 	case sinceLast < busyInterval:
 		h.bytes = min(2*h.bytes, maxHeadroom)
-	case sinceLast > restInterval:
+	case sinceLast > idleInterval:
 		h.bytes = max(h.bytes/2, minHeadroom)
 	}
-	want := max(int(100*h.bytes/max(live, leastLive)), basePercent)
+	want := max(int(100*h.bytes/max(live, minLive)), defaultPercent)
 	off := max(want-h.percent, h.percent-want)
-	if off*tolerance <= h.percent && (want != basePercent || off == 0) {
+	if off*toleranceDivisor <= h.percent && (want != defaultPercent || off == 0) {
 		return h.percent, false
 	}
 	h.percent = want
--- a/heap/heap_test.go
+++ b/heap/heap_test.go
@@ -10,7 +10,7 @@
 
 const mebibyte = 1 << 20
 
-// underLoad is the headroom after ten collections that came soon after each other.
+// underLoad returns the headroom after ten collections in quick succession.
 func underLoad(live int64) headroom {
 	h := newHeadroom()
 	for range 10 {
@@ -19,33 +19,33 @@
 	return h
 }
 
-func TestHeadroomGrowsUnderLoadUpToItsBound(t *testing.T) {
+func TestHeadroomGrowsUnderLoadUpToMaximum(t *testing.T) {
 	h := underLoad(5 * mebibyte)
 	assert.Equal(t, h.bytes, int64(maxHeadroom))
 	assert.Equal(t, h.percent, 100*maxHeadroom/(5*mebibyte))
 }
 
-// Symptom: a small VM runs out of memory as thousands of requests come in at once.
-// Sequence: load raises the percentage while little is live; then 160 MiB are live.
-// Cause: the percentage counts from what is live, not in bytes.
-func TestHeadroomFallsAsTheLiveHeapGrows(t *testing.T) {
+// Guards against a small VM that runs out of memory when thousands of requests arrive at
+// once: load raises the percentage while the live heap is small, then 160 MiB are live.
+// The percentage is relative to the live heap, so it must fall.
+func TestPercentFallsWhenLiveHeapGrows(t *testing.T) {
 	h := underLoad(5 * mebibyte)
 	percent, changed := h.collected(30*time.Millisecond, 160*mebibyte)
 	assert.Assert(t, changed)
-	assert.Equal(t, percent, basePercent)
+	assert.Equal(t, percent, defaultPercent)
 }
 
-func TestHeadroomComesBackAtRest(t *testing.T) {
+func TestHeadroomShrinksWhenIdle(t *testing.T) {
 	h := underLoad(5 * mebibyte)
 	var percent int
 	for range 10 {
-		percent, _ = h.collected(restInterval+time.Second, 5*mebibyte)
+		percent, _ = h.collected(idleInterval+time.Second, 5*mebibyte)
 	}
 	assert.Equal(t, h.bytes, int64(minHeadroom))
-	assert.Equal(t, percent, basePercent)
+	assert.Equal(t, percent, defaultPercent)
 }
 
-func TestHeadroomLeavesSmallDifferencesAlone(t *testing.T) {
+func TestSmallDifferencesKeepPercent(t *testing.T) {
 	h := underLoad(8 * mebibyte)
 	_, changed := h.collected(time.Second, 9*mebibyte)
 	assert.Assert(t, !changed)
@@ -53,20 +53,20 @@
 	assert.Assert(t, changed)
 }
 
-func TestPacerNotesCollectionsUntilItIsStopped(t *testing.T) {
-	told := make(chan int, 16)
-	p := newPacer(func(percent int) int { told <- percent; return basePercent }, time.Now().Add(time.Hour))
+func TestPacerRecordsCollectionsUntilStopped(t *testing.T) {
+	set := make(chan int, 16)
+	p := newPacer(func(percent int) int { set <- percent; return defaultPercent }, time.Now().Add(time.Hour))
 	p.arm()
-	percent := basePercent
-	for patience := time.Now().Add(time.Minute); percent == basePercent; {
-		assert.Assert(t, time.Now().Before(patience), "no collection was noted")
+	percent := defaultPercent
+	for deadline := time.Now().Add(time.Minute); percent == defaultPercent; {
+		assert.Assert(t, time.Now().Before(deadline), "no collection was recorded")
 		runtime.GC()
 		select {
-		case percent = <-told:
+		case percent = <-set:
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
 	p.stop()
 	assert.Assert(t, p.stopped)
-	assert.Assert(t, !p.note(time.Now(), mebibyte))
+	assert.Assert(t, !p.record(time.Now(), mebibyte))
 }
--- a/heap/pacer.go
+++ b/heap/pacer.go
@@ -1,13 +1,12 @@
-// Package heap paces the garbage collector of a process that does nothing but
-// route.
+// Package heap paces the garbage collector of a process that only routes requests.
 //
-// What goes wrong without it: a router has 5 MiB of live state, so the collector's
-// default lets only as much garbage gather before it runs again. Under load that is
-// every 30 ms, for 4 ms each on the two cores of a small VM: a tenth of the
-// processor time, and every tenth request meets a collection, which shows in the
-// 99th percentile. A fixed larger percentage would mend that, but it grows with the
-// live heap and would take a small VM's memory when thousands of requests are in
-// flight. Here a bounded number of bytes is added, and only while they are needed.
+// A router has 5 MiB of live state, so by default the collector runs again after as much
+// garbage. Under load that is every 30 ms, for 4 ms each on the two cores of a small VM:
+// it takes a tenth of the processor time, and one request in ten coincides with a
+// collection, which shows in the 99th percentile. A fixed larger percentage would avoid
+// that, but the allowed garbage grows with the live heap and would exhaust a small VM's
+// memory when thousands of requests are in flight. This package allows a bounded number
+// of additional bytes, and only while they are needed.
 package heap
 
 import (
@@ -19,27 +18,27 @@
 	"time"
 )
 
-// liveMetric is what the last collection left, in bytes.
+// liveMetric is the runtime metric of the bytes that the last collection left live.
 const liveMetric = "/gc/heap/live:bytes"
 
-// percentVariable is the environment variable by which operators set a percentage
-// of their own, which is then left alone.
+// percentVariable is the environment variable by which operators set the percentage
+// themselves. If it is set, the percentage is not changed.
 const percentVariable = "GOGC"
 
 // Pacer adapts the collector's percentage, in the sense of GOGC, after each collection.
 type Pacer struct {
 	mu       sync.Mutex
 	headroom headroom
-	// last is when the last collection was noted.
+	// last is the time of the last recorded collection.
 	last time.Time
-	// set is debug.SetGCPercent but in tests.
+	// set is debug.SetGCPercent except in tests.
 	set     func(percent int) int
 	stopped bool
 }
 
-// Start begins to pace the collector of this process and returns how to end it,
-// which brings the default back. It does nothing where GOGC is set. A limit by
-// GOMEMLIMIT holds in any case.
+// Start begins to pace the collector of this process. The returned function ends pacing
+// and restores the default percentage. Start does nothing if GOGC is set. A limit set by
+// GOMEMLIMIT applies in any case.
 func Start() (stop func()) {
 	if os.Getenv(percentVariable) != "" {
 		return func() {}
@@ -53,25 +52,27 @@
 	return &Pacer{headroom: newHeadroom(), last: now, set: set}
 }
 
-// sentinel is garbage at once, so that its end tells of the next collection. It
-// holds a pointer, because small objects without any share a block and live longer.
+// sentinel is an object that is garbage as soon as it is allocated, so that its cleanup
+// runs after the next collection. It contains a pointer because small objects without
+// pointers share a block and live longer.
 type sentinel struct{ _ *sentinel }
 
-// arm waits for the next collection without a timer or a goroutine of its own, so
-// that a router at rest isn't woken.
+// arm has collected run after the next collection. It uses neither a timer nor a
+// goroutine, so that an idle router isn't woken.
 func (p *Pacer) arm() {
 	runtime.AddCleanup(new(sentinel), (*Pacer).collected, p)
 }
 
 // collected runs after a collection.
 func (p *Pacer) collected() {
-	if p.note(time.Now(), liveBytes()) {
+	if p.record(time.Now(), liveBytes()) {
 		p.arm()
 	}
 }
 
-// note passes a collection on to the decision and reports false after stop.
-func (p *Pacer) note(now time.Time, live int64) bool {
+// record updates the headroom and the percentage after a collection. It returns false
+// after stop.
+func (p *Pacer) record(now time.Time, live int64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.stopped {
@@ -90,7 +91,7 @@
 	defer p.mu.Unlock()
 	if !p.stopped {
 		p.stopped = true
-		p.set(basePercent)
+		p.set(defaultPercent)
 	}
 }
 
