--- a/core/admission/batchcredit.go
+++ b/core/admission/batchcredit.go
@@ -50,6 +50,6 @@
 // while interactive work waits. mean is the mean service time of batch jobs.
 func reserve(mean float64) float64 { return min(reserveJobs*mean, maxReserve) }
 
-// creditRate returns what one second of interactive slot time adds to the credit, so
+// creditPerSecond returns what one second of interactive slot time adds to the credit, so
 // that batch work gets share of all slot time.
-func creditRate(share float64) float64 { return share / (1 - share) }
+func creditPerSecond(share float64) float64 { return share / (1 - share) }
--- a/core/admission/gate.go
+++ b/core/admission/gate.go
@@ -121,7 +121,7 @@
 func (g *Gate) begin(now time.Time, e *entry, class int) {
 	switch {
 	case class == int(request.Interactive) && g.queues[request.Batch].queued > 0:
-		e.creditRate = creditRate(g.cfg.BatchShare)
+		e.creditRate = creditPerSecond(g.cfg.BatchShare)
 	case class == int(request.Batch) && g.hasSpareSlot(now):
 		g.credit.chargeSpare(e.cost, g.service[class].mean)
 	case class == int(request.Batch):
