--- a/admit/admit.go
+++ b/admit/admit.go
@@ -171,7 +171,7 @@
 	g.apply(g.core.SetSlots(g.now(), slots))
 }
 
-// Hold reserves n slots for the given time, for work that the previous grantor may have
+// Hold keeps n slots unavailable for the given time, for work that the previous grantor may have
 // sent.
 func (g *Gate) Hold(length time.Duration, n int) {
 	g.mu.Lock()
@@ -181,8 +181,8 @@
 	g.schedule()
 }
 
-// Inherit reserves n slots for the given time for work that the previous grantor sent. It
-// replaces the reservation of an earlier call.
+// Inherit keeps n slots unavailable for the given time for work that the previous grantor sent. It
+// replaces what an earlier call holds.
 func (g *Gate) Inherit(length time.Duration, n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -107,7 +107,7 @@
 // Stats is a snapshot for metrics.
 type Stats struct {
 	// Limit is the current number of slots. InFlight counts those in use, Held those
-	// reserved for work that may still be running at the target.
+	// held for work that may still be running at the target.
 	Limit, InFlight, Held int
 	// QueuedInteractive and QueuedBatch count waiting items.
 	QueuedInteractive, QueuedBatch int
--- a/core/admission/batchcredit.go
+++ b/core/admission/batchcredit.go
@@ -31,7 +31,7 @@
 	return c.seconds >= cost
 }
 
-// add increases the credit, or reduces it if seconds is negative.
+// add increases the credit, or reduces it if amount is negative.
 func (c *batchCredit) add(amount float64) { c.seconds += amount }
 
 // chargeSpare charges a start in a spare slot. The debt is bounded: a quiet hour must not
--- a/core/admission/config.go
+++ b/core/admission/config.go
@@ -48,7 +48,7 @@
 	DeadlineShare float64
 	// InitialService is the service time assumed before one has been measured.
 	InitialService time.Duration
-	// HoldUnknown is the maximum time for which a slot stays reserved after an outcome
+	// HoldUnknown is the maximum time for which a slot stays held after an outcome
 	// of Unknown or Awaiting.
 	HoldUnknown time.Duration
 	// MinRetryAfter and MaxRetryAfter bound the RetryAfter of a refusal.
--- a/core/admission/gate.go
+++ b/core/admission/gate.go
@@ -21,10 +21,10 @@
 	// inFlight counts items in flight by class.
 	inFlight [classes]int
 	expiries expiryHeap
-	// holds are the times at which reserved slots become free, in ascending order. Slots
-	// are reserved for work that the target may still be doing.
+	// holds are the times at which held slots become free, in ascending order. Slots
+	// are held for work that the target may still be doing.
 	holds []time.Time
-	// inherited is the number of slots reserved until inheritedUntil for work that the
+	// inherited is the number of slots held until inheritedUntil for work that the
 	// previous grantor sent.
 	inherited      int
 	inheritedUntil time.Time
@@ -153,7 +153,7 @@
 	return g.advance(now)
 }
 
-// observe updates the estimates, the limiter and the reserved slots.
+// observe updates the estimates, the limiter and the held slots.
 func (g *Gate) observe(now time.Time, e *entry, class int, outcome Outcome, elapsed time.Duration) {
 	total := g.inFlight[0] + g.inFlight[1]
 	switch outcome {
--- a/core/admission/hold.go
+++ b/core/admission/hold.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// inheritedSlots returns the number of slots reserved for the previous grantor's work.
+// inheritedSlots returns the number of slots held for the previous grantor's work.
 func (g *Gate) inheritedSlots(now time.Time) int {
 	if !now.Before(g.inheritedUntil) {
 		return 0
@@ -29,7 +29,7 @@
 	}
 }
 
-// hold reserves the slot of an item that the target may still be working on. Otherwise
+// hold keeps a slot unavailable whose item the target may still be working on. Otherwise
 // the router would send the next item meanwhile, and the target would work on more
 // requests than it has slots. The hold lasts for the upper estimate of one service
 // time, which is enough because the item has already started.
@@ -38,7 +38,7 @@
 	g.holdUntil(now.Add(length))
 }
 
-// Hold reserves n slots until the given time. A router that takes over a target calls it
+// Hold keeps n slots unavailable until the given time. A router that takes over a target calls it
 // with the latest end of the work that the previous grantor may have sent; otherwise the
 // work of both routers together could exceed the slots.
 func (g *Gate) Hold(now, until time.Time, n int) {
@@ -50,8 +50,8 @@
 	}
 }
 
-// Inherit reserves n slots until the given time for work that the previous grantor sent.
-// It replaces the reservation of an earlier call; zero ends it. A router that takes over
+// Inherit keeps n slots unavailable until the given time for work that the previous grantor sent.
+// It replaces what an earlier call holds; zero ends it. A router that takes over
 // a target calls it with all slots, and again with the number of the other router's
 // requests that the target is still working on once that is known. It returns the items
 // that start.
--- a/core/admission/slots.go
+++ b/core/admission/slots.go
@@ -32,7 +32,7 @@
 	return g.usedSlots(now)+headroom < g.limiter.Limit()
 }
 
-// usedSlots returns the number of slots that are in use or reserved.
+// usedSlots returns the number of slots that are in use or held.
 func (g *Gate) usedSlots(now time.Time) int {
 	return g.inFlight[0] + g.inFlight[1] + len(g.holds) - g.expiredHolds(now) + g.inheritedSlots(now)
 }
--- a/core/balance/planstate.go
+++ b/core/balance/planstate.go
@@ -33,7 +33,7 @@
 }
 
 func newPlanState(cfg RebalanceConfig, in Input) *planState {
-	b := &planState{
+	p := &planState{
 		cfg: cfg, in: in, weights: normalizeWeights(in.Weights),
 		index: make(map[string]int, len(in.Targets)),
 		load:  make([]float64, len(in.Targets)),
@@ -46,80 +46,80 @@
 	}
 	capacity, total := 0.0, 0.0
 	for i, t := range in.Targets {
-		b.index[t.Name] = i
+		p.index[t.Name] = i
 		if t.Eligible {
 			capacity += t.Capacity
 		}
 	}
 	for u := range in.Units {
-		b.owner[u] = -1
+		p.owner[u] = -1
 		total += in.Units[u].Load
-		if t, known := b.index[in.Units[u].Owner]; known {
-			b.assign(u, t)
+		if t, known := p.index[in.Units[u].Owner]; known {
+			p.assign(u, t)
 		}
 	}
 	if capacity > 0 {
-		b.mean = total / capacity
+		p.mean = total / capacity
 	}
-	b.computeKeyMeans()
-	b.setHysteresis()
-	return b
+	p.computeKeyMeans()
+	p.setHysteresis()
+	return p
 }
 
-func (b *planState) setHysteresis() {
+func (p *planState) setHysteresis() {
 	widening := 1.0
-	if b.weights.Imbalance > 0 {
-		widening = math.Sqrt(max(b.weights.Churn/b.weights.Imbalance, 1))
+	if p.weights.Imbalance > 0 {
+		widening = math.Sqrt(max(p.weights.Churn/p.weights.Imbalance, 1))
 	}
-	b.start = max(b.cfg.Start, min(b.cfg.Start*widening, MaxStart))
-	b.stop = min(b.cfg.Stop*widening, b.start)
+	p.start = max(p.cfg.Start, min(p.cfg.Start*widening, MaxStart))
+	p.stop = min(p.cfg.Stop*widening, p.start)
 }
 
-func (b *planState) computeKeyMeans() {
+func (p *planState) computeKeyMeans() {
 	known, sum, eligible := 0, 0.0, 0
-	for u := range b.in.Units {
-		if b.in.Units[u].Keys > 0 {
+	for u := range p.in.Units {
+		if p.in.Units[u].Keys > 0 {
 			known++
-			sum += b.in.Units[u].Keys
+			sum += p.in.Units[u].Keys
 		}
 	}
-	for t := range b.in.Targets {
-		if b.in.Targets[t].Eligible {
+	for t := range p.in.Targets {
+		if p.in.Targets[t].Eligible {
 			eligible++
 		}
 	}
-	b.meanKeys = 1
+	p.meanKeys = 1
 	if known > 0 {
-		b.meanKeys = sum / float64(known)
+		p.meanKeys = sum / float64(known)
 	}
-	all := sum + b.meanKeys*float64(len(b.in.Units)-known)
-	b.evenKeys = max(all/float64(max(eligible, 1)), b.meanKeys)
+	all := sum + p.meanKeys*float64(len(p.in.Units)-known)
+	p.evenKeys = max(all/float64(max(eligible, 1)), p.meanKeys)
 }
 
 // keyShare returns the unit's number of keys as a fraction of a target's even share. Tiny
 // units count as minKeyFraction of a mean unit, since each move has a fixed cost.
-func (b *planState) keyShare(unit int) float64 {
-	keys := b.in.Units[unit].Keys
+func (p *planState) keyShare(unit int) float64 {
+	keys := p.in.Units[unit].Keys
 	if keys <= 0 {
-		keys = b.meanKeys
+		keys = p.meanKeys
 	}
-	return max(keys, minKeyFraction*b.meanKeys) / b.evenKeys
+	return max(keys, minKeyFraction*p.meanKeys) / p.evenKeys
 }
 
-func (b *planState) assign(unit, target int) {
-	b.owner[unit] = target
-	b.load[target] += b.in.Units[unit].Load
-	b.owned[target] = append(b.owned[target], unit)
+func (p *planState) assign(unit, target int) {
+	p.owner[unit] = target
+	p.load[target] += p.in.Units[unit].Load
+	p.owned[target] = append(p.owned[target], unit)
 }
 
-func (b *planState) unassign(unit int) {
-	target := b.owner[unit]
-	b.owner[unit] = -1
-	b.load[target] -= b.in.Units[unit].Load
-	list := b.owned[target]
+func (p *planState) unassign(unit int) {
+	target := p.owner[unit]
+	p.owner[unit] = -1
+	p.load[target] -= p.in.Units[unit].Load
+	list := p.owned[target]
 	for i, u := range list {
 		if u == unit {
-			b.owned[target] = append(list[:i:i], list[i+1:]...)
+			p.owned[target] = append(list[:i:i], list[i+1:]...)
 			return
 		}
 	}
@@ -127,19 +127,19 @@
 
 // relative returns a target's load, plus extra, divided by its even share of the total
 // load.
-func (b *planState) relative(target int, extra float64) float64 {
-	if b.mean == 0 {
+func (p *planState) relative(target int, extra float64) float64 {
+	if p.mean == 0 {
 		return 0
 	}
-	return (b.load[target] + extra) / (b.in.Targets[target].Capacity * b.mean)
+	return (p.load[target] + extra) / (p.in.Targets[target].Capacity * p.mean)
 }
 
 // maxExcess returns how far the busiest eligible target is above the mean.
-func (b *planState) maxExcess() float64 {
+func (p *planState) maxExcess() float64 {
 	highest := 0.0
-	for t := range b.in.Targets {
-		if b.in.Targets[t].Eligible {
-			highest = max(highest, b.relative(t, 0))
+	for t := range p.in.Targets {
+		if p.in.Targets[t].Eligible {
+			highest = max(highest, p.relative(t, 0))
 		}
 	}
 	if highest == 0 {
@@ -148,19 +148,19 @@
 	return highest - 1
 }
 
-func (b *planState) mayOwn(unit, target int) bool {
-	t := &b.in.Targets[target]
-	return t.Eligible && (b.in.Allowed == nil || b.in.Allowed(&b.in.Units[unit], t))
+func (p *planState) mayOwn(unit, target int) bool {
+	t := &p.in.Targets[target]
+	return t.Eligible && (p.in.Allowed == nil || p.in.Allowed(&p.in.Units[unit], t))
 }
 
 // overload returns the fraction of a target's capacity by which its load, plus extra,
 // exceeds what it can serve without a growing queue. If all targets together are
 // overloaded no move can help, and it returns zero.
-func (b *planState) overload(target int, extra float64) float64 {
-	if b.mean >= b.cfg.SafeLoad {
+func (p *planState) overload(target int, extra float64) float64 {
+	if p.mean >= p.cfg.SafeLoad {
 		return 0
 	}
-	return max((b.load[target]+extra)/b.in.Targets[target].Capacity-b.cfg.SafeLoad, 0)
+	return max((p.load[target]+extra)/p.in.Targets[target].Capacity-p.cfg.SafeLoad, 0)
 }
 
 func square(x float64) float64 { return x * x }
@@ -169,27 +169,27 @@
 // load that the rest of the unit should be able to move elsewhere. No unit of their
 // owners is moved for balance in the same plan: moving the key alone is the better move,
 // and units moved before it would have to be moved back afterwards.
-func (b *planState) splits(cfg RebalanceConfig) []Split {
+func (p *planState) splits(cfg RebalanceConfig) []Split {
 	var splits []Split
-	for i := range b.in.Units {
-		u := &b.in.Units[i]
+	for i := range p.in.Units {
+		u := &p.in.Units[i]
 		if len(splits) >= cfg.Splits {
 			break
 		}
-		if u.Single || u.Protected || u.HotKey == "" || u.Load <= 0 || b.mean == 0 || b.owner[i] < 0 {
+		if u.Single || u.Protected || u.HotKey == "" || u.Load <= 0 || p.mean == 0 || p.owner[i] < 0 {
 			continue
 		}
-		if u.HotLoad >= cfg.SplitShare*u.Load && u.HotLoad >= cfg.SplitLoad*b.mean*b.meanCapacity() {
+		if u.HotLoad >= cfg.SplitShare*u.Load && u.HotLoad >= cfg.SplitLoad*p.mean*p.meanCapacity() {
 			splits = append(splits, Split{Unit: u.Name, Key: u.HotKey, Load: u.HotLoad})
-			b.hasSplit[b.owner[i]] = true
+			p.hasSplit[p.owner[i]] = true
 		}
 	}
 	return splits
 }
 
-func (b *planState) meanCapacity() float64 {
+func (p *planState) meanCapacity() float64 {
 	capacity, n := 0.0, 0
-	for _, t := range b.in.Targets {
+	for _, t := range p.in.Targets {
 		if t.Eligible {
 			capacity += t.Capacity
 			n++
--- a/core/balance/rebalance.go
+++ b/core/balance/rebalance.go
@@ -169,14 +169,14 @@
 // budget, since a unit whose owner may not own it is not served at all.
 func (r *Rebalancer) Plan(now time.Time, in Input) Plan {
 	r.refill(now)
-	b := newPlanState(r.cfg, in)
+	p := newPlanState(r.cfg, in)
 	var plan Plan
-	plan.Moves = b.evacuate(r.cfg.ForcedPerPlan)
-	plan.Splits = b.splits(r.cfg)
-	r.updateSources(b)
+	plan.Moves = p.evacuate(r.cfg.ForcedPerPlan)
+	plan.Splits = p.splits(r.cfg)
+	r.updateSources(p)
 	limit := min(r.cfg.MovesPerPlan, int(r.tokens))
 	for range limit {
-		move, ok := b.bestMove(now)
+		move, ok := p.bestMove(now)
 		if !ok {
 			break
 		}
@@ -199,19 +199,19 @@
 // forth, which shows as churn without a change of imbalance. With one state for all
 // targets, a hot key on one target made units move away from others that were within the
 // band all the time.
-func (r *Rebalancer) updateSources(b *planState) {
-	for i, t := range b.in.Targets {
-		excess := b.relative(i, 0) - 1
+func (r *Rebalancer) updateSources(p *planState) {
+	for i, t := range p.in.Targets {
+		excess := p.relative(i, 0) - 1
 		switch {
-		case !t.Eligible || excess <= b.stop && b.overload(i, 0) == 0:
+		case !t.Eligible || excess <= p.stop && p.overload(i, 0) == 0:
 			delete(r.sources, t.Name)
-		case excess > b.start || b.overload(i, 0) > 0:
+		case excess > p.start || p.overload(i, 0) > 0:
 			r.sources[t.Name] = true
 		}
-		b.isSource[i] = r.sources[t.Name]
+		p.isSource[i] = r.sources[t.Name]
 	}
 	for name := range r.sources {
-		if _, known := b.index[name]; !known {
+		if _, known := p.index[name]; !known {
 			delete(r.sources, name)
 		}
 	}
