--- a/core/selector/check.go
+++ b/core/selector/check.go
@@ -8,13 +8,13 @@
 	"tarragongw/core/model"
 )
 
-// rangeProblems finds the ranges of one service that overlap. Each range is
-// compared with the one that reaches furthest among those that begin before it.
+// rangeProblems reports ranges of the same service that overlap. It compares each range
+// with the one that ends last among those that start before it.
 func (x *index) rangeProblems() []model.Problem {
 	var problems []model.Problem
 	ranges := make([]*model.KeyRange, 0, len(x.model.Ranges))
 	for i := range x.model.Ranges {
-		if r := &x.model.Ranges[i]; x.has(r.Service) {
+		if r := &x.model.Ranges[i]; x.includes(r.Service) {
 			ranges = append(ranges, r)
 		}
 	}
@@ -24,23 +24,23 @@
 		}
 		return cmp.Compare(a.From, b.From)
 	})
-	var widest *model.KeyRange
+	var endsLast *model.KeyRange
 	for _, r := range ranges {
-		if widest == nil || widest.Service != r.Service {
-			widest = r
+		if endsLast == nil || endsLast.Service != r.Service {
+			endsLast = r
 			continue
 		}
-		if widest.Overlaps(r) {
-			problems = append(problems, overlapOfRanges(widest, r))
+		if endsLast.Overlaps(r) {
+			problems = append(problems, overlapProblem(endsLast, r))
 		}
-		if widest.To != "" && (r.To == "" || r.To >= widest.To) {
-			widest = r
+		if endsLast.To != "" && (r.To == "" || r.To >= endsLast.To) {
+			endsLast = r
 		}
 	}
 	return problems
 }
 
-func overlapOfRanges(a, b *model.KeyRange) model.Problem {
+func overlapProblem(a, b *model.KeyRange) model.Problem {
 	return model.Problem{
 		Object: model.Ref{Kind: model.KindRange, Name: b.Name},
 		Field:  "from",
@@ -50,24 +50,25 @@
 	}
 }
 
-// selectorProblems finds selectors that can't be obeyed: contradictions, a
-// placement by caller on a service divided by key, ambiguity and loops.
+// selectorProblems reports selectors that can't be applied: contradictory conditions,
+// placement by caller on a service divided by key, ambiguous priorities, and cycles.
 func (x *index) selectorProblems() []model.Problem {
 	var problems []model.Problem
 	for i := range x.model.Selectors {
-		if s := &x.model.Selectors[i]; x.has(s.Service) {
-			problems = append(problems, x.ownProblems(s)...)
+		if s := &x.model.Selectors[i]; x.includes(s.Service) {
+			problems = append(problems, x.checkSelector(s)...)
 		}
 	}
 	for i := range x.model.Services {
-		if name := x.model.Services[i].Name; x.has(name) {
+		if name := x.model.Services[i].Name; x.includes(name) {
 			problems = append(problems, x.ambiguities(name)...)
 		}
 	}
-	return append(problems, loopProblems(x.model)...)
+	return append(problems, cycleProblems(x.model)...)
 }
 
-func (x *index) ownProblems(s *model.Selector) []model.Problem {
+// checkSelector reports the problems that a selector has irrespective of other selectors.
+func (x *index) checkSelector(s *model.Selector) []model.Problem {
 	var problems []model.Problem
 	add := func(field, text, mend string) {
 		problems = append(problems, model.Problem{Object: model.Ref{Kind: model.KindSelector, Name: s.Name}, Field: field, Text: text, Mend: mend})
@@ -83,8 +84,8 @@
 	if service == nil || len(s.Targets) == 0 {
 		return problems
 	}
-	// Two callers of one key that are sent to different targets would give the key
-	// two owners at once, so placement must not depend on who asks.
+	// If two callers of one key were sent to different targets, the key would have two
+	// owners at once. Placement must therefore not depend on the caller.
 	if service.Division == model.ByKey && len(s.Callers) > 0 {
 		add("callers", fmt.Sprintf("service %q is divided by key, so placement must not depend on the caller", service.Name),
 			"hand these callers to another service with to_service, or drop the condition")
@@ -95,20 +96,20 @@
 	return problems
 }
 
-// ambiguities finds the selectors of one service that have the same priority
-// and can meet in one request.
+// ambiguities reports selectors of a service that have the same priority and can match
+// the same request.
 func (x *index) ambiguities(service string) []model.Problem {
 	var problems []model.Problem
 	selectors := x.selectorsOf(service)
 	subjects := x.keySubjects(service)
 	keys := make([]keySet, 0, len(selectors))
 	for _, s := range selectors {
-		keys = append(keys, keysOf(s.Keys, subjects))
+		keys = append(keys, matchingSubjects(s.Keys, subjects))
 	}
 	for i, a := range selectors {
 		for j := i + 1; j < len(selectors) && selectors[j].Priority == a.Priority; j++ {
 			b := selectors[j]
-			if a.Name == b.Name || !keys[i].meets(keys[j]) || !Satisfiable(a.Callers, b.Callers) {
+			if a.Name == b.Name || !keys[i].intersects(keys[j]) || !Satisfiable(a.Callers, b.Callers) {
 				continue
 			}
 			problems = append(problems, model.Problem{
@@ -123,68 +124,70 @@
 	return problems
 }
 
-// loopProblems finds services that hand requests round in a circle. Conditions
-// are not looked at: a circle that is closed today by conditions alone would
-// open with the next label, so none is allowed.
-func loopProblems(m *model.Model) []model.Problem {
+// cycleProblems reports services that forward requests to each other in a cycle. It ignores
+// the selectors' conditions: a cycle that no request can follow today because of them could
+// become possible with the next change of a label, so no cycle is allowed.
+func cycleProblems(m *model.Model) []model.Problem {
 	edges := make(map[string][]*model.Selector)
 	for i := range m.Selectors {
 		if s := &m.Selectors[i]; s.ToService != "" {
 			edges[s.Service] = append(edges[s.Service], s)
 		}
 	}
-	w := &walk{edges: edges, state: make(map[string]visit)}
+	search := &cycleSearch{edges: edges, state: make(map[string]visitState)}
 	for i := range m.Services {
-		w.from(m.Services[i].Name)
+		search.visit(m.Services[i].Name)
 	}
-	return w.problems
+	return search.problems
 }
 
-// visit is how far the walk has come with a service.
-type visit uint8
+// visitState is the state of a service in a cycleSearch.
+type visitState uint8
 
 const (
-	unseen visit = iota
+	notVisited visitState = iota
 	onPath
-	finished
+	visited
 )
 
-// walk is a depth-first search for circles; path holds the selectors followed.
-type walk struct {
-	edges    map[string][]*model.Selector
-	state    map[string]visit
+// cycleSearch is a depth-first search for cycles among services.
+type cycleSearch struct {
+	// edges are the selectors with ToService, by the service that they belong to.
+	edges map[string][]*model.Selector
+	state map[string]visitState
+	// path are the selectors from the service where the search started to the current one.
 	path     []*model.Selector
 	problems []model.Problem
 }
 
-func (w *walk) from(service string) {
-	if w.state[service] != unseen {
+func (c *cycleSearch) visit(service string) {
+	if c.state[service] != notVisited {
 		return
 	}
-	w.state[service] = onPath
-	for _, s := range w.edges[service] {
-		w.path = append(w.path, s)
-		if w.state[s.ToService] == onPath {
-			w.report(s)
+	c.state[service] = onPath
+	for _, s := range c.edges[service] {
+		c.path = append(c.path, s)
+		if c.state[s.ToService] == onPath {
+			c.report(s)
 		}
-		w.from(s.ToService)
-		w.path = w.path[:len(w.path)-1]
+		c.visit(s.ToService)
+		c.path = c.path[:len(c.path)-1]
 	}
-	w.state[service] = finished
+	c.state[service] = visited
 }
 
-// report adds the circle that the last selector of the path closes.
-func (w *walk) report(last *model.Selector) {
-	start := slices.IndexFunc(w.path, func(s *model.Selector) bool { return s.Service == last.ToService })
+// report adds a problem for the cycle that last, the last selector of the path, completes.
+func (c *cycleSearch) report(last *model.Selector) {
+	start := slices.IndexFunc(c.path, func(s *model.Selector) bool { return s.Service == last.ToService })
 	var others []model.Ref
 	text := fmt.Sprintf("requests go round in a circle: %s", last.ToService)
-	for _, s := range w.path[start:] {
+	for _, s := range c.path[start:] {
 		text += " -> " + s.ToService
 		if s != last {
 			others = append(others, model.Ref{Kind: model.KindSelector, Name: s.Name})
 		}
 	}
-	w.problems = append(w.problems, model.Problem{
+	c.problems = append(c.problems, model.Problem{
 		Object: model.Ref{Kind: model.KindSelector, Name: last.Name},
 		Field:  "to_service",
 		Others: others,
--- a/core/selector/compile.go
+++ b/core/selector/compile.go
@@ -16,45 +16,48 @@
 	targets  map[string]*model.Target
 }
 
-// service holds one service's tables.
+// service holds the lookup tables of one service.
 type service struct {
 	model *model.Service
-	// mask turns a hash into a slot.
+	// mask gives a key's slot when applied to its hash.
 	mask uint64
 	// ranges are disjoint and in order of From.
-	ranges  []span
-	byRange map[string]*class
-	// rest is the class of the keys that lie in no range, and of requests without key.
-	rest *class
+	ranges       []compiledRange
+	classByRange map[string]*keyClass
+	// noRange is the class of keys in no range and of requests without a key.
+	noRange *keyClass
 }
 
-// span is one key range with its class.
-type span struct {
+// compiledRange is a key range and its class.
+type compiledRange struct {
 	model *model.KeyRange
-	class *class
+	class *keyClass
 }
 
-// class holds what selectors say about the keys of one range, or of no range.
-type class struct {
+// keyClass holds the rules for a set of keys that the same selectors match: the keys of one
+// or more ranges, or those in no range.
+type keyClass struct {
 	// rules are the selectors whose condition on keys is met, highest priority first.
 	rules []rule
-	// eligible are the targets that may own the keys, whoever asks.
+	// eligible are the targets that may own the keys, irrespective of the caller.
 	eligible []string
 }
 
-// rule is one selector, reduced to what is left to decide per request.
+// rule is a selector whose condition on keys is already resolved; only its condition on the
+// caller is evaluated per request.
 type rule struct {
 	selector *model.Selector
 	// targets are the names of the targets that a placement allows.
 	targets []string
-	// to names the service that requests are handed to; empty for none. A pointer to its
-	// tables would hold on to those of a model that is no longer in force.
-	to string
+	// toService is the name of the service that requests are forwarded to, or empty. It is
+	// not a pointer to that service's tables, because the pointer would keep the tables of a
+	// replaced model in memory.
+	toService string
 }
 
-// Compile resolves the selectors of a model. It returns no Compiled where there
-// are problems, so that nothing of a refused model can take effect. The model
-// must be sorted and must not change afterwards.
+// Compile resolves the selectors of a model. It returns nil and the problems if there are
+// any, so that no part of an invalid model takes effect. The model must be sorted and must
+// not be changed afterwards.
 func Compile(m *model.Model) (*Compiled, []model.Problem) {
 	problems := model.Validate(m)
 	x := newIndex(m, nil)
@@ -91,56 +94,57 @@
 	return targets
 }
 
-// newService makes the tables of a service. They hold copies of what they need of the
-// model: a service that later models leave alone keeps them, and would otherwise keep
-// the lists of all objects of the model that it was made from.
-func newService(x *index, of *model.Service) *service {
-	own := *of
-	s := &service{model: &own, mask: uint64(max(own.HashSlots, 1) - 1)}
+// newService builds the tables of a service. The tables hold copies of the model's objects:
+// Recompile shares the tables of an unchanged service between models, and pointers into the
+// model that they were built from would keep all of that model's lists in memory.
+func newService(x *index, definition *model.Service) *service {
+	def := *definition
+	s := &service{model: &def, mask: uint64(max(def.HashSlots, 1) - 1)}
 	b := &builder{
-		all:      x.targetsOf(own.Name, nil),
-		subjects: x.keySubjects(own.Name),
-		classes:  make(map[string]*class),
+		allTargets: x.targetsOf(def.Name, nil),
+		subjects:   x.keySubjects(def.Name),
+		classes:    make(map[string]*keyClass),
 	}
-	for _, sel := range x.selectorsOf(own.Name) {
-		sel = copyOf(sel)
-		r := rule{selector: sel, to: sel.ToService}
+	for _, sel := range x.selectorsOf(def.Name) {
+		sel = shallowCopy(sel)
+		r := rule{selector: sel, toService: sel.ToService}
 		if len(sel.Targets) > 0 {
-			r.targets = x.targetsOf(own.Name, sel.Targets)
+			r.targets = x.targetsOf(def.Name, sel.Targets)
 		}
 		b.rules = append(b.rules, r)
-		b.keys = append(b.keys, keysOf(sel.Keys, b.subjects))
+		b.keys = append(b.keys, matchingSubjects(sel.Keys, b.subjects))
 	}
-	s.byRange = make(map[string]*class)
-	s.rest = b.class(0)
-	for i, r := range x.ranges[own.Name] {
+	s.classByRange = make(map[string]*keyClass)
+	s.noRange = b.class(0)
+	for i, r := range x.ranges[def.Name] {
 		cl := b.class(i + 1)
-		s.ranges = append(s.ranges, span{copyOf(r), cl})
-		s.byRange[r.Name] = cl
+		s.ranges = append(s.ranges, compiledRange{shallowCopy(r), cl})
+		s.classByRange[r.Name] = cl
 	}
-	slices.SortFunc(s.ranges, func(a, b span) int { return cmp.Compare(a.model.From, b.model.From) })
+	slices.SortFunc(s.ranges, func(a, b compiledRange) int { return cmp.Compare(a.model.From, b.model.From) })
 	return s
 }
 
-func copyOf[T any](object *T) *T {
-	own := *object
-	return &own
+func shallowCopy[T any](object *T) *T {
+	duplicate := *object
+	return &duplicate
 }
 
-// builder makes the classes of one service. Ranges that the same selectors match
-// share a class; otherwise thousands of ranges times hundreds of selectors would
+// builder builds the key classes of one service. Ranges that the same selectors match share
+// a class. With a class for each range, thousands of ranges times hundreds of selectors would
 // take more memory than all other control state.
 type builder struct {
-	rules    []rule
-	keys     []keySet
-	subjects []Subject
-	all      []string
-	// classes has a key with one byte for each rule: 1 where it matches.
-	classes map[string]*class
+	rules []rule
+	// keys has for each rule the subjects that its condition on keys matches.
+	keys       []keySet
+	subjects   []Subject
+	allTargets []string
+	// classes are keyed by a string with one byte for each rule: 1 if the rule matches.
+	classes map[string]*keyClass
 }
 
-// class returns the class of the subject with the index.
-func (b *builder) class(subject int) *class {
+// class returns the class of the key subject with the given index.
+func (b *builder) class(subject int) *keyClass {
 	id := make([]byte, len(b.rules))
 	for i := range b.rules {
 		if b.keys[i].has(subject) {
@@ -150,14 +154,14 @@
 	if known := b.classes[string(id)]; known != nil {
 		return known
 	}
-	cl := &class{eligible: b.all}
+	cl := &keyClass{eligible: b.allTargets}
 	for i, r := range b.rules {
 		if id[i] == 1 {
 			cl.rules = append(cl.rules, r)
 		}
 	}
-	// On a service divided by key no placement has a condition on the caller, so the
-	// first placement is the one that every caller's request meets.
+	// On a service divided by key no placement has a condition on the caller, so the first
+	// placement applies to the requests of all callers.
 	first := slices.IndexFunc(cl.rules, func(r rule) bool { return r.targets != nil && len(r.selector.Callers) == 0 })
 	if first >= 0 {
 		cl.eligible = cl.rules[first].targets
--- a/core/selector/compile_test.go
+++ b/core/selector/compile_test.go
@@ -11,7 +11,7 @@
 	"tarragongw/core/model"
 )
 
-func expr(text string) model.Expr {
+func mustParse(text string) model.Expr {
 	e, err := Parse(text)
 	if err != nil {
 		panic(err)
@@ -36,7 +36,8 @@
 	return model.Target{Name: name, Service: service, DataCentre: "dc1", Address: "127.0.0.1:1", Connections: 1, Labels: model.Labels{"pool": pool}}
 }
 
-// testModel has a service divided by key, "pages", and two that are not.
+// testModel returns a sorted model with the service "pages", which is divided by key, and two
+// services that are not; change, which may be nil, edits the model first.
 func testModel(change func(*model.Model)) *model.Model {
 	m := &model.Model{
 		Services: []model.Service{testService("files", model.Any), testService("misc", model.Any), testService("pages", model.ByKey)},
@@ -84,40 +85,40 @@
 	}{
 		{"nothing", nil, []string{}},
 		{"placement by caller on a divided service",
-			selectors(model.Selector{Name: "s", Service: "pages", Callers: expr("role = export"), Targets: expr("pool = big")}),
+			selectors(model.Selector{Name: "s", Service: "pages", Callers: mustParse("role = export"), Targets: mustParse("pool = big")}),
 			[]string{`selector "s": callers: service "pages" is divided by key, so placement must not depend on the caller; hand these callers to another service with to_service, or drop the condition`}},
 		{"placement by caller on an undivided service",
-			selectors(model.Selector{Name: "s", Service: "files", Callers: expr("role = export"), Targets: expr("pool = new")}),
+			selectors(model.Selector{Name: "s", Service: "files", Callers: mustParse("role = export"), Targets: mustParse("pool = new")}),
 			[]string{}},
 		{"no target",
-			selectors(model.Selector{Name: "s", Service: "pages", Targets: expr("pool = new")}),
+			selectors(model.Selector{Name: "s", Service: "pages", Targets: mustParse("pool = new")}),
 			[]string{`selector "s": targets: no target of service "pages" matches; label a target so that it matches, or change the condition`}},
 		{"contradiction",
-			selectors(model.Selector{Name: "s", Service: "files", Callers: expr("a = x, a = y"), Keys: expr("exists(b), !exists(b)"), Refuse: true}),
+			selectors(model.Selector{Name: "s", Service: "files", Callers: mustParse("a = x, a = y"), Keys: mustParse("exists(b), !exists(b)"), Refuse: true}),
 			[]string{
 				`selector "s": callers: no labels can meet all requirements; remove one of the requirements that exclude each other`,
 				`selector "s": keys: no labels can meet all requirements; remove one of the requirements that exclude each other`,
 			}},
 		{"ambiguity in keys",
 			selectors(
-				model.Selector{Name: "s1", Service: "pages", Keys: expr("heat = hot"), Targets: expr("pool = big")},
-				model.Selector{Name: "s2", Service: "pages", Keys: expr("name = hot"), Targets: expr("pool = small")}),
+				model.Selector{Name: "s1", Service: "pages", Keys: mustParse("heat = hot"), Targets: mustParse("pool = big")},
+				model.Selector{Name: "s2", Service: "pages", Keys: mustParse("name = hot"), Targets: mustParse("pool = small")}),
 			[]string{`selector "s2": priority: selector "s1" has the same priority 0 and matches some of the same requests; give them different priorities, or conditions that exclude each other [selector "s1"]`}},
 		{"same priority, other keys",
 			selectors(
-				model.Selector{Name: "s1", Service: "pages", Keys: expr("heat = hot"), Targets: expr("pool = big")},
-				model.Selector{Name: "s2", Service: "pages", Keys: expr("heat != hot"), Targets: expr("pool = small")}),
+				model.Selector{Name: "s1", Service: "pages", Keys: mustParse("heat = hot"), Targets: mustParse("pool = big")},
+				model.Selector{Name: "s2", Service: "pages", Keys: mustParse("heat != hot"), Targets: mustParse("pool = small")}),
 			[]string{}},
 		{"same priority, other callers",
 			selectors(
-				model.Selector{Name: "s1", Service: "pages", Callers: expr("role in (a, b)"), Refuse: true},
-				model.Selector{Name: "s2", Service: "pages", Callers: expr("role notin (a, b)"), ToService: "files"}),
+				model.Selector{Name: "s1", Service: "pages", Callers: mustParse("role in (a, b)"), Refuse: true},
+				model.Selector{Name: "s2", Service: "pages", Callers: mustParse("role notin (a, b)"), ToService: "files"}),
 			[]string{}},
 		{"loop of three",
 			selectors(
 				model.Selector{Name: "a", Service: "files", ToService: "misc"},
 				model.Selector{Name: "b", Service: "misc", ToService: "pages"},
-				model.Selector{Name: "c", Service: "pages", Callers: expr("x = y"), ToService: "files"}),
+				model.Selector{Name: "c", Service: "pages", Callers: mustParse("x = y"), ToService: "files"}),
 			[]string{`selector "c": to_service: requests go round in a circle: files -> misc -> pages -> files; remove one of the selectors with to_service [selector "a"] [selector "b"]`}},
 		{"loop of one",
 			selectors(model.Selector{Name: "a", Service: "files", ToService: "files"}),
@@ -167,10 +168,10 @@
 	}
 }
 
-// TestAmbiguityAgreesWithEnumeration draws selectors of equal priority and
-// compares the refusals with a search over all callers and all keys.
+// TestAmbiguityAgreesWithEnumeration generates selectors of equal priority and compares the
+// reported ambiguities with a search over all callers and all keys.
 func TestAmbiguityAgreesWithEnumeration(t *testing.T) {
-	callers := universe()
+	callers := allSubjects()
 	outcomes := map[bool]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		m := testModel(func(m *model.Model) {
--- a/core/selector/expr.go
+++ b/core/selector/expr.go
@@ -1,7 +1,6 @@
-// Package selector decides which callers and which keys go where: it matches
-// label expressions, finds selectors that contradict each other, and compiles a
-// model into tables that the request path and the ownership side read. It does
-// no I/O.
+// Package selector decides which targets serve which callers and keys. It matches label
+// expressions, reports contradictory selectors, and compiles a model into lookup tables that
+// request routing and the assignment of keys to targets read. It does no I/O.
 package selector
 
 import (
@@ -11,10 +10,10 @@
 	"tarragongw/core/model"
 )
 
-// Subject is what an expression is matched against: an object's own labels and
-// those that it carries without being given them.
+// Subject is an object that an expression is matched against. It has its configured labels
+// and the implicit labels for its name and data centre.
 type Subject struct {
-	// Name is the object's name; an empty name means that the label is absent.
+	// Name is the object's name. If it is empty, the implicit label is absent.
 	Name string
 	// DataCentre is the data centre of a target; empty for other objects.
 	DataCentre string
@@ -33,18 +32,18 @@
 	return value, ok
 }
 
-// Match reports whether the subject meets all requirements of e. As in
-// Kubernetes, != and notin are also met where the label is absent.
+// Match reports whether the subject meets all requirements of e. As in Kubernetes, != and
+// notin are also met if the label is absent.
 func Match(e model.Expr, s *Subject) bool {
 	for i := range e {
-		if !meets(&e[i], s) {
+		if !matchesRequirement(&e[i], s) {
 			return false
 		}
 	}
 	return true
 }
 
-func meets(r *model.Requirement, s *Subject) bool {
+func matchesRequirement(r *model.Requirement, s *Subject) bool {
 	value, present := s.label(r.Label)
 	switch r.Op {
 	case model.Exists:
@@ -58,7 +57,7 @@
 	}
 }
 
-// String returns the text form of e, which Parse reads back.
+// String returns the text form of e, which Parse accepts.
 func String(e model.Expr) string {
 	parts := make([]string, 0, len(e))
 	for _, r := range e {
--- a/core/selector/index.go
+++ b/core/selector/index.go
@@ -7,17 +7,17 @@
 	"tarragongw/core/model"
 )
 
-// index has a model's objects by service.
+// index groups a model's objects by service.
 type index struct {
 	model     *model.Model
 	targets   map[string][]*model.Target
 	ranges    map[string][]*model.KeyRange
 	selectors map[string][]*model.Selector
-	// wanted are the services that it has; nil for all.
+	// wanted are the services that the index includes; nil means all.
 	wanted map[string]bool
 }
 
-// newIndex returns the index of some services, or of all where wanted is nil.
+// newIndex returns the index of the wanted services, or of all services if wanted is nil.
 func newIndex(m *model.Model, wanted map[string]bool) *index {
 	x := &index{
 		model: m, wanted: wanted,
@@ -25,24 +25,24 @@
 		ranges:    make(map[string][]*model.KeyRange),
 		selectors: make(map[string][]*model.Selector),
 	}
-	file(x, x.targets, m.Targets, func(t *model.Target) string { return t.Service })
-	file(x, x.ranges, m.Ranges, func(r *model.KeyRange) string { return r.Service })
-	file(x, x.selectors, m.Selectors, func(s *model.Selector) string { return s.Service })
+	addByService(x, x.targets, m.Targets, func(t *model.Target) string { return t.Service })
+	addByService(x, x.ranges, m.Ranges, func(r *model.KeyRange) string { return r.Service })
+	addByService(x, x.selectors, m.Selectors, func(s *model.Selector) string { return s.Service })
 	return x
 }
 
-func file[T any](x *index, into map[string][]*T, list []T, service func(*T) string) {
+func addByService[T any](x *index, into map[string][]*T, list []T, service func(*T) string) {
 	for i := range list {
-		if name := service(&list[i]); x.has(name) {
+		if name := service(&list[i]); x.includes(name) {
 			into[name] = append(into[name], &list[i])
 		}
 	}
 }
 
-func (x *index) has(service string) bool { return x.wanted == nil || x.wanted[service] }
+func (x *index) includes(service string) bool { return x.wanted == nil || x.wanted[service] }
 
-// selectorsOf returns the selectors of a service, highest priority first and
-// equal ones in order of name.
+// selectorsOf returns the selectors of a service, highest priority first; selectors of equal
+// priority are in order of name.
 func (x *index) selectorsOf(service string) []*model.Selector {
 	selectors := slices.Clone(x.selectors[service])
 	slices.SortStableFunc(selectors, func(a, b *model.Selector) int {
@@ -54,7 +54,7 @@
 	return selectors
 }
 
-// targetsOf returns the names of the service's targets that e matches, in order.
+// targetsOf returns the sorted names of the service's targets that e matches.
 func (x *index) targetsOf(service string, e model.Expr) []string {
 	names := []string{}
 	for _, t := range x.targets[service] {
--- a/core/selector/parse_test.go
+++ b/core/selector/parse_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestStringIsReadBack(t *testing.T) {
+func TestParseReadsBackString(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := drawExpr(6).Draw(t, "e")
 		back, err := Parse(String(e))
--- a/core/selector/recompile.go
+++ b/core/selector/recompile.go
@@ -2,9 +2,10 @@
 
 import "tarragongw/core/model"
 
-// Recompile returns what Compile does and shares with old, which may be nil, all that the
-// change from its model leaves as it is. It checks what the change touches, and all of
-// the model only where something of that is wrong: the problems are Compile's.
+// Recompile returns the same result as Compile, but shares with old the tables of services
+// that the change from old's model to m does not affect; old may be nil. It validates only
+// the objects that the change affects. If one of them has a problem, or if the change removes a
+// service, which unchanged objects may refer to, it calls Compile for the whole model.
 func Recompile(old *Compiled, m *model.Model) (*Compiled, []model.Problem) {
 	if old == nil {
 		return Compile(m)
--- a/core/selector/recompile_test.go
+++ b/core/selector/recompile_test.go
@@ -12,7 +12,7 @@
 	"tarragongw/core/model"
 )
 
-// drawEdit makes one change of a model, which may make it wrong.
+// drawEdit makes one random change to a model, which may make the model invalid.
 func drawEdit(t *rapid.T, m *model.Model) {
 	pick := func(n int) int { return rapid.IntRange(0, max(n-1, 0)).Draw(t, "which") }
 	service := rapid.SampledFrom([]string{"files", "misc", "pages", "extra", "gone"}).Draw(t, "service")
@@ -42,7 +42,7 @@
 	case 6:
 		s := model.Selector{Name: fmt.Sprint("s", pick(9)), Service: service, Priority: pick(9), Callers: drawExpr(1).Draw(t, "callers")}
 		if rapid.Bool().Draw(t, "places") {
-			s.Callers, s.Targets = nil, expr("pool = "+pool)
+			s.Callers, s.Targets = nil, mustParse("pool = "+pool)
 		} else {
 			s.ToService = rapid.SampledFrom([]string{"files", "misc", "extra"}).Draw(t, "to")
 		}
@@ -62,40 +62,40 @@
 	}
 }
 
-// clone copies the lists, so that an edit leaves the earlier models alone.
-func clone(m *model.Model) *model.Model {
+// cloneModel copies the model's lists, so that an edit does not change earlier models.
+func cloneModel(m *model.Model) *model.Model {
 	return &model.Model{
 		Revision: m.Revision + 1, Services: slices.Clone(m.Services), Targets: slices.Clone(m.Targets), Ranges: slices.Clone(m.Ranges),
 		Callers: slices.Clone(m.Callers), Selectors: slices.Clone(m.Selectors),
 	}
 }
 
-// Whatever was changed since the model in force, also where changes in between were
-// lost, come again or late: what is shared with it gives, field for field, what compiling
-// all of the model gives, or the same problems.
+// TestRecompileEqualsCompile checks that Recompile returns the same tables, field for field,
+// or the same problems as Compile, whatever changed since the model in force. Models may be
+// skipped, repeated, or arrive late.
 func TestRecompileEqualsCompile(t *testing.T) {
 	outcomes := map[bool]int{}
-	inside := cmp.AllowUnexported(Compiled{}, service{}, span{}, class{}, rule{})
+	unexported := cmp.AllowUnexported(Compiled{}, service{}, compiledRange{}, keyClass{}, rule{})
 	rapid.Check(t, func(t *rapid.T) {
-		present := testModel(nil)
-		seen := []*model.Model{present}
+		latestValid := testModel(nil)
+		models := []*model.Model{latestValid}
 		var inForce *Compiled
 		for range rapid.IntRange(1, 30).Draw(t, "changes") {
-			next := clone(present)
+			next := cloneModel(latestValid)
 			for range rapid.IntRange(1, 3).Draw(t, "edits") {
 				drawEdit(t, next)
 			}
 			next.Sort()
-			seen = append(seen, next)
+			models = append(models, next)
 			if _, problems := Compile(next); len(problems) == 0 {
-				present = next
+				latestValid = next
 			}
-			m := seen[max(0, len(seen)-rapid.IntRange(1, 4).Draw(t, "late"))]
-			want, wrong := Compile(m)
+			m := models[max(0, len(models)-rapid.IntRange(1, 4).Draw(t, "late"))]
+			want, wantProblems := Compile(m)
 			got, problems := Recompile(inForce, m)
-			outcomes[len(wrong) == 0]++
-			assert.DeepEqual(t, problems, wrong)
-			assert.DeepEqual(t, got, want, inside)
+			outcomes[len(wantProblems) == 0]++
+			assert.DeepEqual(t, problems, wantProblems)
+			assert.DeepEqual(t, got, want, unexported)
 			if got != nil {
 				inForce = got
 			}
@@ -104,8 +104,9 @@
 	assert.Assert(t, outcomes[true] > 100 && outcomes[false] > 100, "both outcomes are drawn: %v", outcomes)
 }
 
-// A change of one service leaves the tables of the others where they are.
-func TestRecompileShares(t *testing.T) {
+// TestRecompileSharesUnchangedServices checks that a change to one service keeps the tables
+// of the other services.
+func TestRecompileSharesUnchangedServices(t *testing.T) {
 	old := mustCompile(t, testModel(nil))
 	got, problems := Recompile(old, testModel(func(m *model.Model) { m.Targets[0].Drain = true }))
 	assert.Equal(t, len(problems), 0)
--- a/core/selector/route.go
+++ b/core/selector/route.go
@@ -9,38 +9,38 @@
 	"tarragongw/core/routing"
 )
 
-// Action is what becomes of a request.
+// Action says how a request is handled.
 type Action uint8
 
 const (
 	// NoService means that the service does not exist.
 	NoService Action = iota
-	// Serve means that one of the targets serves the request; where the service is
-	// divided by key it is the owner of the unit.
+	// Serve means that one of the targets serves the request; on a service divided by key
+	// this is the owner of the unit.
 	Serve
 	// Refuse means that a selector refuses the request.
 	Refuse
-	// KeyMissing means that the service is divided by key and the request has none.
+	// KeyMissing means that the service is divided by key and the request has no key.
 	KeyMissing
 )
 
-// Decision is where a request goes. It shares its slices with the Compiled;
-// they must not be changed.
+// Decision is the result of Route. It shares its slices with the Compiled; they must not be
+// changed.
 type Decision struct {
 	Action Action
-	// Service is the service that serves, after all selectors with to_service.
+	// Service is the service that serves the request, after all selectors with to_service.
 	Service *model.Service
 	// Unit is the unit of the key; the zero Unit unless the service is divided by key.
 	Unit routing.Unit
-	// Targets are the names of the eligible targets in order, those that drain included.
+	// Targets are the sorted names of the eligible targets, including draining ones.
 	Targets []string
-	// Selector is the name of the selector that decided; empty where none did.
+	// Selector is the name of the selector that decided, or empty if none matched.
 	Selector string
 }
 
-// Route decides where a request of a caller goes. Selectors are tried from the
-// highest priority down and the first that matches decides; where none does,
-// all targets of the service are eligible. It does not allocate.
+// Route decides which targets may serve a caller's request. Selectors are tried in order of
+// priority, highest first, and the first that matches decides. If none matches, all targets
+// of the service are eligible. Route does not allocate.
 func (c *Compiled) Route(name, key string, caller *Subject) Decision {
 	s := c.services[name]
 	if s == nil {
@@ -55,13 +55,13 @@
 	}
 }
 
-// route decides within one service; next is the service that takes over. The
-// chain ends because Compile refuses circles.
+// route decides within one service; next is the service that the request is forwarded to, or
+// empty. Forwarding ends because Compile refuses cycles.
 func (s *service) route(key string, caller *Subject) (d Decision, next string) {
-	found := s.find(key)
-	cl := s.rest
-	if found != nil {
-		cl = found.class
+	keyRange := s.rangeOf(key)
+	cl := s.noRange
+	if keyRange != nil {
+		cl = keyRange.class
 	}
 	d = Decision{Action: Serve, Service: s.model, Targets: cl.eligible}
 	for i := range cl.rules {
@@ -69,8 +69,8 @@
 		if !Match(r.selector.Callers, caller) {
 			continue
 		}
-		if r.to != "" {
-			return d, r.to
+		if r.toService != "" {
+			return d, r.toService
 		}
 		d.Selector = r.selector.Name
 		if r.selector.Refuse {
@@ -89,13 +89,13 @@
 		d.Targets = nil
 		return d, ""
 	}
-	d.Unit = s.unit(key, found)
+	d.Unit = s.unit(key, keyRange)
 	return d, ""
 }
 
-// find returns the range that holds the key, or nil. The empty key lies in no
-// range, because it stands for a request without key.
-func (s *service) find(key string) *span {
+// rangeOf returns the range that contains the key, or nil. The empty key lies in no range,
+// because it stands for a request without a key.
+func (s *service) rangeOf(key string) *compiledRange {
 	if key == "" || len(s.ranges) == 0 {
 		return nil
 	}
@@ -106,40 +106,39 @@
 	return &s.ranges[i]
 }
 
-func (s *service) unit(key string, found *span) routing.Unit {
-	if found != nil {
-		return routing.Unit{Service: s.model.Name, Kind: routing.RangeUnit, Range: found.model.Name}
+// unit returns the unit of a key that lies in keyRange, or in no range if keyRange is nil.
+func (s *service) unit(key string, keyRange *compiledRange) routing.Unit {
+	if keyRange != nil {
+		return routing.Unit{Service: s.model.Name, Kind: routing.RangeUnit, Range: keyRange.model.Name}
 	}
 	return routing.Unit{Service: s.model.Name, Kind: routing.SlotUnit, Slot: uint32(Hash(key) & s.mask)}
 }
 
-// Hash is the hash that decides a key's slot: XXH64 with seed zero over the
-// key's bytes, of which the lowest bits are the slot. It is fixed for life: with
-// another function or seed the routers of two releases would look for one key
-// at two owners.
+// Hash returns the hash of a key: XXH64 with seed zero over the key's bytes. Its lowest bits
+// are the key's slot. The function and seed must never change: otherwise routers of two
+// releases would send requests for one key to two owners.
 func Hash(key string) uint64 { return xxhash.Sum64String(key) }
 
-// UnitOf returns the unit that a key belongs to; the zero Unit for a service
-// that does not exist or is not divided by key, and for the empty key.
+// UnitOf returns the unit that a key belongs to. It returns the zero Unit for a service that
+// does not exist or is not divided by key, and for the empty key.
 func (c *Compiled) UnitOf(name, key string) routing.Unit {
 	s := c.services[name]
 	if s == nil || key == "" || s.model.Division != model.ByKey {
 		return routing.Unit{}
 	}
-	return s.unit(key, s.find(key))
+	return s.unit(key, s.rangeOf(key))
 }
 
-// Eligible returns the names of the targets that may own a unit, in order; nil
-// where the unit does not exist. Targets with Drain set are among them: whether
-// a target that leaves may take a unit is for ownership to decide. The slice
-// must not be changed.
+// Eligible returns the sorted names of the targets that may own a unit, or nil if the unit
+// does not exist. They include targets with Drain set, because the code that assigns units
+// decides whether a draining target may get one. The slice must not be changed.
 func (c *Compiled) Eligible(unit routing.Unit) []string {
 	s := c.services[unit.Service]
 	if s == nil {
 		return nil
 	}
 	if unit.Kind == routing.RangeUnit {
-		if cl := s.byRange[unit.Range]; cl != nil {
+		if cl := s.classByRange[unit.Range]; cl != nil {
 			return cl.eligible
 		}
 		return nil
@@ -147,11 +146,11 @@
 	if uint64(unit.Slot) > s.mask || s.model.Division != model.ByKey {
 		return nil
 	}
-	return s.rest.eligible
+	return s.noRange.eligible
 }
 
-// Units returns all units of a service divided by key: its slots in order, then
-// its ranges in order of From; nil for other services.
+// Units returns all units of a service divided by key: its slots in order, then its ranges in
+// order of From. It returns nil for other services.
 func (c *Compiled) Units(name string) []routing.Unit {
 	s := c.services[name]
 	if s == nil || s.model.Division != model.ByKey {
@@ -164,8 +163,8 @@
 	return append(units, c.RangeUnits(name)...)
 }
 
-// RangeUnits returns the units of a service that are its ranges, in order of From; nil
-// where it is not divided by key.
+// RangeUnits returns the units of a service's ranges in order of From, or nil if the service
+// is not divided by key.
 func (c *Compiled) RangeUnits(name string) []routing.Unit {
 	s := c.services[name]
 	if s == nil || s.model.Division != model.ByKey {
@@ -178,10 +177,10 @@
 	return units
 }
 
-// Model returns the model that was compiled; it must not be changed.
+// Model returns the compiled model; it must not be changed.
 func (c *Compiled) Model() *model.Model { return c.model }
 
-// Service returns the service with the name, or nil, without a search.
+// Service returns the service with the name, or nil if there is none.
 func (c *Compiled) Service(name string) *model.Service {
 	if s := c.services[name]; s != nil {
 		return s.model
@@ -189,11 +188,11 @@
 	return nil
 }
 
-// Target returns the target with the name, or nil, without a search.
+// Target returns the target with the name, or nil if there is none.
 func (c *Compiled) Target(name string) *model.Target { return c.targets[name] }
 
-// Caller returns the subject of a caller's name: with its labels where the
-// model knows it, otherwise with the name alone.
+// Caller returns the subject of the caller with the name. It has no labels if the model does
+// not contain the caller.
 func (c *Compiled) Caller(name string) Subject {
 	if known := c.callers[name]; known != nil {
 		return Subject{Name: name, Labels: known.Labels}
@@ -201,8 +200,8 @@
 	return Subject{Name: name}
 }
 
-// Weight returns a caller's share relative to other callers; 1 where the model
-// does not know it.
+// Weight returns a caller's share relative to other callers, or 1 if the model does not
+// contain the caller.
 func (c *Compiled) Weight(name string) float64 {
 	if known := c.callers[name]; known != nil {
 		return known.Weight
--- a/core/selector/route_test.go
+++ b/core/selector/route_test.go
@@ -22,11 +22,11 @@
 func TestRoute(t *testing.T) {
 	c := mustCompile(t, testModel(func(m *model.Model) {
 		m.Selectors = []model.Selector{
-			{Name: "block", Service: "pages", Priority: 9, Callers: expr("blocked = true"), Refuse: true},
-			{Name: "export", Service: "pages", Priority: 8, Callers: expr("role = export"), ToService: "files"},
-			{Name: "hot", Service: "pages", Priority: 5, Keys: expr("heat = hot"), Targets: expr("pool = big")},
-			{Name: "rest", Service: "pages", Priority: 1, Targets: expr("pool = small")},
-			{Name: "old", Service: "files", Priority: 1, Callers: expr("role = export"), Targets: expr("pool = old")},
+			{Name: "block", Service: "pages", Priority: 9, Callers: mustParse("blocked = true"), Refuse: true},
+			{Name: "export", Service: "pages", Priority: 8, Callers: mustParse("role = export"), ToService: "files"},
+			{Name: "hot", Service: "pages", Priority: 5, Keys: mustParse("heat = hot"), Targets: mustParse("pool = big")},
+			{Name: "rest", Service: "pages", Priority: 1, Targets: mustParse("pool = small")},
+			{Name: "old", Service: "files", Priority: 1, Callers: mustParse("role = export"), Targets: mustParse("pool = old")},
 		}
 	}))
 	slot := func(key string) routing.Unit {
@@ -79,12 +79,11 @@
 	assert.Equal(t, c.Weight("stranger"), 1.0)
 }
 
-// Symptom: two callers of one key are served by two targets at once.
-// Sequence: a selector places a key by who asks; each caller's requests go to
-// another target, and both hold state for the key.
-// Cause: placement that is not a function of the key alone.
+// TestPlacementDependsOnTheKeyOnly guards against two targets serving one key at once. That
+// happens if a selector places a key depending on the caller: requests of different callers
+// go to different targets, and each target holds state for the key.
 func TestPlacementDependsOnTheKeyOnly(t *testing.T) {
-	callers := universe()
+	callers := allSubjects()
 	rapid.Check(t, func(t *rapid.T) {
 		m := testModel(func(m *model.Model) { m.Selectors = drawSelectors(t) })
 		c, problems := Compile(m)
@@ -109,11 +108,11 @@
 	var selectors []model.Selector
 	for i := range rapid.IntRange(1, 4).Draw(t, "count") {
 		s := model.Selector{Name: fmt.Sprint("s", i), Service: "pages", Priority: i}
-		s.Keys = rapid.SampledFrom([]model.Expr{nil, expr("heat = hot"), expr("heat != hot"), expr("name = one")}).Draw(t, "keys")
+		s.Keys = rapid.SampledFrom([]model.Expr{nil, mustParse("heat = hot"), mustParse("heat != hot"), mustParse("name = one")}).Draw(t, "keys")
 		switch rapid.IntRange(0, 2).Draw(t, "action") {
 		case 0:
-			s.Targets = rapid.SampledFrom([]model.Expr{expr("pool = big"), expr("pool = small"), expr("name in (p1, p3)")}).Draw(t, "targets")
-			s.Callers = rapid.SampledFrom([]model.Expr{nil, nil, nil, expr("a = x")}).Draw(t, "callers")
+			s.Targets = rapid.SampledFrom([]model.Expr{mustParse("pool = big"), mustParse("pool = small"), mustParse("name in (p1, p3)")}).Draw(t, "targets")
+			s.Callers = rapid.SampledFrom([]model.Expr{nil, nil, nil, mustParse("a = x")}).Draw(t, "callers")
 		case 1:
 			s.Refuse = true
 			s.Callers = drawExpr(2).Draw(t, "callers")
@@ -127,15 +126,15 @@
 }
 
 func TestUnitAgreesWithLinearSearch(t *testing.T) {
-	word := rapid.StringOfN(rapid.SampledFrom([]rune("abc")), 1, 3, -1)
-	found := 0
+	randomKey := rapid.StringOfN(rapid.SampledFrom([]rune("abc")), 1, 3, -1)
+	inRange := 0
 	rapid.Check(t, func(t *rapid.T) {
 		m := testModel(func(m *model.Model) {
 			m.Ranges = nil
 			for i := range rapid.IntRange(0, 8).Draw(t, "count") {
-				r := model.KeyRange{Name: fmt.Sprint("r", i), Service: "pages", From: word.Draw(t, "from"), To: word.Draw(t, "to")}
-				clash := slices.ContainsFunc(m.Ranges, func(o model.KeyRange) bool { return o.Overlaps(&r) })
-				if r.From <= r.To && !clash {
+				r := model.KeyRange{Name: fmt.Sprint("r", i), Service: "pages", From: randomKey.Draw(t, "from"), To: randomKey.Draw(t, "to")}
+				overlaps := slices.ContainsFunc(m.Ranges, func(o model.KeyRange) bool { return o.Overlaps(&r) })
+				if r.From <= r.To && !overlaps {
 					m.Ranges = append(m.Ranges, r)
 				}
 			}
@@ -144,31 +143,31 @@
 		if len(problems) > 0 {
 			t.Fatalf("disjoint ranges are refused: %v", problems)
 		}
-		key := word.Draw(t, "key")
+		key := randomKey.Draw(t, "key")
 		want := routing.Unit{Service: "pages", Slot: uint32(Hash(key) % model.MinHashSlots)}
 		for i := range m.Ranges {
 			if m.Ranges[i].Contains(key) {
 				want = routing.Unit{Service: "pages", Kind: routing.RangeUnit, Range: m.Ranges[i].Name}
-				found++
+				inRange++
 			}
 		}
 		if got := c.UnitOf("pages", key); got != want {
 			t.Fatalf("%q: got %v, want %v", key, got, want)
 		}
 	})
-	assert.Assert(t, found > 5, "keys in ranges are drawn: %d", found)
+	assert.Assert(t, inRange > 5, "too few keys in ranges were generated: %d", inRange)
 }
 
-// Symptom: after an upgrade keys are looked for at targets that do not own them.
-// Sequence: two releases run side by side and hash one key to two slots.
-// Cause: the hash function or its seed changed.
-func TestHashIsFixedForLife(t *testing.T) {
-	// The first is the published value of XXH64 for no input with seed zero.
+// TestHashNeverChanges guards against a change of the hash function or its seed. During an
+// upgrade the routers of two releases would then hash one key to two slots, and send requests
+// to targets that do not own the key.
+func TestHashNeverChanges(t *testing.T) {
+	// The first value is the published XXH64 of the empty input with seed zero.
 	assert.Equal(t, Hash(""), uint64(0xef46db3751d8e999))
 	assert.Equal(t, Hash("a"), uint64(0xd24ec4f1a98c6e5b))
 }
 
-// largeModel has the ranges and selectors of a busy installation.
+// largeModel returns a model with the given numbers of ranges and selectors.
 func largeModel(ranges, selectors int) *model.Model {
 	return testModel(func(m *model.Model) {
 		m.Ranges = nil
@@ -177,9 +176,9 @@
 			m.Ranges = append(m.Ranges, model.KeyRange{Name: fmt.Sprint("r", i), Service: "pages", From: from, To: from + "~", Labels: model.Labels{"heat": "hot"}})
 		}
 		for i := range selectors {
-			m.Selectors = append(m.Selectors, model.Selector{Name: fmt.Sprint("s", i), Service: "pages", Priority: i + 1, Callers: expr(fmt.Sprintf("role in (a%d, b%d), tier != x", i, i)), Refuse: true})
+			m.Selectors = append(m.Selectors, model.Selector{Name: fmt.Sprint("s", i), Service: "pages", Priority: i + 1, Callers: mustParse(fmt.Sprintf("role in (a%d, b%d), tier != x", i, i)), Refuse: true})
 		}
-		m.Selectors = append(m.Selectors, model.Selector{Name: "hot", Service: "pages", Keys: expr("heat = hot"), Targets: expr("pool = big")})
+		m.Selectors = append(m.Selectors, model.Selector{Name: "hot", Service: "pages", Keys: mustParse("heat = hot"), Targets: mustParse("pool = big")})
 	})
 }
 
@@ -187,12 +186,12 @@
 	m := largeModel(64, 8)
 	m.Ranges[9].Labels = nil
 	c := mustCompile(t, m)
-	classes := map[*class]int{}
+	classes := map[*keyClass]int{}
 	for _, r := range c.services["pages"].ranges {
 		classes[r.class]++
 	}
 	assert.Equal(t, len(classes), 2)
-	assert.Equal(t, classes[c.services["pages"].rest], 1)
+	assert.Equal(t, classes[c.services["pages"].noRange], 1)
 }
 
 func TestLookupsDoNotAllocate(t *testing.T) {
@@ -229,13 +228,13 @@
 	}
 }
 
-// crowdedModel has the most ranges and selectors that are allowed, all of one
+// maximalModel returns a model with the maximum number of ranges and selectors, all of one
 // service and of equal priority, so that every pair of selectors is compared.
-func crowdedModel() *model.Model {
+func maximalModel() *model.Model {
 	m := largeModel(model.MaxRanges, 0)
 	m.Selectors = nil
 	for i := range model.MaxSelectors {
-		m.Selectors = append(m.Selectors, model.Selector{Name: fmt.Sprintf("s%04d", i), Service: "pages", Keys: expr(fmt.Sprintf("name = r%d", i)), Targets: expr("pool = big")})
+		m.Selectors = append(m.Selectors, model.Selector{Name: fmt.Sprintf("s%04d", i), Service: "pages", Keys: mustParse(fmt.Sprintf("name = r%d", i)), Targets: mustParse("pool = big")})
 	}
 	return m
 }
@@ -244,7 +243,7 @@
 	cases := []struct {
 		name  string
 		model *model.Model
-	}{{"ranges=4096/selectors=17", largeModel(model.MaxRanges, 16)}, {"ranges=4096/selectors=1024", crowdedModel()}}
+	}{{"ranges=4096/selectors=17", largeModel(model.MaxRanges, 16)}, {"ranges=4096/selectors=1024", maximalModel()}}
 	for _, c := range cases {
 		b.Run(c.name, func(b *testing.B) {
 			b.ReportAllocs()
--- a/core/selector/satisfy.go
+++ b/core/selector/satisfy.go
@@ -6,74 +6,74 @@
 	"tarragongw/core/model"
 )
 
-// Satisfiable reports whether some set of labels meets all the expressions. It
-// is exact for labels that may have any value: requirements on different
-// labels are independent, so each label is decided by itself.
+// Satisfiable reports whether some set of labels meets all the expressions. The result is
+// exact for labels that may have any value: requirements on different labels are independent,
+// so each label is checked separately.
 func Satisfiable(exprs ...model.Expr) bool {
-	bounds := make(map[string]*bound)
+	constraints := make(map[string]*constraint)
 	for _, e := range exprs {
 		for i := range e {
 			r := &e[i]
-			b := bounds[r.Label]
-			if b == nil {
-				b = &bound{}
-				bounds[r.Label] = b
+			c := constraints[r.Label]
+			if c == nil {
+				c = &constraint{}
+				constraints[r.Label] = c
 			}
-			b.add(r)
+			c.add(r)
 		}
 	}
-	for _, b := range bounds {
-		if !b.possible() {
+	for _, c := range constraints {
+		if !c.satisfiable() {
 			return false
 		}
 	}
 	return true
 }
 
-// bound is what requirements leave possible for one label.
-type bound struct {
-	mustExist  bool
-	mustAbsent bool
-	// closed means that only the values in allowed are left.
-	closed   bool
-	allowed  []string
-	excluded []string
+// constraint combines the requirements on one label.
+type constraint struct {
+	mustExist    bool
+	mustBeAbsent bool
+	// restricted means that only the values in allowed are possible.
+	restricted bool
+	allowed    []string
+	excluded   []string
 }
 
-func (b *bound) add(r *model.Requirement) {
+func (c *constraint) add(r *model.Requirement) {
 	switch r.Op {
 	case model.Exists:
-		b.mustExist = true
+		c.mustExist = true
 	case model.NotExists:
-		b.mustAbsent = true
+		c.mustBeAbsent = true
 	case model.Equals, model.In:
-		b.mustExist = true
-		b.restrict(r.Values)
+		c.mustExist = true
+		c.restrict(r.Values)
 	default:
-		b.excluded = append(b.excluded, r.Values...)
+		c.excluded = append(c.excluded, r.Values...)
 	}
 }
 
-func (b *bound) restrict(values []string) {
-	if !b.closed {
-		b.closed = true
-		b.allowed = slices.Clone(values)
+func (c *constraint) restrict(values []string) {
+	if !c.restricted {
+		c.restricted = true
+		c.allowed = slices.Clone(values)
 		return
 	}
-	b.allowed = slices.DeleteFunc(b.allowed, func(v string) bool { return !slices.Contains(values, v) })
+	c.allowed = slices.DeleteFunc(c.allowed, func(v string) bool { return !slices.Contains(values, v) })
 }
 
-// possible reports whether the label may be absent, or have a value. There is
-// always a value that no requirement names, so an open set is never empty.
-func (b *bound) possible() bool {
-	if !b.mustExist {
+// satisfiable reports whether the label can be absent or have some value. There is always a
+// value that no requirement names, so an unrestricted label always has a possible value.
+func (c *constraint) satisfiable() bool {
+	if !c.mustExist {
 		return true
 	}
-	if b.mustAbsent {
+	if c.mustBeAbsent {
 		return false
 	}
-	if !b.closed {
+	if !c.restricted {
 		return true
 	}
-	return slices.ContainsFunc(b.allowed, func(v string) bool { return !slices.Contains(b.excluded, v) })
+	return slices.ContainsFunc(c.allowed, func(v string) bool { return !slices.Contains(c.excluded, v) })
 }
--- a/core/selector/satisfy_test.go
+++ b/core/selector/satisfy_test.go
@@ -9,11 +9,11 @@
 	"tarragongw/core/model"
 )
 
-// universe is every subject over two labels; "other" stands for all values that
-// no drawn requirement names.
-func universe() []Subject {
+// allSubjects returns every subject with values for the labels a and b; "other" stands for
+// all values that no generated requirement names.
+func allSubjects() []Subject {
 	values := []string{"", "x", "y", "z", "other"}
-	var all []Subject
+	var subjects []Subject
 	for _, a := range values {
 		for _, b := range values {
 			labels := model.Labels{}
@@ -23,10 +23,10 @@
 			if b != "" {
 				labels["b"] = b
 			}
-			all = append(all, Subject{Labels: labels})
+			subjects = append(subjects, Subject{Labels: labels})
 		}
 	}
-	return all
+	return subjects
 }
 
 var drawRequirement = rapid.Custom(func(t *rapid.T) model.Requirement {
@@ -46,7 +46,7 @@
 }
 
 func TestSatisfiableAgreesWithEnumeration(t *testing.T) {
-	subjects := universe()
+	subjects := allSubjects()
 	outcomes := map[bool]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := drawExpr(4).Draw(t, "a"), drawExpr(4).Draw(t, "b")
