--- a/core/patch/patch.go
+++ b/core/patch/patch.go
@@ -1,7 +1,7 @@
-// Package patch describes a value by what it has in common with an older one: runs of
-// bytes that are copied from the base, and bytes that are new. It knows nothing of what
-// the values mean, so that a router also passes on what only a newer release can read.
-// The same values give the same patch.
+// Package patch encodes a value as a delta against an older one, the base: runs of bytes that
+// are copied from the base, and literal bytes. It does not interpret the values, so that a
+// router can also relay values in a format that only a newer release understands. The encoding
+// is deterministic.
 package patch
 
 import (
@@ -11,117 +11,125 @@
 	"github.com/pkg/errors"
 )
 
-// block is the length in bytes of the runs that are looked for in the base. What is
-// shorter goes as new bytes: naming a run takes up to a dozen.
-const block = 32
+// blockSize is the length in bytes of the blocks of base that Make looks for in next. Runs shorter
+// than a block are encoded as literals, because a copy step alone takes up to a dozen bytes.
+const blockSize = 32
 
 // Errors of Apply.
 var (
-	// ErrDamaged means that the patch cannot be read, or reaches beyond its base.
+	// ErrDamaged means that the patch is malformed or refers to bytes outside of its base.
 	ErrDamaged = errors.New("patch: damaged")
-	// ErrTooLarge means that the value would be longer than allowed.
+	// ErrTooLarge means that the value would be longer than the limit.
 	ErrTooLarge = errors.New("patch: the value is too large")
 )
 
-// Sum is the checksum by which a value is compared with the one that its patch was made of.
+// Sum returns the checksum of a value. Compare the checksum of Apply's result with that of the
+// value that the patch was made from.
 func Sum(value []byte) uint64 { return xxhash.Sum64(value) }
 
-// Make returns the patch that turns base into next: the length of next, then steps. A
-// step is a number of bytes, doubled, and one more for new bytes, which follow; a copy is
-// followed by how far it begins beyond the end of the copy before.
+// Make returns the patch that turns base into next. It consists of the length of next and a
+// sequence of steps. A step starts with a varint: twice its number of bytes, plus one for a
+// literal. The bytes of a literal follow; a copy is followed by the distance of its start in
+// base from the end of the previous copy.
 func Make(base, next []byte) []byte {
-	m := maker{base: base, next: next, places: placesOf(base), out: binary.AppendUvarint(nil, uint64(len(next)))}
-	m.run()
-	return m.out
+	e := encoder{base: base, next: next, blockOffsets: indexBlocks(base), out: binary.AppendUvarint(nil, uint64(len(next)))}
+	e.run()
+	return e.out
 }
 
-type maker struct {
+// encoder builds a patch.
+type encoder struct {
 	base, next []byte
-	// places are where the blocks of base begin, by their hash.
-	places map[uint32]int
-	out    []byte
-	// done is how much of next is described, copied where in base the last copy ended.
-	done, copied int
+	// blockOffsets are the offsets of base's blocks, by the blocks' hash.
+	blockOffsets map[uint32]int
+	out          []byte
+	// encoded is the length of the part of next that is already encoded; copyEnd is the end in
+	// base of the last copy.
+	encoded, copyEnd int
 }
 
-func placesOf(base []byte) map[uint32]int {
-	places := make(map[uint32]int, len(base)/block)
-	for at := 0; at+block <= len(base); at += block {
-		h := hashOf(base[at : at+block])
-		if _, taken := places[h]; !taken {
-			places[h] = at
+// indexBlocks returns the offsets of base's blocks by the blocks' hash. Of blocks with the same
+// hash it keeps the first.
+func indexBlocks(base []byte) map[uint32]int {
+	offsets := make(map[uint32]int, len(base)/blockSize)
+	for pos := 0; pos+blockSize <= len(base); pos += blockSize {
+		h := blockHash(base[pos : pos+blockSize])
+		if _, known := offsets[h]; !known {
+			offsets[h] = pos
 		}
 	}
-	return places
+	return offsets
 }
 
-// factor is that of the rolling hash, and leaving what the byte that leaves it counts.
-const factor = 0x01000193
+// hashFactor is the multiplier of the rolling hash. A byte that leaves the window is
+// subtracted with the multiplier outgoingFactor.
+const hashFactor = 0x01000193
 
-var leaving = func() uint32 {
-	p := uint32(1)
-	for range block {
-		p *= factor
+var outgoingFactor = func() uint32 {
+	power := uint32(1)
+	for range blockSize {
+		power *= hashFactor
 	}
-	return p
+	return power
 }()
 
-func hashOf(b []byte) uint32 {
+func blockHash(b []byte) uint32 {
 	var h uint32
 	for _, c := range b {
-		h = h*factor + uint32(c)
+		h = h*hashFactor + uint32(c)
 	}
 	return h
 }
 
-// run looks for each block of base at every place of next.
-func (m *maker) run() {
-	at, h, valid := 0, uint32(0), false
-	for at+block <= len(m.next) {
+// run looks for blocks of base at every offset of next.
+func (e *encoder) run() {
+	pos, h, valid := 0, uint32(0), false
+	for pos+blockSize <= len(e.next) {
 		if !valid {
-			h, valid = hashOf(m.next[at:at+block]), true
+			h, valid = blockHash(e.next[pos:pos+blockSize]), true
 		}
-		if from, ok := m.places[h]; ok && string(m.base[from:from+block]) == string(m.next[at:at+block]) {
-			at, valid = m.match(from, at), false
+		if from, ok := e.blockOffsets[h]; ok && string(e.base[from:from+blockSize]) == string(e.next[pos:pos+blockSize]) {
+			pos, valid = e.emitCopy(from, pos), false
 			continue
 		}
-		if at+block < len(m.next) {
-			h = h*factor + uint32(m.next[at+block]) - leaving*uint32(m.next[at])
+		if pos+blockSize < len(e.next) {
+			h = h*hashFactor + uint32(e.next[pos+blockSize]) - outgoingFactor*uint32(e.next[pos])
 		}
-		at++
+		pos++
 	}
-	m.literal(len(m.next))
+	e.emitLiteral(len(e.next))
 }
 
-// match describes the longest run around a block that both have, and returns where in
-// next it ends.
-func (m *maker) match(from, at int) int {
-	for at > m.done && from > 0 && m.base[from-1] == m.next[at-1] {
-		at, from = at-1, from-1
+// emitCopy takes the block that is common to base, at offset from, and next, at offset pos. It
+// extends the block to the longest common run, encodes the run as a copy, and returns the run's
+// end in next.
+func (e *encoder) emitCopy(from, pos int) int {
+	for pos > e.encoded && from > 0 && e.base[from-1] == e.next[pos-1] {
+		pos, from = pos-1, from-1
 	}
-	n := block
-	for at+n < len(m.next) && from+n < len(m.base) && m.base[from+n] == m.next[at+n] {
+	n := blockSize
+	for pos+n < len(e.next) && from+n < len(e.base) && e.base[from+n] == e.next[pos+n] {
 		n++
 	}
-	m.literal(at)
-	m.out = binary.AppendUvarint(m.out, uint64(n)<<1)
-	m.out = binary.AppendVarint(m.out, int64(from-m.copied))
-	m.copied, m.done = from+n, at+n
-	return m.done
+	e.emitLiteral(pos)
+	e.out = binary.AppendUvarint(e.out, uint64(n)<<1)
+	e.out = binary.AppendVarint(e.out, int64(from-e.copyEnd))
+	e.copyEnd, e.encoded = from+n, pos+n
+	return e.encoded
 }
 
-// literal describes what is new before at.
-func (m *maker) literal(at int) {
-	if at == m.done {
+// emitLiteral encodes as a literal the bytes of next before pos that are not encoded yet.
+func (e *encoder) emitLiteral(pos int) {
+	if pos == e.encoded {
 		return
 	}
-	m.out = binary.AppendUvarint(m.out, uint64(at-m.done)<<1|1)
-	m.out = append(m.out, m.next[m.done:at]...)
-	m.done = at
+	e.out = binary.AppendUvarint(e.out, uint64(pos-e.encoded)<<1|1)
+	e.out = append(e.out, e.next[e.encoded:pos]...)
+	e.encoded = pos
 }
 
-// Apply returns what the patch makes of base, of at most limit bytes. Whether base was
-// the right one only the checksum of the result says.
+// Apply returns the value that the patch makes from base, of at most limit bytes. It can't
+// detect a wrong base; compare the checksum of the result, see Sum.
 func Apply(base, patch []byte, limit int) ([]byte, error) {
 	size, n := binary.Uvarint(patch)
 	if n <= 0 {
@@ -130,13 +138,13 @@
 	if size > uint64(limit) {
 		return nil, ErrTooLarge
 	}
-	// What a damaged length would reserve is bounded by what the patch can describe.
+	// The capacity is bounded, so that a damaged length does not allocate too much memory.
 	out := make([]byte, 0, min(size, uint64(len(base)+len(patch))))
-	rest, copied := patch[n:], 0
+	rest, copyEnd := patch[n:], 0
 	for len(rest) > 0 {
 		var run []byte
 		var err error
-		if run, rest, copied, err = step(base, rest, copied); err != nil {
+		if run, rest, copyEnd, err = decodeStep(base, rest, copyEnd); err != nil {
 			return nil, err
 		}
 		if uint64(len(run)) > size-uint64(len(out)) {
@@ -150,9 +158,9 @@
 	return out, nil
 }
 
-// step reads one step: the bytes that it adds, what follows it, and where in base the
-// last copy ended.
-func step(base, patch []byte, copied int) (run, rest []byte, end int, err error) {
+// decodeStep reads one step. It returns the bytes that the step adds, the rest of the patch, and
+// the end in base of the last copy.
+func decodeStep(base, patch []byte, copyEnd int) (run, rest []byte, end int, err error) {
 	head, n := binary.Uvarint(patch)
 	if n <= 0 || head < 2 {
 		return nil, nil, 0, ErrDamaged
@@ -163,10 +171,10 @@
 		if length > uint64(len(patch)) {
 			return nil, nil, 0, ErrDamaged
 		}
-		return patch[:length], patch[length:], copied, nil
+		return patch[:length], patch[length:], copyEnd, nil
 	}
-	beyond, n := binary.Varint(patch)
-	from := int64(copied) + beyond
+	distance, n := binary.Varint(patch)
+	from := int64(copyEnd) + distance
 	if n <= 0 || from < 0 || from > int64(len(base)) || length > uint64(int64(len(base))-from) {
 		return nil, nil, 0, ErrDamaged
 	}
--- a/core/patch/patch_test.go
+++ b/core/patch/patch_test.go
@@ -16,10 +16,10 @@
 
 var text = strings.Repeat("0123456789", 7) + strings.Repeat("abcdefghijklm", 9) + strings.Repeat("nopqrstuvwxyz!", 8)
 
-func TestPatches(t *testing.T) {
+func TestPatchIsSmallAndRestoresTheValue(t *testing.T) {
 	for _, tt := range []struct {
 		name, base, next string
-		most             int
+		maxLength        int
 	}{
 		{"both empty", "", "", 1},
 		{"from nothing", "", text, len(text) + 4},
@@ -35,13 +35,14 @@
 		got, err := Apply([]byte(tt.base), p, len(tt.next))
 		assert.NilError(t, err, tt.name)
 		assert.Equal(t, string(got), tt.next, tt.name)
-		assert.Assert(t, len(p) <= tt.most, "%s: %d bytes", tt.name, len(p))
+		assert.Assert(t, len(p) <= tt.maxLength, "%s: %d bytes", tt.name, len(p))
 	}
 	_, err := Apply([]byte(text), Make([]byte(text), []byte(text)), len(text)-1)
 	assert.ErrorIs(t, err, ErrTooLarge)
 }
 
-// Whatever is cut out, moved, repeated and put in, the patch gives the new value.
+// TestApplyUndoesMake checks that Apply returns the new value, whatever bytes were removed,
+// moved, repeated and inserted.
 func TestApplyUndoesMake(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base := bytes.Repeat(rapid.SliceOfN(rapid.Byte(), 1, 90).Draw(t, "base"), rapid.IntRange(0, 5).Draw(t, "times"))
@@ -60,9 +61,9 @@
 }
 
 func FuzzApply(f *testing.F) {
-	whole := Make([]byte(text), []byte(text[20:]+"tail"))
-	f.Add(whole)
-	f.Add(whole[:len(whole)-2])
+	complete := Make([]byte(text), []byte(text[20:]+"tail"))
+	f.Add(complete)
+	f.Add(complete[:len(complete)-2])
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1, 2})
 	f.Add([]byte{9, 0, 0})
 	f.Fuzz(func(t *testing.T, p []byte) {
