--- a/core/digest/digest.go
+++ b/core/digest/digest.go
@@ -1,9 +1,9 @@
-// Package digest helps to sum up sets by one number, so that two routers find out by
-// comparing it whether they hold the same.
+// Package digest helps to represent a set by one number, the XOR of its members' hashes. Two
+// routers compare the number to find out whether they hold the same set.
 package digest
 
-// Mix spreads h so that the XOR of many sums keeps its entropy. It is the finaliser of
-// splitmix64; two values never give the same result.
+// Mix distributes the bits of h, so that the XOR of many hashes keeps its entropy. It is the
+// finaliser of splitmix64, which is a bijection.
 func Mix(h uint64) uint64 {
 	h ^= h >> 30
 	h *= 0xbf58476d1ce4e5b9
--- a/core/digest/digest_test.go
+++ b/core/digest/digest_test.go
@@ -6,9 +6,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// The routers of a fleet compare digests, also across versions: another function would
-// make all of them differ. The values are the first two outputs of splitmix64 from seed 0.
-func TestMixIsThatOfSplitmix64(t *testing.T) {
+// TestMixIsSplitmix64Finaliser guards against a change of the function: routers of different
+// versions compare digests, and with different functions all digests would differ. The
+// expected values are the first two outputs of splitmix64 with seed 0.
+func TestMixIsSplitmix64Finaliser(t *testing.T) {
 	gamma := uint64(0x9e3779b97f4a7c15)
 	assert.Equal(t, Mix(0), uint64(0))
 	assert.Equal(t, Mix(gamma), uint64(0xe220a8397b1dcdaf))
--- a/core/history/history.go
+++ b/core/history/history.go
@@ -1,8 +1,8 @@
-// Package history keeps a router's measures of the last hours as a ring of buckets
-// of equal length. Its memory is fixed by its Config; it does no I/O and has no
-// clock, and isn't safe for concurrent use. What goes in are counters since the start;
-// a bucket holds what they grew by. docs/METRICS.md says when time counts as unavailable,
-// docs/design/reports.md why measures are kept in memory.
+// Package history keeps a router's measurements of the last hours in a ring of buckets, each
+// for one step of time. Samples are counters since the start of the process; a bucket holds
+// the increase between two samples. The memory is fixed by Config. The package does no I/O,
+// has no clock, and is not safe for concurrent use. docs/METRICS.md says when time counts as
+// unavailable, docs/design/reports.md why measurements are kept in memory.
 package history
 
 import "time"
@@ -11,17 +11,17 @@
 type Config struct {
 	// Step is the length of a bucket. Default 10 s.
 	Step time.Duration
-	// Buckets is how many are kept. Default 720: two hours.
+	// Buckets is the number of buckets that are kept. Default 720, which is two hours.
 	Buckets int
-	// Services is the number of services with numbers of their own; all others share
-	// the name Other. Default 31.
+	// Services is the number of services with rows of their own; all others share the row
+	// with the name Other. Default 31.
 	Services int
-	// Classes names the classes of requests.
+	// Classes are the names of the request classes.
 	Classes []string
-	// Bounds are the upper bounds of the latency counts, growing; one further count
-	// takes what is above the last.
+	// Bounds are the upper bounds of the latency counts, ascending; one further count is for
+	// latencies above the last bound.
 	Bounds []time.Duration
-	// Causes names what requests are refused for or fail with.
+	// Causes are the names of the causes for which requests are refused or fail.
 	Causes []string
 }
 
@@ -29,7 +29,7 @@
 	defaultStep     = 10 * time.Second
 	defaultBuckets  = 720
 	defaultServices = 31
-	// Other is the name that further services share.
+	// Other is the name of the row that services beyond Config.Services share.
 	Other = "other"
 )
 
@@ -46,46 +46,46 @@
 	return c
 }
 
-// Sample is what a router has counted since its start, and what it measures now.
+// Sample holds a router's counters since its start and its current measurements.
 type Sample struct {
 	// Latency counts answered requests by class and bound.
 	Latency [][]uint64
-	// Refused counts requests that were refused as not run, and Failed those that ended
-	// with a fault and may have run, by cause.
+	// Refused counts by cause the requests that were refused as not run; Failed counts those
+	// that ended with a fault and may have run.
 	Refused []uint64
 	Failed  []uint64
 	// Services are in any order.
 	Services []ServiceSample
 }
 
-// ServiceSample is the part of one service.
+// ServiceSample is the part of a Sample for one service.
 type ServiceSample struct {
 	Name string
-	// Moved counts units that went from one owner to another.
+	// Moved counts changes of a unit's owner.
 	Moved uint64
-	// Unavailable is the sum over units of the seconds in which they weren't served.
+	// Unavailable is the total over all units of the seconds during which they weren't served.
 	Unavailable float64
-	// Imbalance is the load of the busiest target over the mean; zero means that this
+	// Imbalance is the load of the busiest target divided by the mean; zero means that this
 	// router doesn't know it.
 	Imbalance float64
 }
 
-// Ring holds the last buckets.
+// Ring holds the latest buckets.
 type Ring struct {
 	cfg   Config
-	slots []slot
-	// next is the place of the next bucket and count how many there are.
+	slots []bucketSlot
+	// next is the index of the next bucket in slots, and count the number of buckets.
 	next, count int
-	// names are the services that have a row of their own, by row.
+	// names are the services that have a row of their own, by row index.
 	names []string
-	// began is when the first sample came, and last the latest, which came at lastAt.
-	began  time.Time
-	last   Sample
-	lastAt time.Time
+	// firstSample is the time of the first sample; last is the latest sample, of the time lastAt.
+	firstSample time.Time
+	last        Sample
+	lastAt      time.Time
 }
 
-// slot is one bucket as it is kept; its slices are parts of arrays made once.
-type slot struct {
+// bucketSlot is the stored form of a bucket; its slices are parts of arrays that New allocates.
+type bucketSlot struct {
 	start    time.Time
 	seconds  float32
 	latency  []uint32
@@ -100,11 +100,11 @@
 	imbalance   float32
 }
 
-// New returns an empty ring. All memory that it will ever take is taken here, but
-// for the names of services.
+// New returns an empty ring. It allocates all memory of the ring except for the names of
+// services.
 func New(cfg Config) *Ring {
 	cfg = cfg.withDefaults()
-	r := &Ring{cfg: cfg, slots: make([]slot, cfg.Buckets)}
+	r := &Ring{cfg: cfg, slots: make([]bucketSlot, cfg.Buckets)}
 	latencies, causes, services := cfg.latencies(), len(cfg.Causes), cfg.Services+1
 	counts := make([]uint32, cfg.Buckets*(latencies+2*causes))
 	rows := make([]serviceSlot, cfg.Buckets*services)
@@ -121,30 +121,30 @@
 	return r
 }
 
-// latencies is the number of latency counts of one bucket.
+// latencies returns the number of latency counts of one bucket.
 func (c *Config) latencies() int { return len(c.Classes) * (len(c.Bounds) + 1) }
 
-// Bytes returns the memory that the buckets take, without the names of services.
+// Bytes returns the memory that the buckets take in bytes, without the names of services.
 func (r *Ring) Bytes() int {
 	// The sizes of a count, a serviceSlot and a slot without its arrays.
 	const count, row, header = 4, 12, 128
-	one := header + count*(r.cfg.latencies()+2*len(r.cfg.Causes)) + row*(r.cfg.Services+1)
-	return one * r.cfg.Buckets
+	bucket := header + count*(r.cfg.latencies()+2*len(r.cfg.Causes)) + row*(r.cfg.Services+1)
+	return bucket * r.cfg.Buckets
 }
 
-// Due reports whether the bucket that the last sample began is over at now. Buckets
-// begin at whole multiples of the step, so that those of several routers line up.
+// Due reports whether the bucket that started at the last sample has ended at now. Buckets
+// start at whole multiples of the step, so that the buckets of several routers are aligned.
 func (r *Ring) Due(now time.Time) bool {
 	return r.lastAt.IsZero() || !now.Truncate(r.cfg.Step).Equal(r.lastAt.Truncate(r.cfg.Step))
 }
 
-// Add closes a bucket with what changed since the last sample; the first one only
-// sets where to count from. A bucket is longer than the step where samples came late,
-// as after a pause of the process.
+// Add stores a bucket with the changes since the last sample. The first sample only sets the
+// values from which differences are taken. A bucket is longer than the step if a sample comes
+// late, as after the process was suspended.
 func (r *Ring) Add(now time.Time, s *Sample) {
 	if r.lastAt.IsZero() {
-		r.began = now
-		r.keep(now, s)
+		r.firstSample = now
+		r.storeLast(now, s)
 		return
 	}
 	slot := &r.slots[r.next]
@@ -153,49 +153,49 @@
 	slot.start, slot.seconds = r.lastAt, float32(now.Sub(r.lastAt).Seconds())
 	for class := range r.cfg.Classes {
 		width := len(r.cfg.Bounds) + 1
-		fill(slot.latency[class*width:(class+1)*width], rowOf(s.Latency, class), rowOf(r.last.Latency, class))
+		storeDifferences(slot.latency[class*width:(class+1)*width], classCounts(s.Latency, class), classCounts(r.last.Latency, class))
 	}
-	fill(slot.refused, s.Refused, r.last.Refused)
-	fill(slot.failed, s.Failed, r.last.Failed)
-	r.fillServices(slot, s.Services)
-	r.keep(now, s)
+	storeDifferences(slot.refused, s.Refused, r.last.Refused)
+	storeDifferences(slot.failed, s.Failed, r.last.Failed)
+	r.storeServices(slot, s.Services)
+	r.storeLast(now, s)
 }
 
-func rowOf(rows [][]uint64, i int) []uint64 {
+func classCounts(rows [][]uint64, i int) []uint64 {
 	if i < len(rows) {
 		return rows[i]
 	}
 	return nil
 }
 
-// fill puts what now has beyond before into the counts.
-func fill(into []uint32, now, before []uint64) {
-	for i := range into {
-		into[i] = uint32(at(now, i) - at(before, i))
+// storeDifferences sets counts to the increase from before to now.
+func storeDifferences(counts []uint32, now, before []uint64) {
+	for i := range counts {
+		counts[i] = uint32(countAt(now, i) - countAt(before, i))
 	}
 }
 
-func at(counts []uint64, i int) uint64 {
+func countAt(counts []uint64, i int) uint64 {
 	if i < len(counts) {
 		return counts[i]
 	}
 	return 0
 }
 
-func (r *Ring) fillServices(slot *slot, services []ServiceSample) {
+func (r *Ring) storeServices(slot *bucketSlot, services []ServiceSample) {
 	clear(slot.services)
 	for i := range services {
 		s := &services[i]
-		before := r.before(s.Name)
-		row := &slot.services[r.place(s.Name)]
+		before := r.lastServiceSample(s.Name)
+		row := &slot.services[r.serviceRow(s.Name)]
 		row.moved += uint32(s.Moved - before.Moved)
 		row.unavailable += float32(s.Unavailable - before.Unavailable)
 		row.imbalance = max(row.imbalance, float32(s.Imbalance))
 	}
 }
 
-// before is the service's part of the last sample.
-func (r *Ring) before(name string) ServiceSample {
+// lastServiceSample returns the service's part of the last sample.
+func (r *Ring) lastServiceSample(name string) ServiceSample {
 	for i := range r.last.Services {
 		if r.last.Services[i].Name == name {
 			return r.last.Services[i]
@@ -204,9 +204,9 @@
 	return ServiceSample{}
 }
 
-// place is the service's row in each bucket. A name once given a row keeps it; those
-// that find none left share the last row.
-func (r *Ring) place(name string) int {
+// serviceRow returns the index of the service's row in each bucket. A service keeps its row;
+// services that come when no row is left share the last one.
+func (r *Ring) serviceRow(name string) int {
 	for i, known := range r.names {
 		if known == name {
 			return i
@@ -219,8 +219,8 @@
 	return len(r.names) - 1
 }
 
-// keep copies the sample, whose slices belong to the caller.
-func (r *Ring) keep(now time.Time, s *Sample) {
+// storeLast copies the sample to r.last, because its slices belong to the caller of Add.
+func (r *Ring) storeLast(now time.Time, s *Sample) {
 	r.lastAt = now
 	r.last.Refused = append(r.last.Refused[:0], s.Refused...)
 	r.last.Failed = append(r.last.Failed[:0], s.Failed...)
--- a/core/history/history_test.go
+++ b/core/history/history_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Date(2030, 1, 2, 3, 4, 0, 0, time.UTC)
 
-func small() history.Config {
+func smallConfig() history.Config {
 	return history.Config{
 		Buckets: 3, Services: 2, Classes: []string{"interactive", "batch"},
 		Bounds: []time.Duration{time.Millisecond, 10 * time.Millisecond}, Causes: []string{"queue_full", "no_owner"},
@@ -20,9 +20,9 @@
 }
 
 func TestBucketsHoldDifferences(t *testing.T) {
-	r := history.New(small())
+	r := history.New(smallConfig())
 	assert.Assert(t, r.Due(start))
-	// What was counted before the first sample belongs to no bucket.
+	// Counts from before the first sample belong to no bucket.
 	r.Add(start, &history.Sample{Refused: []uint64{5, 0}, Services: []history.ServiceSample{{Name: "a", Moved: 9}}})
 	assert.Equal(t, len(r.Since(time.Time{}).Buckets), 0)
 	assert.Assert(t, !r.Due(start.Add(9*time.Second)))
@@ -42,9 +42,10 @@
 	assert.Equal(t, len(r.Since(start.Add(10*time.Second)).Buckets), 0)
 }
 
-// Old buckets give way to new ones, and a reused bucket keeps nothing of its past.
+// TestRingIsBounded checks that new buckets replace the oldest, and that a reused bucket keeps
+// no old counts.
 func TestRingIsBounded(t *testing.T) {
-	r := history.New(small())
+	r := history.New(smallConfig())
 	bytes := r.Bytes()
 	for i := range 10 {
 		s := &history.Sample{}
@@ -65,9 +66,10 @@
 	assert.Equal(t, r.Bytes(), bytes)
 }
 
-// Services beyond the limit share one row, whatever their number.
-func TestServicesAreFolded(t *testing.T) {
-	r := history.New(small())
+// TestServicesBeyondTheLimitShareOneRow checks that services beyond Config.Services share one
+// row, whatever their number.
+func TestServicesBeyondTheLimitShareOneRow(t *testing.T) {
+	r := history.New(smallConfig())
 	r.Add(start, &history.Sample{})
 	var s history.Sample
 	for i := range 5 {
@@ -87,8 +89,9 @@
 	assert.Equal(t, history.Quantile(bounds, []uint64{0, 0, 7}, 0.5), 10*time.Millisecond)
 }
 
-// The default ring of the router stays far below the budget for control.
-func TestDefaultMemory(t *testing.T) {
+// TestDefaultRingTakesLessThanOneMiB checks that the router's default ring takes only a small
+// part of the memory that is planned for control state.
+func TestDefaultRingTakesLessThanOneMiB(t *testing.T) {
 	cfg := history.Config{Classes: make([]string, 2), Bounds: make([]time.Duration, 18), Causes: make([]string, 32)}
 	assert.Assert(t, history.New(cfg).Bytes() < 1<<20)
 }
--- a/core/history/series.go
+++ b/core/history/series.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Series is what a ring holds, to be sent and merged. Its JSON is what operators'
-// endpoints answer.
+// Series is the content of a ring, in a form that can be sent and merged. The operators'
+// endpoints return its JSON.
 type Series struct {
 	// Step is the usual length of a bucket.
 	Step time.Duration `json:"step_ns"`
-	// Began is since when this router counts; before that it knows nothing.
+	// Began is the time of the router's first sample; the router has no data from before.
 	Began   time.Time       `json:"began"`
 	Classes []string        `json:"classes"`
 	Bounds  []time.Duration `json:"bounds_ns"`
@@ -15,27 +15,28 @@
 	Buckets []Bucket `json:"buckets"`
 }
 
-// Bucket is what happened in one stretch of time.
+// Bucket holds the measurements of one interval.
 type Bucket struct {
 	Start   time.Time `json:"start"`
 	Seconds float64   `json:"seconds"`
-	// Latency counts answered requests by class and bound, as Series names them; nil
-	// where there were none.
+	// Latency counts answered requests by class and bound, in the order of Series.Classes and
+	// Series.Bounds; nil if there were none.
 	Latency [][]uint32 `json:"latency,omitempty"`
-	// Refused were refused as not run; Failed ended with a fault and may have run.
+	// Refused counts requests that were refused as not run; Failed counts those that ended
+	// with a fault and may have run.
 	Refused []Count `json:"refused,omitempty"`
 	Failed  []Count `json:"failed,omitempty"`
-	// Services are those of which there is something to tell.
+	// Services are the services with a nonzero value.
 	Services []ServiceBucket `json:"services,omitempty"`
 }
 
-// Count is how often one cause came up.
+// Count is the number of requests with one cause.
 type Count struct {
 	Cause string `json:"cause"`
 	N     uint64 `json:"n"`
 }
 
-// ServiceBucket is the part of one service; see ServiceSample for the units.
+// ServiceBucket is the part of a Bucket for one service; for the units see ServiceSample.
 type ServiceBucket struct {
 	Name        string  `json:"name"`
 	Moved       uint64  `json:"moved,omitempty"`
@@ -43,9 +44,9 @@
 	Imbalance   float64 `json:"imbalance,omitempty"`
 }
 
-// Since returns the buckets that ended after the time.
+// Since returns the buckets that ended after since.
 func (r *Ring) Since(since time.Time) Series {
-	out := Series{Step: r.cfg.Step, Began: r.began, Classes: r.cfg.Classes, Bounds: r.cfg.Bounds, Buckets: []Bucket{}}
+	out := Series{Step: r.cfg.Step, Began: r.firstSample, Classes: r.cfg.Classes, Bounds: r.cfg.Bounds, Buckets: []Bucket{}}
 	for i := range r.count {
 		s := &r.slots[(r.next-r.count+i+len(r.slots))%len(r.slots)]
 		if end := s.start.Add(seconds(float64(s.seconds))); !end.After(since) {
@@ -58,7 +59,7 @@
 
 func seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
 
-func (r *Ring) bucket(s *slot) Bucket {
+func (r *Ring) bucket(s *bucketSlot) Bucket {
 	b := Bucket{Start: s.start, Seconds: float64(s.seconds)}
 	b.Latency = r.latency(s)
 	b.Refused, b.Failed = r.counts(s.refused), r.counts(s.failed)
@@ -80,12 +81,12 @@
 	return Other
 }
 
-func (r *Ring) latency(s *slot) [][]uint32 {
-	var any uint32
+func (r *Ring) latency(s *bucketSlot) [][]uint32 {
+	var combined uint32
 	for _, n := range s.latency {
-		any |= n
+		combined |= n
 	}
-	if any == 0 {
+	if combined == 0 {
 		return nil
 	}
 	width := len(r.cfg.Bounds) + 1
@@ -106,9 +107,8 @@
 	return out
 }
 
-// Quantile returns the latency below which the share q of the counts lies, worked
-// out evenly within a bound; zero where there are no counts. What is above the last
-// bound is given as that bound.
+// Quantile returns the q-quantile of the latencies, with linear interpolation between bounds,
+// or zero if there are no counts. For a latency above the last bound it returns that bound.
 func Quantile(bounds []time.Duration, counts []uint64, q float64) time.Duration {
 	var total uint64
 	for _, n := range counts {
@@ -121,15 +121,15 @@
 	var below float64
 	for i, n := range counts {
 		if n > 0 && below+float64(n) >= rank {
-			return within(bounds, i, (rank-below)/float64(n))
+			return interpolate(bounds, i, (rank-below)/float64(n))
 		}
 		below += float64(n)
 	}
 	return bounds[len(bounds)-1]
 }
 
-// within is the point at the share of the way through the bound with the index.
-func within(bounds []time.Duration, i int, share float64) time.Duration {
+// interpolate returns the point at the given share of the interval that ends at bounds[i].
+func interpolate(bounds []time.Duration, i int, share float64) time.Duration {
 	if i >= len(bounds) {
 		return bounds[len(bounds)-1]
 	}
--- a/core/rendezvous/rendezvous.go
+++ b/core/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous chooses members for a duty by highest random weight, so
-// that all who hold the same list choose alike and the loss of one moves only
-// what it held. It does no I/O.
+// Package rendezvous assigns duties to members by rendezvous hashing (highest random weight).
+// All processes with the same list of members choose the same ones, and the loss of a member
+// moves only that member's duties. The package does no I/O.
 package rendezvous
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Weight returns the weight of name for the duty.
+// Weight returns the weight of the member with the name for the duty.
 func Weight(duty, name string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -21,14 +21,14 @@
 	return d.Sum64()
 }
 
-// Top returns the k names with the highest weights for the duty, heaviest
-// first, or all names in that order if there are fewer.
+// Top returns the k names with the highest weights for the duty, highest first, or all names
+// in that order if there are fewer than k.
 func Top(duty string, k int, names []string) []string {
 	ranked := Order(duty, names)
 	return ranked[:min(k, len(ranked))]
 }
 
-// Order returns all names by falling weight for the duty.
+// Order returns all names in order of descending weight for the duty.
 func Order(duty string, names []string) []string {
 	type ranked struct {
 		name   string
--- a/core/rendezvous/rendezvous_test.go
+++ b/core/rendezvous/rendezvous_test.go
@@ -25,18 +25,18 @@
 	assert.Equal(t, len(Top("watch", 3, all[:2])), 2)
 }
 
-func TestLossMovesOnlyWhatTheLostOneHeld(t *testing.T) {
+func TestLossMovesOnlyTheDutiesOfTheLostMember(t *testing.T) {
 	all := names(50)
 	for d := range 200 {
 		duty := fmt.Sprint("duty-", d)
 		before := Top(duty, 2, all)
-		rest := make([]string, 0, 49)
+		remaining := make([]string, 0, 49)
 		for _, n := range all {
 			if n != before[0] {
-				rest = append(rest, n)
+				remaining = append(remaining, n)
 			}
 		}
-		assert.Equal(t, Top(duty, 1, rest)[0], before[1], duty)
+		assert.Equal(t, Top(duty, 1, remaining)[0], before[1], duty)
 	}
 }
 
--- a/core/schedule/schedule_test.go
+++ b/core/schedule/schedule_test.go
@@ -9,7 +9,7 @@
 
 const every = 100 * time.Millisecond
 
-func TestDueKeepsTheBeatWhenCalledLate(t *testing.T) {
+func TestDueKeepsItsPhaseWhenCalledLate(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := start
 	assert.Assert(t, Due(&at, start, every))
@@ -18,10 +18,9 @@
 	assert.Assert(t, at.Equal(start.Add(2*every)))
 }
 
-// Symptom: a VM that was suspended floods the others when it goes on.
-// Sequence: a duty is due every 100 ms, and nothing runs for ten seconds.
-// Cause: each interval that was missed is made up for.
-func TestDueMakesUpForNothing(t *testing.T) {
+// TestDueSkipsMissedIntervals guards against a burst of messages from a VM that resumes after
+// it was suspended. The burst would come from a task that runs once for each missed interval.
+func TestDueSkipsMissedIntervals(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := start
 	later := start.Add(100 * every)
