--- a/eventlog/event.go
+++ b/eventlog/event.go
@@ -1,6 +1,6 @@
-// Package eventlog keeps what the router did and why: a bounded ring of events,
-// each also logged as one key=value line, and a bounded ring of requests that
-// were refused or failed, found by their id. Both live in memory only.
+// Package eventlog records what the router did and why. It keeps a bounded ring of events, each
+// of which is also logged as one key=value line, and a bounded ring of refused and failed
+// requests, which are found by their id. Both are kept in memory only.
 package eventlog
 
 import (
@@ -13,8 +13,7 @@
 // Kind names one kind of event.
 type Kind string
 
-// The kinds of events. A package that needs another adds it here, so that
-// operators find all of them in one place.
+// The kinds of events. All kinds are declared here, so that operators find them in one place.
 const (
 	RouterReady       Kind = "router_ready"
 	RouterNotReady    Kind = "router_not_ready"
@@ -66,7 +65,7 @@
 	RouterRelieved    Kind = "router_relieved"
 )
 
-// Field is one further fact of an event.
+// Field is an additional key and value of an event.
 type Field struct {
 	Key   string `json:"key"`
 	Value string `json:"value"`
@@ -75,15 +74,16 @@
 // F returns a field.
 func F(key, value string) Field { return Field{Key: key, Value: value} }
 
-// Event is one thing that the router did or noticed. Empty members are left out
-// of logs and answers.
+// Event is one action or observation of the router. Empty fields are omitted from logs and
+// answers.
 type Event struct {
-	// Seq grows by one with each event of this process. It is set by Record.
+	// Seq is the sequence number, which increases by one with each event of this process. It is
+	// set by Record.
 	Seq uint64 `json:"seq"`
-	// Time is set by Record where it is zero.
+	// Time is set by Record if it is zero.
 	Time time.Time `json:"time"`
 	Kind Kind      `json:"kind"`
-	// Cause says why, in words for operators.
+	// Cause is the reason, in plain text for operators.
 	Cause     string  `json:"cause,omitempty"`
 	Service   string  `json:"service,omitempty"`
 	Unit      string  `json:"unit,omitempty"`
@@ -95,33 +95,33 @@
 }
 
 const (
-	// maxText bounds each text of an event in bytes, maxFields the number of its fields
-	// and maxKey their keys in bytes: with texts at their limits, the default ring
-	// takes about 9 MB.
+	// maxText limits each text of an event in bytes, maxFields the number of its fields, and
+	// maxKey the length of a field's key in bytes. With all texts at their limits the default
+	// ring takes about 9 MB.
 	maxText   = 256
 	maxFields = 8
 	maxKey    = 32
-	// redacted replaces the value of a field that may be a secret.
+	// redacted replaces the value of a field that may contain a secret.
 	redacted = "REDACTED"
 )
 
-// secretNames are parts of field names whose values are never kept. A fencing
-// token is no secret: its field is named token.
+// secretNames are parts of field names whose values are never stored. The list has no "token",
+// because the field named token holds a fencing token, which is not secret.
 var secretNames = []string{"authorization", "cookie", "password", "secret", "credential", "private_key", "api_key", "bearer"}
 
-// bounded returns the event with its texts and fields cut to their limits and
-// without secrets. It shares no memory with the caller's fields.
+// bounded returns the event with its texts and fields truncated to their limits and with
+// secrets redacted. It shares no memory with the caller's fields.
 func (e Event) bounded() Event {
 	for _, text := range []*string{&e.Cause, &e.Service, &e.Unit, &e.Target, &e.Router, &e.Caller, &e.RequestID} {
-		*text = cut(*text, maxText)
+		*text = truncate(*text, maxText)
 	}
 	if len(e.Fields) == 0 {
 		return e
 	}
 	fields := make([]Field, min(len(e.Fields), maxFields))
 	for i := range fields {
-		fields[i] = Field{Key: cut(e.Fields[i].Key, maxKey), Value: cut(e.Fields[i].Value, maxText)}
-		if secret(fields[i].Key) {
+		fields[i] = Field{Key: truncate(e.Fields[i].Key, maxKey), Value: truncate(e.Fields[i].Value, maxText)}
+		if isSecret(fields[i].Key) {
 			fields[i].Value = redacted
 		}
 	}
@@ -129,8 +129,8 @@
 	return e
 }
 
-// cut shortens the text to limit bytes without splitting a character.
-func cut(text string, limit int) string {
+// truncate shortens the text to at most limit bytes without splitting a character.
+func truncate(text string, limit int) string {
 	if len(text) <= limit {
 		return text
 	}
@@ -141,7 +141,8 @@
 	return strings.Clone(text[:end])
 }
 
-func secret(key string) bool {
+// isSecret reports whether the value of the field with the key may contain a secret.
+func isSecret(key string) bool {
 	key = strings.ReplaceAll(strings.ToLower(key), "-", "_")
 	for _, name := range secretNames {
 		if strings.Contains(key, name) {
--- a/eventlog/journal.go
+++ b/eventlog/journal.go
@@ -9,14 +9,14 @@
 
 // Config holds the settings of a journal.
 type Config struct {
-	// Capacity is the number of events kept. Default 2048.
+	// Capacity is the maximum number of events kept. Default 2048.
 	Capacity int
-	// Requests is the number of refused and failed requests kept. Default 2048.
+	// Requests is the maximum number of refused and failed requests kept. Default 2048.
 	Requests int
-	// RequestLines bounds the log lines about refused and failed requests a second.
-	// Default 20; negative means none.
+	// RequestLines is the maximum number of log lines per second about refused and failed
+	// requests. Default 20; negative means none.
 	RequestLines int
-	// Logger receives one line for each event. Default: none is written.
+	// Logger receives one line for each event. Default: nothing is logged.
 	Logger *slog.Logger
 	// Now is the clock. Default time.Now.
 	Now func() time.Time
@@ -28,8 +28,8 @@
 	defaultRequestLines = 20
 )
 
-// Journal keeps the last events. It is safe for concurrent use. A nil Journal
-// drops everything.
+// Journal keeps the latest events and the latest refused and failed requests. It is safe for
+// concurrent use. A nil Journal discards everything.
 type Journal struct {
 	cfg      Config
 	requests requests
@@ -38,8 +38,9 @@
 	ring []Event
 	// next is the sequence number of the next event; the first is 1.
 	next uint64
-	// added is closed and replaced with each event that somebody waits for.
-	added   chan struct{}
+	// added is closed and replaced when an event is added while waiting is set.
+	added chan struct{}
+	// waiting is set while Follow waits for an event.
 	waiting bool
 }
 
@@ -69,7 +70,7 @@
 	}
 }
 
-// Record keeps the event, logs it and returns its sequence number.
+// Record stores the event, logs it and returns its sequence number.
 func (j *Journal) Record(e Event) uint64 {
 	if j == nil {
 		return 0
@@ -79,8 +80,8 @@
 		e.Time = j.cfg.Now()
 	}
 	j.keep(&e)
-	// The line is written without the lock: an output that stalls holds up who records
-	// but not who reads.
+	// The line is written without the lock, so that a log output that blocks delays only
+	// Record, and not the readers of the journal.
 	j.cfg.Logger.LogAttrs(context.Background(), slog.LevelInfo, "event", e.attrs()...)
 	return e.Seq
 }
@@ -102,10 +103,10 @@
 	}
 }
 
-// index returns the place of the event in the ring.
+// index returns the index in the ring of the event with the sequence number.
 func (j *Journal) index(seq uint64) int { return int((seq - 1) % uint64(j.cfg.Capacity)) }
 
-// Filter selects events; empty members match everything.
+// Filter selects events; empty fields match everything.
 type Filter struct {
 	Kinds   []Kind
 	Service string
@@ -113,9 +114,9 @@
 	Target  string
 	Router  string
 	Caller  string
-	// After keeps events at or after the time.
+	// After selects events at or after this time.
 	After time.Time
-	// Limit bounds the number of events; zero means all that are kept.
+	// Limit is the maximum number of events; zero means no limit.
 	Limit int
 }
 
@@ -141,17 +142,18 @@
 	return false
 }
 
-// Page is a part of the journal.
+// Page is a sequence of events from the journal.
 type Page struct {
 	Events []Event `json:"events"`
-	// Next is the sequence number to ask since for what follows.
+	// Next is the sequence number to pass as since for the following page.
 	Next uint64 `json:"next"`
-	// Missed is the number of events after since that the ring no longer holds,
-	// whether they would have matched or not.
+	// Missed is the number of events after since that the ring no longer holds, whether they
+	// matched the filter or not.
 	Missed uint64 `json:"missed,omitempty"`
 }
 
-// Events returns the events after sequence number since that match, oldest first.
+// Events returns the events after the sequence number since that match the filter, oldest
+// first.
 func (j *Journal) Events(since uint64, filter Filter) Page {
 	if j == nil {
 		return Page{Next: since}
@@ -163,7 +165,8 @@
 
 func (j *Journal) pageLocked(since uint64, filter *Filter) Page {
 	last := j.next - 1
-	// A number above the last comes from an earlier life of the process: start anew.
+	// A number above the last one is from an earlier instance of the process: start with the
+	// oldest event.
 	if since > last {
 		since = 0
 	}
@@ -188,15 +191,15 @@
 	return page
 }
 
-// Follow is Events that waits until an event matches or ctx ends. Where ctx
-// ends it returns an empty page to go on from and the context's error.
+// Follow is like Events, but waits until an event matches or ctx ends. If ctx ends, it returns
+// the context's error and a page without events whose Next is valid.
 func (j *Journal) Follow(ctx context.Context, since uint64, filter Filter) (Page, error) {
 	if j == nil {
 		<-ctx.Done()
 		return Page{Next: since}, ctx.Err()
 	}
 	for {
-		page, added := j.look(since, &filter)
+		page, added := j.pageOrWait(since, &filter)
 		if added == nil {
 			return page, nil
 		}
@@ -209,9 +212,9 @@
 	}
 }
 
-// look returns the page and, where it is empty, the channel that is closed at
-// the next event.
-func (j *Journal) look(since uint64, filter *Filter) (Page, <-chan struct{}) {
+// pageOrWait returns the page and, if it is empty, the channel that is closed at the next
+// event; otherwise the channel is nil.
+func (j *Journal) pageOrWait(since uint64, filter *Filter) (Page, <-chan struct{}) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	page := j.pageLocked(since, filter)
--- a/eventlog/journal_test.go
+++ b/eventlog/journal_test.go
@@ -18,9 +18,9 @@
 
 var start = time.Unix(1_000_000, 0).UTC()
 
-func fixed() time.Time { return start }
+func fixedClock() time.Time { return start }
 
-// record adds n events of the kind with ascending units.
+// record adds n events of the kind, with the units s/0, s/1 and so on.
 func record(j *Journal, kind Kind, n int) {
 	for i := range n {
 		j.Record(Event{Kind: kind, Service: "s", Unit: fmt.Sprintf("s/%d", i)})
@@ -29,7 +29,7 @@
 
 func TestEventIsKeptAndLoggedAsOneLine(t *testing.T) {
 	var output bytes.Buffer
-	j := New(Config{Now: fixed, Logger: slog.New(slog.NewTextHandler(&output, nil))})
+	j := New(Config{Now: fixedClock, Logger: slog.New(slog.NewTextHandler(&output, nil))})
 	seq := j.Record(Event{
 		Kind: OwnerChanged, Cause: "target lost\nlease lapsed", Service: "ledger", Unit: "ledger/7", Target: "t2",
 		Fields: []Field{F("token", "9"), F("Proxy-Authorization", "Basic xyz")},
@@ -60,7 +60,7 @@
 	assert.Equal(t, e.Fields[0].Key, strings.Repeat("k", maxKey))
 }
 
-func TestRingKeepsTheLastEventsAndSaysWhatIsMissed(t *testing.T) {
+func TestRingKeepsTheLastEventsAndCountsMissedOnes(t *testing.T) {
 	const capacity = 10
 	j := New(Config{Capacity: capacity})
 	record(j, OwnerChanged, 25)
@@ -97,10 +97,10 @@
 	assert.Equal(t, page.Next, uint64(4))
 }
 
-// Symptom: `events --follow` shows nothing after a router restarted.
-// Sequence: the follower asks for what comes after a number of the earlier life.
-// Cause: waiting for a number that the new life reaches much later.
-func TestNumberOfAnEarlierLifeStartsAnew(t *testing.T) {
+// TestSequenceNumberOfAnEarlierInstanceReadsFromTheOldest guards against `events --follow`
+// showing nothing after a restart of the router: the client asks for events after a sequence
+// number of the earlier instance, which the new instance reaches much later.
+func TestSequenceNumberOfAnEarlierInstanceReadsFromTheOldest(t *testing.T) {
 	j := New(Config{})
 	record(j, OwnerChanged, 2)
 	page := j.Events(5000, Filter{})
@@ -114,10 +114,10 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var seen []uint64
-	var follower sync.WaitGroup
-	follower.Add(1)
+	var reader sync.WaitGroup
+	reader.Add(1)
 	go func() {
-		defer follower.Done()
+		defer reader.Done()
 		since := uint64(0)
 		for len(seen) < events {
 			page, err := j.Follow(ctx, since, Filter{Kinds: []Kind{OwnerChanged}})
@@ -134,7 +134,7 @@
 		j.Record(Event{Kind: ConfigApplied})
 		j.Record(Event{Kind: OwnerChanged})
 	}
-	follower.Wait()
+	reader.Wait()
 	assert.Equal(t, len(seen), events)
 	for i, seq := range seen {
 		assert.Equal(t, seq, uint64(2*i+2))
@@ -161,7 +161,7 @@
 func BenchmarkRecord(b *testing.B) {
 	loggers := map[string]*slog.Logger{
 		"kept":   nil,
-		"logged": slog.New(slog.NewTextHandler(discard{}, nil)),
+		"logged": slog.New(slog.NewTextHandler(discardWriter{}, nil)),
 	}
 	for _, name := range []string{"kept", "logged"} {
 		b.Run(name, func(b *testing.B) {
@@ -178,7 +178,8 @@
 	}
 }
 
-// discard is an output that slog does not know to be one.
-type discard struct{}
+// discardWriter discards its input in a way that slog can't detect, so that the benchmark
+// includes the formatting of the lines.
+type discardWriter struct{}
 
-func (discard) Write(p []byte) (int, error) { return len(p), nil }
+func (discardWriter) Write(p []byte) (int, error) { return len(p), nil }
--- a/eventlog/request.go
+++ b/eventlog/request.go
@@ -7,92 +7,96 @@
 	"time"
 )
 
-// Request is what is known about a request that was refused or failed. It holds
-// neither the key nor anything of the request's body or headers.
+// Request describes a request that was refused or failed. It holds neither the key nor any
+// part of the request's body or headers.
 type Request struct {
 	ID string `json:"id"`
-	// Time is set by Refused where it is zero.
+	// Time is set by Refused if it is zero.
 	Time    time.Time `json:"time"`
 	Service string    `json:"service"`
 	Caller  string    `json:"caller,omitempty"`
 	Class   string    `json:"class,omitempty"`
 	Unit    string    `json:"unit,omitempty"`
 	Target  string    `json:"target,omitempty"`
-	// Router is the router that decided.
+	// Router is the router that refused the request or observed its failure.
 	Router string `json:"router,omitempty"`
-	// Code and Ran are those of the fault.
+	// Code and Ran are the fault's code and whether the request was run.
 	Code string `json:"code"`
 	Ran  string `json:"ran"`
 	// Cause is the fault's detail.
 	Cause string `json:"cause,omitempty"`
-	// Attempts is how many were made, and Trail the first ones and the last one.
+	// Attempts is the number of attempts; Trail holds the first ones and the last one.
 	Attempts int       `json:"attempts,omitempty"`
 	Trail    []Attempt `json:"trail,omitempty"`
-	// Elapsed is the time from arrival to answer.
+	// Elapsed is the time from the request's arrival to its answer.
 	Elapsed time.Duration `json:"elapsed_ns"`
-	// Revision is the configuration's revision at the time.
+	// Revision is the revision of the configuration that was in force.
 	Revision uint64 `json:"revision,omitempty"`
 }
 
-// Attempt is one attempt of a request; it failed.
+// Attempt is one failed attempt of a request.
 type Attempt struct {
 	// Number counts from one.
 	Number int `json:"number"`
-	// After is the time from the first attempt to this one, and Took how long it lasted.
+	// After is the time from the start of the first attempt to the start of this one; Took is
+	// the duration of this one.
 	After time.Duration `json:"after_ns"`
 	Took  time.Duration `json:"took_ns"`
-	// Unit, Target and Router, the target's grantor, are where it was to go, as far as
-	// that was settled.
+	// Unit, Target and Router say where the attempt was directed, as far as that was decided;
+	// Router is the target's grantor.
 	Unit   string `json:"unit,omitempty"`
 	Target string `json:"target,omitempty"`
 	Router string `json:"router,omitempty"`
-	// Code, Ran and Cause are those of the fault that it ended with.
+	// Code, Ran and Cause describe the fault that the attempt ended with.
 	Code  string `json:"code"`
 	Ran   string `json:"ran"`
 	Cause string `json:"cause,omitempty"`
 }
 
-// maxTrail bounds the attempts that are kept of one request, and maxCause each text of
-// them in bytes: with all at their limits, the default ring takes about 9 MB of them.
+// maxAttempts limits the number of attempts that are kept of one request, and maxAttemptText
+// each text of an attempt in bytes. With all at their limits the attempts of the default ring
+// take about 9 MB.
 const (
-	maxTrail = 6
-	maxCause = 96
+	maxAttempts    = 6
+	maxAttemptText = 96
 )
 
-// boundedTrail shares no memory with the caller's.
-func boundedTrail(trail []Attempt) []Attempt {
+// boundedAttempts returns the first maxAttempts attempts with their texts truncated. It shares
+// no memory with trail.
+func boundedAttempts(trail []Attempt) []Attempt {
 	if len(trail) == 0 {
 		return nil
 	}
-	out := append([]Attempt(nil), trail[:min(len(trail), maxTrail)]...)
+	out := append([]Attempt(nil), trail[:min(len(trail), maxAttempts)]...)
 	for i := range out {
 		a := &out[i]
 		for _, text := range []*string{&a.Unit, &a.Target, &a.Router, &a.Code, &a.Ran, &a.Cause} {
-			*text = cut(*text, maxCause)
+			*text = truncate(*text, maxAttemptText)
 		}
 	}
 	return out
 }
 
-// bound cuts the texts and the trail to their limits.
+// bound truncates the texts and the trail to their limits.
 func (r *Request) bound() {
-	r.Trail = boundedTrail(r.Trail)
+	r.Trail = boundedAttempts(r.Trail)
 	for _, text := range []*string{&r.ID, &r.Service, &r.Caller, &r.Class, &r.Unit, &r.Target, &r.Router, &r.Code, &r.Ran, &r.Cause} {
-		*text = cut(*text, maxText)
+		*text = truncate(*text, maxText)
 	}
 }
 
-// requests is a ring of requests. It has no index: who asks for one looks through all,
-// which takes microseconds, while an index took two thirds of the time that the record
-// of a refusal costs under overload.
+// requests is a ring of requests. It has no index by id: a search of the whole ring takes
+// microseconds, while an index took two thirds of the time for recording a refusal under
+// overload.
 type requests struct {
 	mu   sync.Mutex
 	ring []Request
-	// next is the place of the next request; count is how many there are.
+	// next is the index of the next request in ring; count is the number of requests.
 	next  int
 	count int
 
-	// second, lines and suppressed bound the log lines.
+	// second is the second, in Unix time, in which lines log lines were written; suppressed
+	// is the number of lines left out since the last one that was written.
 	second     int64
 	lines      int
 	suppressed int
@@ -102,10 +106,10 @@
 	return requests{ring: make([]Request, capacity)}
 }
 
-// Refused keeps a request that was refused or failed. Its log lines are bounded
-// to Config.RequestLines a second: under overload refusals come by the ten
-// thousand, and a line for each would add to the load. The next line that is
-// written says how many were left out.
+// Refused stores and logs a request that was refused or failed. At most Config.RequestLines
+// lines are logged per second: under overload there are tens of thousands of refusals, and
+// logging each would add to the load. The next line that is written has the number of
+// suppressed lines.
 func (j *Journal) Refused(r Request) {
 	if j == nil {
 		return
@@ -120,8 +124,8 @@
 	}
 }
 
-// keep stores the request and says whether to log it, and how many went unlogged
-// before it.
+// keep stores the request. It returns whether to log the request, and how many lines were
+// suppressed before it.
 func (q *requests) keep(r *Request, linesPerSecond int) (line bool, suppressed int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -131,6 +135,8 @@
 	return q.admitLine(r.Time.Unix(), linesPerSecond)
 }
 
+// admitLine decides whether a line may be logged in the second, and returns the number of
+// lines suppressed before it.
 func (q *requests) admitLine(second int64, linesPerSecond int) (line bool, suppressed int) {
 	if second != q.second {
 		q.second, q.lines = second, 0
@@ -162,7 +168,7 @@
 	j.cfg.Logger.LogAttrs(context.Background(), slog.LevelInfo, "request", attrs...)
 }
 
-// Request returns the refused or failed request with the id, if it is still kept.
+// Request returns the latest refused or failed request with the id, if it is still kept.
 func (j *Journal) Request(id string) (Request, bool) {
 	if j == nil {
 		return Request{}, false
@@ -183,7 +189,7 @@
 	return &q.ring[(q.next-n+len(q.ring))%len(q.ring)]
 }
 
-// Requests returns the last refused or failed requests, newest first, at most limit.
+// Requests returns the latest refused or failed requests, newest first, at most limit of them.
 func (j *Journal) Requests(limit int) []Request {
 	if j == nil {
 		return nil
--- a/eventlog/request_test.go
+++ b/eventlog/request_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestRefusedRequestIsFoundByID(t *testing.T) {
-	j := New(Config{Now: fixed})
+	j := New(Config{Now: fixedClock})
 	j.Refused(Request{ID: "a", Service: "ledger", Code: "queue_full", Ran: "not-run"})
 	r, ok := j.Request("a")
 	assert.Assert(t, ok)
@@ -38,9 +38,9 @@
 	assert.Equal(t, len(j.Requests(-1)), 0)
 }
 
-// Symptom: a request's explanation is gone or is that of another.
-// Sequence: a caller uses one id for several requests, the ring wraps around.
-// Cause: forgetting an id when an older request with the same id leaves the ring.
+// TestRepeatedIDFindsTheLatest guards against a lookup that finds no request, or an older one,
+// if a caller uses one id for several requests. It would come about if the id were removed when
+// an older request with the same id leaves the ring.
 func TestRepeatedIDFindsTheLatest(t *testing.T) {
 	j := New(Config{Requests: 3})
 	for _, r := range []Request{{ID: "a", Code: "old"}, {ID: "b"}, {ID: "a", Code: "new"}, {ID: "c"}} {
@@ -55,10 +55,9 @@
 	assert.Assert(t, !ok)
 }
 
-// Symptom: a router under overload spends its time on log lines.
-// Sequence: thousands of refusals a second, a line for each.
-// Cause: logging without a bound.
-func TestLinesAboutRequestsAreBounded(t *testing.T) {
+// TestRequestLogLinesAreRateLimited guards against a router that spends its time under overload
+// on logging, with a line for each of thousands of refusals per second.
+func TestRequestLogLinesAreRateLimited(t *testing.T) {
 	var output bytes.Buffer
 	now := start
 	j := New(Config{
