--- a/keys/authority.go
+++ b/keys/authority.go
@@ -15,37 +15,41 @@
 	"github.com/pkg/errors"
 )
 
-// Authority issues certificates for development and tests. A fleet that lasts uses
-// its firm's own authority.
+// Authority issues certificates for development and tests. Production systems use their
+// organisation's own certificate authority.
 type Authority struct {
 	cert *x509.Certificate
 	key  crypto.Signer
 }
 
-// serialBits is the length of a random serial number, below the 20 bytes of RFC 5280.
+// serialBits is the length in bits of a random serial number, below the limit of 20 bytes in
+// RFC 5280.
 const serialBits = 127
 
-// startsBefore lets VMs whose clocks are behind take a new certificate.
-const startsBefore = 5 * time.Minute
+// notBeforeMargin is how long before it is issued a certificate becomes valid, so that VMs
+// whose clocks are behind accept it.
+const notBeforeMargin = 5 * time.Minute
 
-// Pair is a certificate and its key in PEM.
+// Pair is a certificate and its private key in PEM.
 type Pair struct {
 	Cert []byte
 	Key  []byte
 }
 
-// Subject is whom a certificate is for.
+// Subject describes the holder of a certificate to be issued.
 type Subject struct {
-	// Name is the common name; it is a DNS name of the certificate too where DNS says so.
+	// Name is the common name.
 	Name string
+	// DNS adds Name to the certificate's DNS names.
 	DNS  bool
 	Role Role
-	// Hosts are further DNS names and IP numbers.
+	// Hosts are further DNS names and IP addresses.
 	Hosts []string
 	Use   Use
 }
 
-// NewAuthority makes an authority that is valid from now for the time.
+// NewAuthority generates an authority whose certificate expires at the duration valid after
+// now.
 func NewAuthority(name string, now time.Time, valid time.Duration) (*Authority, *Pair, error) {
 	template, err := newTemplate(pkix.Name{CommonName: name}, now, valid)
 	if err != nil {
@@ -69,7 +73,7 @@
 	return &Authority{certs[0], key}, pair, nil
 }
 
-// Issue makes a certificate and its key.
+// Issue generates a private key and issues a certificate for it.
 func (a *Authority) Issue(s Subject, now time.Time, valid time.Duration) (*Pair, error) {
 	subject := pkix.Name{CommonName: s.Name}
 	if s.Role != RoleNone {
@@ -100,16 +104,16 @@
 
 func newKey() (*ecdsa.PrivateKey, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-	return key, errors.Wrap(err, "make a key")
+	return key, errors.Wrap(err, "generate a private key")
 }
 
 func newTemplate(subject pkix.Name, now time.Time, valid time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, errors.Wrap(err, "make a serial number")
+		return nil, errors.Wrap(err, "generate a serial number")
 	}
 	return &x509.Certificate{
-		SerialNumber: serial, Subject: subject, NotBefore: now.Add(-startsBefore), NotAfter: now.Add(valid),
+		SerialNumber: serial, Subject: subject, NotBefore: now.Add(-notBeforeMargin), NotAfter: now.Add(valid),
 	}, nil
 }
 
@@ -120,7 +124,7 @@
 	}
 	raw, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return nil, errors.Wrap(err, "encode a key")
+		return nil, errors.Wrap(err, "encode a private key")
 	}
 	return &Pair{
 		Cert: pem.EncodeToMemory(&pem.Block{Type: blockCertificate, Bytes: der}),
--- a/keys/development.go
+++ b/keys/development.go
@@ -9,18 +9,18 @@
 	"github.com/pkg/errors"
 )
 
-// Names of the authorities that Initialise makes; each signs for one side only, so
-// that a certificate of one is worth nothing on another.
+// Names of the authorities that Initialise creates. Each kind of connection has an authority of
+// its own, so that a certificate for one kind is not accepted on another.
 const (
 	AuthorityRouters   = "routers-ca"
 	AuthorityOperators = "operators-ca"
 	AuthorityCallers   = "callers-ca"
 	AuthorityTargets   = "targets-ca"
-	// CallerCertificate is the name of the callers' listeners' certificate.
+	// CallerCertificate is the name of the certificate of the listeners for callers.
 	CallerCertificate = "callers"
 )
 
-// Suffixes of the files; both hold PEM.
+// Suffixes of the files, which are in PEM.
 const (
 	certSuffix = ".crt"
 	keySuffix  = ".key"
@@ -32,21 +32,23 @@
 	keyMode    = 0o600
 )
 
-// localHosts are what development certificates of listeners are valid for besides.
+// localHosts are hosts that development certificates of listeners are always valid for.
 var localHosts = []string{"localhost", "127.0.0.1", "::1"}
 
-// Plan says what Initialise makes.
+// Plan says which files Initialise creates.
 type Plan struct {
-	// Folder receives the files.
+	// Folder is where the files are written.
 	Folder string
-	// Routers and Targets get a certificate each, for their name.
+	// Routers and Targets are the names of which each gets a certificate.
 	Routers []string
 	Targets []string
-	// Callers get one each, to show to the callers' listeners.
+	// Callers are the names of which each gets a client certificate for the listeners for
+	// callers.
 	Callers []string
-	// Hosts are further names and IP numbers of the routers' and callers' listeners.
+	// Hosts are further DNS names and IP addresses of the routers and of the listeners for
+	// callers.
 	Hosts []string
-	// Valid is how long the certificates are valid from Now.
+	// Valid is how long the certificates are valid, from Now on.
 	Valid time.Duration
 	Now   time.Time
 }
@@ -54,27 +56,27 @@
 // CertFile returns the path of a name's certificate in the folder.
 func CertFile(folder, name string) string { return filepath.Join(folder, name+certSuffix) }
 
-// KeyFile returns the path of a name's key in the folder.
+// KeyFile returns the path of a name's private key in the folder.
 func KeyFile(folder, name string) string { return filepath.Join(folder, name+keySuffix) }
 
-// Initialise makes the authorities and certificates of a development fleet and
-// returns the files. It overwrites nothing: where any of the files is there, it makes
-// none, and the error is of type *Error.
+// Initialise creates the authorities and certificates of a development system and returns the
+// paths of the files. It overwrites nothing: if any of the files exists, it writes none and
+// returns an error of type *Error.
 func Initialise(p Plan) ([]string, error) {
-	pairs, err := p.issue()
+	pairs, err := p.issueAll()
 	if err != nil {
 		return nil, err
 	}
 	if err := os.MkdirAll(p.Folder, folderMode); err != nil {
-		return nil, errors.Wrap(err, "make the folder")
+		return nil, errors.Wrap(err, "create the folder")
 	}
-	var files []writtenFile
-	for _, one := range pairs {
-		files = append(files, one.files(p.Folder)...)
+	var files []outputFile
+	for _, pair := range pairs {
+		files = append(files, pair.files(p.Folder)...)
 	}
 	for _, file := range files {
 		if _, err := os.Lstat(file.name); !errors.Is(err, os.ErrNotExist) {
-			return nil, &Error{file.name, "it is there already; nothing was written", "name another folder, or remove the old files"}
+			return nil, &Error{file.name, "the file already exists; nothing was written", "name another folder, or remove the old files"}
 		}
 	}
 	var names []string
@@ -87,48 +89,50 @@
 	return names, nil
 }
 
-type namedPair struct {
+// issuedPair is a certificate and its private key, to be written under a name.
+type issuedPair struct {
 	name string
 	pair *Pair
-	// list is an authority's empty revocation list; nil for others.
+	// list is the empty revocation list if the pair is an authority's; otherwise nil.
 	list []byte
 }
 
-// files are what is written of the pair, with its content.
-func (n *namedPair) files(folder string) []writtenFile {
-	files := []writtenFile{
+// files returns the files of the pair with their content.
+func (n *issuedPair) files(folder string) []outputFile {
+	files := []outputFile{
 		{CertFile(folder, n.name), n.pair.Cert, certMode},
 		{KeyFile(folder, n.name), n.pair.Key, keyMode},
 	}
 	if n.list != nil {
-		files = append(files, writtenFile{ListFile(folder, n.name), n.list, certMode})
+		files = append(files, outputFile{ListFile(folder, n.name), n.list, certMode})
 	}
 	return files
 }
 
-type writtenFile struct {
+// outputFile is a file to be written.
+type outputFile struct {
 	name string
 	data []byte
 	mode os.FileMode
 }
 
-// batch is what one authority issues.
-type batch struct {
+// issueBatch lists the certificates that one authority issues.
+type issueBatch struct {
 	authority string
 	subjects  []Subject
-	// files are the names of the subjects' files.
+	// files are the names of the subjects' files without suffix, in the order of subjects.
 	files []string
 }
 
-func (b *batch) add(file string, s Subject) {
+func (b *issueBatch) add(file string, s Subject) {
 	b.files = append(b.files, file)
 	b.subjects = append(b.subjects, s)
 }
 
-func (p *Plan) batches() []*batch {
+func (p *Plan) batches() []*issueBatch {
 	hosts := append(append([]string(nil), localHosts...), p.Hosts...)
-	routers, operators := &batch{authority: AuthorityRouters}, &batch{authority: AuthorityOperators}
-	callers, targets := &batch{authority: AuthorityCallers}, &batch{authority: AuthorityTargets}
+	routers, operators := &issueBatch{authority: AuthorityRouters}, &issueBatch{authority: AuthorityOperators}
+	callers, targets := &issueBatch{authority: AuthorityCallers}, &issueBatch{authority: AuthorityTargets}
 	for _, name := range p.Routers {
 		routers.add(name, Subject{Name: name, DNS: true, Role: RoleRouter, Hosts: hosts, Use: Both})
 	}
@@ -142,11 +146,11 @@
 	for _, name := range p.Targets {
 		targets.add(name, Subject{Name: name, DNS: true, Use: Server})
 	}
-	return []*batch{routers, operators, callers, targets}
+	return []*issueBatch{routers, operators, callers, targets}
 }
 
-func (p *Plan) issue() ([]namedPair, error) {
-	var pairs []namedPair
+func (p *Plan) issueAll() ([]issuedPair, error) {
+	var pairs []issuedPair
 	seen := make(map[string]bool)
 	for _, b := range p.batches() {
 		a, pair, err := NewAuthority(b.authority, p.Now, p.Valid)
@@ -157,25 +161,25 @@
 		if err != nil {
 			return nil, err
 		}
-		pairs = append(pairs, namedPair{b.authority, pair, list})
+		pairs = append(pairs, issuedPair{b.authority, pair, list})
 		for i, subject := range b.subjects {
 			pair, err := a.Issue(subject, p.Now, p.Valid)
 			if err != nil {
 				return nil, errors.Wrap(err, b.files[i])
 			}
-			pairs = append(pairs, namedPair{b.files[i], pair, nil})
+			pairs = append(pairs, issuedPair{b.files[i], pair, nil})
 		}
 	}
-	for _, one := range pairs {
-		if seen[one.name] {
-			return nil, errors.Errorf("two certificates would be named %q; give the router or target another name", one.name)
+	for _, pair := range pairs {
+		if seen[pair.name] {
+			return nil, errors.Errorf("two certificates would be named %q; give the router or target another name", pair.name)
 		}
-		seen[one.name] = true
+		seen[pair.name] = true
 	}
 	return pairs, nil
 }
 
-// writeNew fails where the file is there already.
+// writeNew creates the file with the content; it fails if the file exists.
 func writeNew(file string, data []byte, mode os.FileMode) error {
 	f, err := os.OpenFile(file, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if err != nil {
--- a/keys/keys.go
+++ b/keys/keys.go
@@ -1,8 +1,8 @@
-// Package keys loads the certificates, keys and authorities that the settings name,
-// checks them, and reloads them without cutting a connection.
+// Package keys loads the certificates, private keys and authorities that the settings name,
+// checks them, and reloads them without closing connections.
 //
-// A Source is one set of files. Its TLS configurations read what is in force through
-// an atomic pointer at each handshake, so that a reload concerns new connections only.
+// A Source is one set of files. Its TLS configurations read the material in force through an
+// atomic pointer at each handshake, so that a reload affects only new connections.
 package keys
 
 import (
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// Error is one fault of a file.
+// Error is a problem with a file.
 type Error struct {
-	// File is where the fault is, Text what is wrong and Mend what mends it.
 	File string
+	// Text says what is wrong, and Mend how to correct it.
 	Text string
 	Mend string
 }
@@ -23,12 +23,12 @@
 // Error implements error.
 func (e *Error) Error() string { return fmt.Sprintf("%s: %s; %s", e.File, e.Text, e.Mend) }
 
-// Use is what a certificate is shown for.
+// Use is the purpose for which a certificate is presented.
 type Use int
 
 // The uses.
 const (
-	// Server is for listeners, Client for connections that are opened, Both for routers.
+	// Server is for listeners, Client for outgoing connections, and Both for routers.
 	Server Use = iota
 	Client
 	Both
@@ -45,58 +45,58 @@
 	}
 }
 
-// Files names one set of PEM files and what must hold of them.
+// Files names a set of PEM files and the conditions that they must meet.
 type Files struct {
-	// Table is the table of the settings that names them.
+	// Table is the table of the settings that names the files.
 	Table string
-	// Cert and Key are empty where no certificate is shown; CA is empty where nobody's
-	// certificate is checked.
+	// Cert and Key are empty if no certificate is presented to peers; CA is empty if peers'
+	// certificates are not checked.
 	Cert string
 	Key  string
 	CA   string
-	// CRL holds revocation lists of the authorities in CA; empty where there are none.
+	// CRL holds revocation lists of the authorities in CA; empty if there are none.
 	CRL string
-	// Use is what the certificate is shown for.
+	// Use is the purpose of the certificate in Cert.
 	Use Use
 	// Name is a name that the certificate must be valid for; empty allows any.
 	Name string
-	// Role is one that the certificate must carry; empty allows any.
+	// Role is a role that the certificate must carry; empty allows any.
 	Role Role
-	// OwnAuthority says that the certificate must be of the authority in CA.
+	// OwnAuthority requires that an authority in CA issued the certificate.
 	OwnAuthority bool
 }
 
-// Material is what a set of files held when it was loaded, checked and ready for
-// handshakes. It is immutable.
+// Material is the checked content of a set of files, ready for handshakes. It is immutable.
 type Material struct {
 	cert  *tls.Certificate
 	roots *x509.CertPool
-	// authorities are those of roots.
+	// authorities are the certificates in roots.
 	authorities []*x509.Certificate
 	revoked     revocations
-	// ownRevoked says that the certificate that is shown is itself revoked.
+	// ownRevoked is not nil if the certificate in cert is itself revoked.
 	ownRevoked error
-	// ends is the earliest end of all certificates, and endsIn the file that holds it.
-	ends   time.Time
-	endsIn string
+	// expiry is the earliest end of all certificates, and endsIn the file that holds it.
+	expiry     time.Time
+	expiryFile string
 	// server is what GetConfigForClient returns for mutual TLS.
 	server *tls.Config
 	client *tls.Config
 }
 
-// Ends returns when the first of the certificates ends, and the file that holds it.
-func (m *Material) Ends() (time.Time, string) { return m.ends, m.endsIn }
+// Ends returns the earliest expiry of the certificates, and the file with that certificate.
+func (m *Material) Ends() (time.Time, string) { return m.expiry, m.expiryFile }
 
-func (m *Material) endsAt(t time.Time, file string) {
-	if m.endsIn == "" || t.Before(m.ends) {
-		m.ends, m.endsIn = t, file
+func (m *Material) noteExpiry(t time.Time, file string) {
+	if m.expiryFile == "" || t.Before(m.expiry) {
+		m.expiry, m.expiryFile = t, file
 	}
 }
 
 // Load reads and checks the files. The error is of type *Error.
 func Load(f Files, now time.Time) (*Material, error) { return load(f, now, nil) }
 
-// load holds the files against the material before them, which may be nil.
+// load reads and checks the files. Their revocation lists must not be older than those of
+// before, the material in force, which may be nil.
 func load(f Files, now time.Time, before *Material) (*Material, error) {
 	m := &Material{}
 	if f.CA != "" {
@@ -134,11 +134,12 @@
 			latest = c
 		}
 	}
-	// While an authority is replaced the file holds both; the old one may have ended.
+	// While an authority is replaced, the file holds the old and the new one, and the old one
+	// may have expired.
 	if err := checkTime(file, latest, now); err != nil {
 		return err
 	}
-	m.endsAt(latest.NotAfter, file)
+	m.noteExpiry(latest.NotAfter, file)
 	return nil
 }
 
@@ -153,7 +154,7 @@
 	}
 	leaf := certs[0]
 	if !Matches(leaf, key) {
-		return &Error{f.Key, "the key is not that of the certificate in " + f.Cert, "put both files in place together; they are tried again"}
+		return &Error{f.Key, "the key is not that of the certificate in " + f.Cert, "replace both files together; the router retries loading them"}
 	}
 	m.cert = &tls.Certificate{PrivateKey: key, Leaf: leaf}
 	for _, c := range certs {
@@ -161,17 +162,17 @@
 			return err
 		}
 		m.cert.Certificate = append(m.cert.Certificate, c.Raw)
-		m.endsAt(c.NotAfter, f.Cert)
+		m.noteExpiry(c.NotAfter, f.Cert)
 	}
 	return m.checkPurpose(f, certs, now)
 }
 
-// checkPurpose holds the certificate against what it is for. A wrong one would be
-// refused by everybody that it is shown to, which is harder to find than here.
+// checkPurpose checks that the certificate meets the conditions in f. Otherwise all peers would
+// refuse the certificate, which is harder to diagnose than an error at loading.
 func (m *Material) checkPurpose(f *Files, certs []*x509.Certificate, now time.Time) error {
 	leaf := certs[0]
 	for _, usage := range f.Use.usages() {
-		if !allows(leaf, usage) {
+		if !allowsUsage(leaf, usage) {
 			return &Error{f.Cert, "the certificate's extended key usage lacks " + usageNames[usage], "have one issued with it"}
 		}
 	}
@@ -197,9 +198,9 @@
 	x509.ExtKeyUsageClientAuth: "clientAuth",
 }
 
-// allows reports whether the certificate may be used so; one that names no usage
-// allows all.
-func allows(c *x509.Certificate, usage x509.ExtKeyUsage) bool {
+// allowsUsage reports whether the certificate allows the extended key usage. A certificate that
+// names no usage allows all.
+func allowsUsage(c *x509.Certificate, usage x509.ExtKeyUsage) bool {
 	if len(c.ExtKeyUsage) == 0 && len(c.UnknownExtKeyUsage) == 0 {
 		return true
 	}
@@ -211,7 +212,7 @@
 	return false
 }
 
-// verify checks a chain, leaf first, against the authorities and their lists.
+// verify checks a chain, leaf first, against the authorities and their revocation lists.
 func (m *Material) verify(chain []*x509.Certificate, usage x509.ExtKeyUsage, now time.Time) error {
 	chains, err := m.chains(chain, usage, now)
 	if err != nil {
@@ -221,12 +222,12 @@
 }
 
 func (m *Material) chains(chain []*x509.Certificate, usage x509.ExtKeyUsage, now time.Time) ([][]*x509.Certificate, error) {
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range chain[1:] {
-		between.AddCert(c)
+		intermediates.AddCert(c)
 	}
 	return chain[0].Verify(x509.VerifyOptions{
-		Roots: m.roots, Intermediates: between, CurrentTime: now, KeyUsages: []x509.ExtKeyUsage{usage},
+		Roots: m.roots, Intermediates: intermediates, CurrentTime: now, KeyUsages: []x509.ExtKeyUsage{usage},
 	})
 }
 
--- a/keys/keys_test.go
+++ b/keys/keys_test.go
@@ -13,13 +13,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// start is when the certificates of these tests are made.
+// start is the time at which the certificates of these tests are issued.
 var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
 const valid = 30 * 24 * time.Hour
 
-// folder makes the certificates of a small fleet.
-func folder(t *testing.T) string {
+// makeFolder creates the certificates of a small development system and returns their folder.
+func makeFolder(t *testing.T) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "keys")
 	_, err := Initialise(Plan{Folder: dir, Routers: []string{"r1", "r2"}, Targets: []string{"t1"}, Valid: valid, Now: start})
@@ -47,9 +47,10 @@
 	}
 }
 
-// Each fault must name the file, what is wrong and the mend.
-func TestLoadNamesFileFaultAndMend(t *testing.T) {
-	dir := folder(t)
+// TestLoadErrorNamesFileFaultAndRemedy checks that each error names the file, what is wrong
+// and how to correct it.
+func TestLoadErrorNamesFileFaultAndRemedy(t *testing.T) {
+	dir := makeFolder(t)
 	scratch := t.TempDir()
 	good := peerFiles(dir, "r1")
 	loose := write(t, filepath.Join(scratch, "loose.key"), read(t, good.Key))
@@ -99,9 +100,10 @@
 	}
 }
 
-// While an authority is replaced the file holds the ended one beside its successor.
-func TestAnEndedAuthorityBesideAValidOneIsNoFault(t *testing.T) {
-	dir := folder(t)
+// TestExpiredAuthorityBesideAValidOneIsAccepted checks a file with an expired authority and its
+// successor, as it is while an authority is replaced.
+func TestExpiredAuthorityBesideAValidOneIsAccepted(t *testing.T) {
+	dir := makeFolder(t)
 	_, old, err := NewAuthority("old", start.Add(-2*valid), valid)
 	assert.NilError(t, err)
 	f := peerFiles(dir, "r1")
@@ -113,11 +115,11 @@
 }
 
 func TestInitialiseKeepsKeysPrivateAndOverwritesNothing(t *testing.T) {
-	dir := folder(t)
+	dir := makeFolder(t)
 	entries, err := os.ReadDir(dir)
 	assert.NilError(t, err)
-	// Four authorities with their lists, two routers, three operators, the callers'
-	// listener, a target.
+	// Certificates and keys: four authorities, two routers, three operators, the listeners for
+	// callers, and a target. In addition, the authorities' four revocation lists.
 	assert.Equal(t, len(entries), 2*11+4)
 	before := map[string]string{}
 	for _, e := range entries {
@@ -128,14 +130,14 @@
 		}
 		before[e.Name()] = read(t, filepath.Join(dir, e.Name()))
 	}
-	// One file that is there is enough to make none.
+	// If one of the files exists, none is written.
 	for name := range before {
 		if name != "r2.key" {
 			assert.NilError(t, os.Remove(filepath.Join(dir, name)))
 		}
 	}
 	_, err = Initialise(Plan{Folder: dir, Routers: []string{"r1", "r2"}, Valid: valid, Now: start})
-	assert.ErrorContains(t, err, "r2.key: it is there already; nothing was written")
+	assert.ErrorContains(t, err, "r2.key: the file already exists; nothing was written")
 	entries, err = os.ReadDir(dir)
 	assert.NilError(t, err)
 	assert.Equal(t, len(entries), 1)
@@ -158,7 +160,7 @@
 	} {
 		assert.Equal(t, tc.have.Covers(tc.need), tc.want, "%q %q", tc.have, tc.need)
 	}
-	dir := folder(t)
+	dir := makeFolder(t)
 	for name, want := range map[string]Role{"read": RoleRead, "operate": RoleOperate, "administer": RoleAdminister, "r1": RoleNone, "callers": RoleNone} {
 		certs, err := ReadCertificates(CertFile(dir, name))
 		assert.NilError(t, err)
@@ -166,8 +168,8 @@
 	}
 }
 
-// Whatever a file holds, it is refused as *Error or taken; the error never quotes a
-// private key.
+// FuzzParse checks that any content of a file is either parsed or refused with an *Error, and
+// never both.
 func FuzzParse(f *testing.F) {
 	a, pair, err := NewAuthority("a", start, valid)
 	assert.NilError(f, err)
@@ -180,19 +182,20 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		certs, err := parseCertificates("file", data)
-		checkParsed(t, err, len(certs) > 0)
+		checkParseResult(t, err, len(certs) > 0)
 		key, err := parseKey("file", data)
-		checkParsed(t, err, key != nil)
+		checkParseResult(t, err, key != nil)
 		m := &Material{authorities: []*x509.Certificate{a.cert}}
 		err = m.parseRevocations(&Files{CA: "ca", CRL: "file"}, data)
-		checkParsed(t, err, err == nil && len(m.revoked) > 0)
+		checkParseResult(t, err, err == nil && len(m.revoked) > 0)
 	})
 }
 
-func checkParsed(t *testing.T, err error, something bool) {
+// checkParseResult fails the test unless there is either a result or an *Error.
+func checkParseResult(t *testing.T, err error, parsed bool) {
 	t.Helper()
 	var fault *Error
-	if something != (err == nil) || err != nil && !errors.As(err, &fault) {
-		t.Fatalf("parsed %v, error %v", something, err)
+	if parsed != (err == nil) || err != nil && !errors.As(err, &fault) {
+		t.Fatalf("parsed %v, error %v", parsed, err)
 	}
 }
--- a/keys/read.go
+++ b/keys/read.go
@@ -11,10 +11,11 @@
 )
 
 const (
-	// maxFile bounds a file in bytes; a chain with its authorities takes a few thousand.
-	maxFile = 1 << 20
-	// openToAll are the permission bits that let every user of the VM in.
-	openToAll = 0o007
+	// maxFileBytes is the maximum size of a file; a chain with its authorities takes a few
+	// thousand bytes.
+	maxFileBytes = 1 << 20
+	// worldAccess are the permission bits that give every user of the VM access.
+	worldAccess = 0o007
 )
 
 const (
@@ -22,8 +23,8 @@
 	blockKeySuffix   = "PRIVATE KEY"
 )
 
-// ReadCertificates reads the certificates of a PEM file, at least one. The error is
-// of type *Error.
+// ReadCertificates reads the certificates of a PEM file, which must hold at least one. The
+// error is of type *Error.
 func ReadCertificates(file string) ([]*x509.Certificate, error) {
 	data, err := readFile(file)
 	if err != nil {
@@ -54,8 +55,8 @@
 	return certs, nil
 }
 
-// ReadKey reads the private key of a PEM file that not every user of the VM may
-// read. The error is of type *Error and holds nothing of the file's content.
+// ReadKey reads the private key of a PEM file. It refuses a file that every user of the VM has
+// access to. The error is of type *Error and contains no part of the file's content.
 func ReadKey(file string) (crypto.Signer, error) {
 	data, err := readFile(file)
 	if err != nil {
@@ -65,7 +66,7 @@
 	if err != nil {
 		return nil, unreadable(file, err)
 	}
-	if info.Mode().Perm()&openToAll != 0 {
+	if info.Mode().Perm()&worldAccess != 0 {
 		return nil, &Error{file, fmt.Sprintf("every user of the VM may use the key (mode %04o)", info.Mode().Perm()), "chmod 600 it, and have a new one issued if others were on the VM"}
 	}
 	return parseKey(file, data)
@@ -81,7 +82,7 @@
 			continue
 		}
 		if strings.HasPrefix(block.Type, "ENCRYPTED") || block.Headers["DEK-Info"] != "" {
-			return nil, &Error{file, "the key is encrypted", "write it without a password; nobody is there to type one"}
+			return nil, &Error{file, "the key is encrypted", "store it without a password; the router can't ask for one"}
 		}
 		if key := parseKeyBlock(block.Bytes); key != nil {
 			return key, nil
@@ -90,8 +91,8 @@
 	}
 }
 
-// parseKeyBlock returns nil where no form fits: the parsers' own errors may quote
-// what they read.
+// parseKeyBlock returns nil if the block has none of the supported formats. It returns no
+// error, because the parsers' errors may quote the private key.
 func parseKeyBlock(der []byte) crypto.Signer {
 	if key, err := x509.ParsePKCS8PrivateKey(der); err == nil {
 		signer, _ := key.(crypto.Signer)
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// Matches reports whether the key is that of the certificate.
+// Matches reports whether the private key belongs to the certificate.
 func Matches(c *x509.Certificate, key crypto.Signer) bool {
 	public, ok := key.Public().(interface{ Equal(crypto.PublicKey) bool })
 	return ok && public.Equal(c.PublicKey)
@@ -121,12 +122,12 @@
 		return nil, unreadable(file, err)
 	}
 	defer f.Close()
-	data, err := io.ReadAll(io.LimitReader(f, maxFile+1))
+	data, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
 	if err != nil {
 		return nil, unreadable(file, err)
 	}
-	if len(data) > maxFile {
-		return nil, &Error{file, fmt.Sprintf("it is longer than %d bytes", maxFile), "name a PEM file"}
+	if len(data) > maxFileBytes {
+		return nil, &Error{file, fmt.Sprintf("it is longer than %d bytes", maxFileBytes), "name a PEM file"}
 	}
 	return data, nil
 }
--- a/keys/revocation.go
+++ b/keys/revocation.go
@@ -12,8 +12,8 @@
 
 const blockRevocations = "X509 CRL"
 
-// revocations are the lists of revoked certificates in force, by the authority's public
-// key: an authority's certificate may be issued anew with the same key.
+// revocations are the revocation lists in force, by the authority's public key. They are not
+// kept by certificate, because an authority's certificate may be reissued with the same key.
 type revocations map[string]*revocationList
 
 // revocationList is one authority's list. It is immutable.
@@ -23,12 +23,13 @@
 	serials   map[string]struct{}
 }
 
-// loadRevocations reads the lists of the file and holds them against the authorities
-// and against those in force; before is nil where there are none.
+// loadRevocations reads the lists of the file and checks them against the authorities and
+// against the lists of before, the material in force, which may be nil.
 //
-// What goes wrong without the second: a file that was restored, mixed up or cut short
-// gives a certificate its rights back. One would notice calls in a name that was
-// revoked. An authority that left the file of authorities needs no list any more.
+// Without the check against the lists in force, a file that was restored from a backup, mixed
+// up or truncated would make a revoked certificate valid again; this would be noticed only by
+// requests under the revoked name. An authority that was removed from the file of authorities
+// no longer needs a list.
 func (m *Material) loadRevocations(f *Files, before *Material) error {
 	data, err := readFile(f.CRL)
 	if err != nil {
@@ -37,43 +38,44 @@
 	if err := m.parseRevocations(f, data); err != nil {
 		return err
 	}
-	return m.notLooser(f, before)
+	return m.checkNotOlder(f, before)
 }
 
+// parseRevocations sets m.revoked to the lists in data.
 func (m *Material) parseRevocations(f *Files, data []byte) error {
 	m.revoked = make(revocations)
 	for len(bytes.TrimSpace(data)) > 0 {
 		var block *pem.Block
 		if block, data = pem.Decode(data); block == nil {
-			return &Error{f.CRL, "it holds something that is no PEM block, or one that is cut short", mendList}
+			return &Error{f.CRL, "the file holds data that is not a PEM block, or a truncated PEM block", rewriteListHint}
 		}
 		if err := m.addList(f, block); err != nil {
 			return err
 		}
 	}
 	if len(m.revoked) == 0 {
-		return &Error{f.CRL, "it holds no revocation list of an authority in " + f.CA, mendList}
+		return &Error{f.CRL, "it holds no revocation list of an authority in " + f.CA, rewriteListHint}
 	}
 	return nil
 }
 
-const mendList = "write the authority's list again as a PEM block X509 CRL"
+const rewriteListHint = "write the authority's list again as a PEM block X509 CRL"
 
 func (m *Material) addList(f *Files, block *pem.Block) error {
 	if block.Type != blockRevocations {
-		return &Error{f.CRL, fmt.Sprintf("it holds a block %s", block.Type), mendList}
+		return &Error{f.CRL, fmt.Sprintf("it holds a block %s", block.Type), rewriteListHint}
 	}
 	parsed, err := x509.ParseRevocationList(block.Bytes)
 	if err != nil {
-		return &Error{f.CRL, fmt.Sprintf("list %d can't be read: %v", len(m.revoked)+1, err), mendList}
+		return &Error{f.CRL, fmt.Sprintf("list %d can't be read: %v", len(m.revoked)+1, err), rewriteListHint}
 	}
-	authority := m.claimed(parsed)
+	authority := m.issuerOf(parsed)
 	if authority == nil {
-		// As while an authority is replaced: it left its file first.
+		// The authority was removed from its file before the list, as while it is replaced.
 		return nil
 	}
 	if err := parsed.CheckSignatureFrom(authority); err != nil {
-		return &Error{f.CRL, fmt.Sprintf("the list is not signed by %q, whose name it bears: %v", authority.Subject.CommonName, err), mendList}
+		return &Error{f.CRL, fmt.Sprintf("the list is not signed by %q, which it names as its issuer: %v", authority.Subject.CommonName, err), rewriteListHint}
 	}
 	list, err := newRevocationList(f.CRL, parsed, authority)
 	if err != nil {
@@ -81,15 +83,15 @@
 	}
 	key := string(authority.RawSubjectPublicKeyInfo)
 	if m.revoked[key] != nil {
-		return &Error{f.CRL, fmt.Sprintf("it holds two lists of %q", list.authority), "leave the one with the higher number"}
+		return &Error{f.CRL, fmt.Sprintf("it holds two lists of %q", list.authority), "keep only the one with the higher number"}
 	}
 	m.revoked[key] = list
 	return nil
 }
 
-// claimed returns the authority that the list says it is of; nil where it is none of
-// those in force.
-func (m *Material) claimed(list *x509.RevocationList) *x509.Certificate {
+// issuerOf returns the authority that the list names as its issuer, or nil if it is not one of
+// m.authorities. It does not check the signature.
+func (m *Material) issuerOf(list *x509.RevocationList) *x509.Certificate {
 	for _, authority := range m.authorities {
 		sameKey := len(list.AuthorityKeyId) == 0 || len(authority.SubjectKeyId) == 0 || bytes.Equal(list.AuthorityKeyId, authority.SubjectKeyId)
 		if sameKey && bytes.Equal(list.RawIssuer, authority.RawSubject) {
@@ -99,13 +101,15 @@
 	return nil
 }
 
+// newRevocationList returns the authority's list if it is complete and has a number.
 func newRevocationList(file string, parsed *x509.RevocationList, authority *x509.Certificate) (*revocationList, error) {
 	list := &revocationList{parsed, authority.Subject.CommonName, make(map[string]struct{})}
 	if parsed.Number == nil {
-		return nil, &Error{file, fmt.Sprintf("the list of %q has no number, so that an older one can't be told", list.authority), mendList}
+		return nil, &Error{file, fmt.Sprintf("the list of %q has no number, so that an older one can't be detected", list.authority), rewriteListHint}
 	}
 	for _, extension := range parsed.Extensions {
-		// A list of changes, or of some kinds of certificates only, is not the whole one.
+		// A delta list, or a list of only some kinds of certificates, is not complete. Such
+		// lists have critical extensions.
 		if extension.Critical {
 			return nil, &Error{file, fmt.Sprintf("the list of %q has the critical extension %s, which is not supported", list.authority, extension.Id), "have the whole list written, without it"}
 		}
@@ -116,8 +120,9 @@
 	return list, nil
 }
 
-// notLooser refuses lists that are older than those in force, or that lack one.
-func (m *Material) notLooser(f *Files, before *Material) error {
+// checkNotOlder refuses lists that are older than those in force, and a file that lacks one of
+// those in force.
+func (m *Material) checkNotOlder(f *Files, before *Material) error {
 	if before == nil {
 		return nil
 	}
@@ -127,39 +132,40 @@
 		switch {
 		case old == nil:
 		case now == nil:
-			return &Error{f.CRL, fmt.Sprintf("it lacks the list of %q, whose number %s is in force", old.authority, old.Number), "put the list back, or take the authority out of " + f.CA}
+			return &Error{f.CRL, fmt.Sprintf("the file lacks the list of %q, whose number %s is in force", old.authority, old.Number), "put the list back, or take the authority out of " + f.CA}
 		case now.Number.Cmp(old.Number) < 0:
 			return &Error{f.CRL, fmt.Sprintf("the list of %q has the number %s, and %s is in force", old.authority, now.Number, old.Number), "put the newest list in place"}
 		case now.Number.Cmp(old.Number) == 0 && !bytes.Equal(now.RawTBSRevocationList, old.RawTBSRevocationList):
-			return &Error{f.CRL, fmt.Sprintf("the list of %q has the number %s of the one in force and another content", old.authority, now.Number), "have it written with a higher number"}
+			return &Error{f.CRL, fmt.Sprintf("the list of %q has the same number %s as the one in force but a different content", old.authority, now.Number), "have it written with a higher number"}
 		}
 	}
 	return nil
 }
 
-// RevokedError says that a certificate stands in its authority's revocation list.
+// RevokedError says that a certificate is in its authority's revocation list.
 type RevokedError struct {
+	// Name is the certificate's common name.
 	Name      string
 	Serial    *big.Int
 	Authority string
-	// Number is that of the list.
+	// Number is the number of the list.
 	Number *big.Int
 }
 
-// revokedMark stands in the text of each RevokedError.
-const revokedMark = "is revoked by list"
+// revokedText is part of the text of each RevokedError.
+const revokedText = "is revoked by list"
 
 // Error implements error.
 func (e *RevokedError) Error() string {
-	return fmt.Sprintf("the certificate %q with the serial number %x %s %s of %q", e.Name, e.Serial, revokedMark, e.Number, e.Authority)
+	return fmt.Sprintf("the certificate %q with the serial number %x %s %s of %q", e.Name, e.Serial, revokedText, e.Number, e.Authority)
 }
 
-// TellsOfRevocation reports whether the text is that of an error that wraps a
-// *RevokedError, for where a library hands on the text alone.
-func TellsOfRevocation(text string) bool { return strings.Contains(text, revokedMark) }
+// TellsOfRevocation reports whether the text is that of an error that wraps a *RevokedError. It
+// is for libraries that pass on only the text of an error.
+func TellsOfRevocation(text string) bool { return strings.Contains(text, revokedText) }
 
-// check refuses where no chain is without a revoked certificate. Chains are as verified:
-// leaf first, each certificate signed by the next.
+// check returns an error if every chain has a revoked certificate. The chains must have been
+// verified: leaf first, each certificate signed by the next.
 func (r revocations) check(chains [][]*x509.Certificate) error {
 	if len(r) == 0 {
 		return nil
@@ -188,7 +194,7 @@
 	return nil
 }
 
-// Lists says which revocation lists are in force; empty where there are none.
+// Lists describes the revocation lists in force; it is empty if there are none.
 func (m *Material) Lists() string {
 	var lists []string
 	for _, authority := range m.authorities {
@@ -199,12 +205,13 @@
 	return strings.Join(lists, "; ")
 }
 
-// OwnRevoked returns why the certificate that is shown is refused by others; nil where it
-// is not revoked. The list that says so is in force all the same.
+// OwnRevoked returns an error if the source's own certificate is revoked, so that peers refuse
+// it. The list that revokes it is in force nevertheless.
 func (m *Material) OwnRevoked() error { return m.ownRevoked }
 
-// Overdue says which list in force should have been replaced by a newer one; empty
-// where none. An overdue list stays in force: nobody's rights change by time alone.
+// Overdue says which list in force should have been replaced by a newer one; it is empty if
+// there is none. An overdue list stays in force, so that no certificate becomes valid or
+// invalid because of the list's age.
 func (m *Material) Overdue(now time.Time) string {
 	for _, list := range m.revoked {
 		if !list.NextUpdate.IsZero() && now.After(list.NextUpdate) {
@@ -214,7 +221,7 @@
 	return ""
 }
 
-// Revoked counts the certificates that the lists in force name.
+// Revoked returns the number of certificates that the lists in force revoke.
 func (m *Material) Revoked() int {
 	var count int
 	for _, list := range m.revoked {
@@ -223,8 +230,8 @@
 	return count
 }
 
-// ReadLists reads the revocation lists of a PEM file, at least one, without a look at who
-// signed them. The error is of type *Error.
+// ReadLists reads the revocation lists of a PEM file, which must hold at least one. It does not
+// check their signatures. The error is of type *Error.
 func ReadLists(file string) ([]*x509.RevocationList, error) {
 	data, err := readFile(file)
 	if err != nil {
@@ -241,12 +248,12 @@
 		}
 		list, err := x509.ParseRevocationList(block.Bytes)
 		if err != nil {
-			return nil, &Error{file, fmt.Sprintf("list %d can't be read: %v", len(lists)+1, err), mendList}
+			return nil, &Error{file, fmt.Sprintf("list %d can't be read: %v", len(lists)+1, err), rewriteListHint}
 		}
 		lists = append(lists, list)
 	}
 	if len(lists) == 0 {
-		return nil, &Error{file, "it holds no revocation list", mendList}
+		return nil, &Error{file, "it holds no revocation list", rewriteListHint}
 	}
 	return lists, nil
 }
--- a/keys/revocation_test.go
+++ b/keys/revocation_test.go
@@ -15,7 +15,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// revoke adds certificates of the folder to their authorities' lists.
+// revoke adds certificates of the folder to their authorities' revocation lists.
 func revoke(t *testing.T, dir string, names ...string) {
 	t.Helper()
 	r := Revocation{Folder: dir, Now: start, Valid: valid}
@@ -33,8 +33,9 @@
 	return certs
 }
 
-// forged is a list in the authority's name that another key signed.
-func forged(t *testing.T, dir string) string {
+// forgedList returns a list that names the routers' authority as its issuer but is signed with
+// another key.
+func forgedList(t *testing.T, dir string) string {
 	t.Helper()
 	other, _, err := NewAuthority(AuthorityRouters, start, valid)
 	assert.NilError(t, err)
@@ -47,18 +48,17 @@
 	return string(pem.EncodeToMemory(&pem.Block{Type: blockRevocations, Bytes: der}))
 }
 
-// Symptom: a certificate that was revoked is accepted again.
-// Sequence: the list is in force; its file is replaced by a damaged, forged, older or
-// other one.
-// Cause: what the file holds is put in force without a look at what was in force.
-func TestNoFileLoosensTheListInForce(t *testing.T) {
-	dir := folder(t)
+// TestRefusedListFileKeepsTheListInForce guards against a revoked certificate being accepted
+// again after the file of the list in force is replaced by one that is damaged, forged, older
+// or of another authority. New lists must be checked against those in force.
+func TestRefusedListFileKeepsTheListInForce(t *testing.T) {
+	dir := makeFolder(t)
 	f := peerFiles(dir, "r1")
 	f.CRL = ListFile(dir, AuthorityRouters)
 	first := read(t, f.CRL)
 	revoke(t, dir, "r2")
 	good := read(t, f.CRL)
-	s := watch(t, f)
+	s := newWatchedSource(t, f)
 	a, err := openAuthority(dir, AuthorityRouters)
 	assert.NilError(t, err)
 	same, err := a.List(big.NewInt(2), nil, start, valid)
@@ -67,58 +67,61 @@
 	at := start
 	for what, tc := range map[string]struct{ list, want string }{
 		"older":               {first, "has the number 1, and 2 is in force"},
-		"same number":         {string(same), "number 2 of the one in force and another content"},
+		"same number":         {string(same), "has the same number 2 as the one in force but a different content"},
 		"empty":               {"", "holds no revocation list"},
-		"cut short":           {good[:len(good)/2], "cut short"},
+		"cut short":           {good[:len(good)/2], "truncated PEM block"},
 		"followed by another": {good + good, "two lists"},
 		"a certificate":       {read(t, f.Cert), "holds a block CERTIFICATE"},
 		"damaged":             {strings.Replace(good, "-----\nM", "-----\nA", 1), "can't be read"},
-		"not signed by it":    {forged(t, dir), "not signed by"},
+		"not signed by it":    {forgedList(t, dir), "not signed by"},
 		"another authority's": {read(t, ListFile(dir, AuthorityTargets)), "no revocation list of an authority"},
 	} {
 		at = at.Add(time.Minute)
-		replace(t, f.CRL, tc.list, at)
-		assert.DeepEqual(t, s.changes(false), []Change{Refused})
+		replaceFileAt(t, f.CRL, tc.list, at)
+		assert.DeepEqual(t, s.checkOnce(false), []Change{Refused})
 		assert.ErrorContains(t, s.Failure(), tc.want, what)
 		assert.Assert(t, refused(s.Verify(certificates(t, dir, "r2"))), what)
 		assert.NilError(t, s.Verify(certificates(t, dir, "r1")), what)
-		replace(t, f.CRL, good, at.Add(time.Second))
-		s.changes(false)
+		replaceFileAt(t, f.CRL, good, at.Add(time.Second))
+		s.checkOnce(false)
 		assert.NilError(t, s.Failure())
 	}
 	revoke(t, dir, "r1")
-	// Its own certificate's revocation is in force as well, and a restart would fail.
-	assert.DeepEqual(t, s.changes(false), []Change{Reloaded, Revoked})
+	// The revocation of the source's own certificate is in force as well, and a restart would
+	// fail.
+	assert.DeepEqual(t, s.checkOnce(false), []Change{Reloaded, Revoked})
 	_, err = Open(f, func() time.Time { return start })
 	assert.ErrorContains(t, err, "is revoked by list 3")
 	assert.Assert(t, refused(s.Verify(certificates(t, dir, "r2"))))
 	assert.ErrorContains(t, s.Accepts(&tls.ConnectionState{PeerCertificates: certificates(t, dir, "r1")}), "is revoked by list 3")
 	assert.Equal(t, s.Material().Revoked(), 2)
-	// Nobody's rights change by time alone; it is told once.
+	// An overdue list stays in force and is reported once.
 	s.now = start.Add(valid + time.Second)
-	assert.DeepEqual(t, s.changes(false), []Change{Ended, ListOverdue})
-	assert.Equal(t, len(s.changes(false)), 0)
+	assert.DeepEqual(t, s.checkOnce(false), []Change{Ended, ListOverdue})
+	assert.Equal(t, len(s.checkOnce(false)), 0)
 }
 
-// While an authority is replaced, its list stays in the file after it has left.
-func TestTheListOfAnAuthorityThatLeftIsNoFault(t *testing.T) {
-	dir, next := folder(t), folder(t)
+// TestListOfARemovedAuthorityIsIgnored checks that a list may stay in its file after its
+// authority was removed, as happens while an authority is replaced.
+func TestListOfARemovedAuthorityIsIgnored(t *testing.T) {
+	dir, next := makeFolder(t), makeFolder(t)
 	f := Files{Table: "tls.operator", CA: CertFile(dir, AuthorityOperators), CRL: ListFile(dir, AuthorityOperators)}
-	s := watch(t, f)
+	s := newWatchedSource(t, f)
 	for i, file := range []struct{ name, text string }{
 		{f.CA, read(t, f.CA) + read(t, CertFile(next, AuthorityOperators))},
 		{f.CRL, read(t, f.CRL) + read(t, ListFile(next, AuthorityOperators))},
 		{f.CA, read(t, CertFile(next, AuthorityOperators))},
 		{f.CRL, read(t, ListFile(next, AuthorityOperators))},
 	} {
-		replace(t, file.name, file.text, start.Add(time.Duration(i+1)*time.Minute))
-		assert.DeepEqual(t, s.changes(false), []Change{Reloaded})
+		replaceFileAt(t, file.name, file.text, start.Add(time.Duration(i+1)*time.Minute))
+		assert.DeepEqual(t, s.checkOnce(false), []Change{Reloaded})
 	}
 }
 
-// Both sides of a handshake refuse the other's revoked certificate.
+// TestHandshakesRefuseRevokedCertificates checks that both sides of a handshake refuse a revoked
+// certificate of the other side.
 func TestHandshakesRefuseRevokedCertificates(t *testing.T) {
-	dir := folder(t)
+	dir := makeFolder(t)
 	open := func(name string, list bool) *Source {
 		f := peerFiles(dir, name)
 		if list {
@@ -136,7 +139,7 @@
 	}
 }
 
-// handshake returns the error of either side that tells of a revocation.
+// handshake returns the error of either side that wraps a *RevokedError, or nil.
 func handshake(t *testing.T, server, client *tls.Config) error {
 	t.Helper()
 	now := func() time.Time { return start }
@@ -164,11 +167,11 @@
 	return nil
 }
 
-func TestRevokeChangesNothingWhereOneCannotBe(t *testing.T) {
-	dir := folder(t)
+func TestRevokeChangesNothingIfOneCertificateCannotBeRevoked(t *testing.T) {
+	dir := makeFolder(t)
 	before := read(t, ListFile(dir, AuthorityRouters))
 	for file, want := range map[string]string{
-		CertFile(folder(t), "r2"):       "none of the authorities",
+		CertFile(makeFolder(t), "r2"):   "none of the authorities",
 		CertFile(dir, AuthorityRouters): "none of the authorities",
 		filepath.Join(dir, "none"):      "no such file",
 	} {
--- a/keys/revoke.go
+++ b/keys/revoke.go
@@ -19,20 +19,20 @@
 // ListFile returns the path of an authority's revocation list in the folder.
 func ListFile(folder, authority string) string { return filepath.Join(folder, authority+listSuffix) }
 
-// Revocation says what Revoke is to do.
+// Revocation holds the parameters of Revoke.
 type Revocation struct {
-	// Folder is one that Initialise filled.
+	// Folder is a folder that Initialise created.
 	Folder string
-	// Files are the certificates to revoke.
+	// Files are the files of the certificates to revoke.
 	Files []string
 	Now   time.Time
-	// Valid is the time after which a newer list is due.
+	// Valid is the time from Now after which a newer list is due.
 	Valid time.Duration
 }
 
-// Revoke adds the certificates to the lists of their authorities in the folder and
-// returns the files that it wrote. Where one can't be revoked it changes nothing, and
-// the error is of type *Error.
+// Revoke adds the certificates to the revocation lists of their authorities in the folder and
+// returns the paths of the files that it wrote. If one of the certificates can't be revoked, it
+// changes nothing and the error is of type *Error.
 func Revoke(r Revocation) ([]string, error) {
 	added := make(map[string][]*big.Int)
 	var names []string
@@ -80,7 +80,7 @@
 			return name, nil
 		}
 	}
-	return "", &Error{file, "none of the authorities in " + folder + " issued it", "name a certificate of this folder; one of the firm's authority is revoked there"}
+	return "", &Error{file, "none of the authorities in " + folder + " issued it", "name a certificate of this folder; revoke one of another authority with that authority"}
 }
 
 // extend returns the authority's next list in PEM.
@@ -117,7 +117,8 @@
 	return false
 }
 
-// List signs a revocation list in PEM; a newer one is due after the time valid.
+// List returns a signed revocation list in PEM, whose successor is due at the duration valid
+// after now.
 func (a *Authority) List(number *big.Int, entries []x509.RevocationListEntry, now time.Time, valid time.Duration) ([]byte, error) {
 	der, err := x509.CreateRevocationList(rand.Reader, &x509.RevocationList{
 		Number: number, ThisUpdate: now, NextUpdate: now.Add(valid), RevokedCertificateEntries: entries,
@@ -128,7 +129,7 @@
 	return pem.EncodeToMemory(&pem.Block{Type: blockRevocations, Bytes: der}), nil
 }
 
-// openAuthority reads an authority that Initialise made.
+// openAuthority reads an authority that Initialise created.
 func openAuthority(folder, name string) (*Authority, error) {
 	certs, err := ReadCertificates(CertFile(folder, name))
 	if err != nil {
@@ -144,10 +145,8 @@
 	return &Authority{certs[0], key}, nil
 }
 
-// replaceFile puts the whole content in place at one moment.
-//
-// What goes wrong otherwise: a router reads the file while it is written. It refuses what
-// is cut short, and a restart at that moment fails.
+// replaceFile replaces the file's content atomically. Otherwise a router could read a partly
+// written file: it would refuse to load it, and a restart at that moment would fail.
 func replaceFile(file string, data []byte) error {
 	next, err := os.CreateTemp(filepath.Dir(file), "."+strings.TrimSuffix(filepath.Base(file), listSuffix)+"-*")
 	if err != nil {
--- a/keys/source.go
+++ b/keys/source.go
@@ -12,38 +12,41 @@
 	"github.com/pkg/errors"
 )
 
-// Source is a set of files and what is in force of it. It is for concurrent use.
+// Source is a set of files and the material loaded from it that is in force. It is safe for
+// concurrent use.
 type Source struct {
 	files   Files
 	now     func() time.Time
 	current atomic.Pointer[Material]
 
-	accepted atomic.Pointer[accepted]
+	accepted atomic.Pointer[acceptedLeaf]
 
-	// lock guards the rest and lets one reload run at a time.
-	lock   sync.Mutex
-	stamps []stamp
-	// failure is why the files of now are not in force; nil where they are.
+	// mu guards the rest and lets one reload run at a time.
+	mu       sync.Mutex
+	versions []fileVersion
+	// failure is why the current files are not in force; nil if they are.
 	failure error
-	warned  ending
-	// overdue is the revocation list that was last told of as overdue.
+	// warnedExpiry is the expiry state of the last notice about the material in force.
+	warnedExpiry expiryState
+	// overdue is the last notice's text about an overdue revocation list; empty if none is
+	// overdue.
 	overdue string
 }
 
-// stamp tells a file's versions apart without reading it.
-type stamp struct {
+// fileVersion distinguishes the versions of a file without reading its content.
+type fileVersion struct {
 	changed time.Time
 	size    int64
 }
 
-// Open loads the files; now is the wall clock, nil for the system's. The error wraps one
-// of type *Error.
+// Open loads the files. now is the wall clock; nil means time.Now. The error wraps one of type
+// *Error.
 func Open(f Files, now func() time.Time) (*Source, error) {
 	if now == nil {
 		now = time.Now
 	}
 	s := &Source{files: f, now: now}
-	s.stamps = s.stat()
+	s.versions = s.fileVersions()
 	m, err := Load(f, now())
 	if err != nil {
 		return nil, errors.Wrap(err, f.Table)
@@ -61,47 +64,48 @@
 // HasLists reports whether the files name revocation lists.
 func (s *Source) HasLists() bool { return s.files.CRL != "" }
 
-// Material returns what is in force.
+// Material returns the material in force.
 func (s *Source) Material() *Material { return s.current.Load() }
 
-// Failure returns why the files as they are now are not in force; nil where they are.
+// Failure returns why the current files are not in force; nil if they are.
 func (s *Source) Failure() error {
-	s.lock.Lock()
-	defer s.lock.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	return s.failure
 }
 
-// Reload loads the files now and says why they can't be put in force, by an error of
-// type *Error; the old ones stay then. It is for programs that don't use a Watcher.
+// Reload loads the files now. If they can't be put in force, it returns an error of type *Error
+// and the old material stays in force. It is for programs that don't use a Watcher.
 func (s *Source) Reload() error {
 	_, err := s.reload(true)
 	return err
 }
 
-func (s *Source) stat() []stamp {
-	var stamps []stamp
+func (s *Source) fileVersions() []fileVersion {
+	var versions []fileVersion
 	for _, file := range []string{s.files.Cert, s.files.Key, s.files.CA, s.files.CRL} {
-		var st stamp
+		var version fileVersion
 		if info, err := os.Stat(file); err == nil {
-			st = stamp{info.ModTime(), info.Size()}
+			version = fileVersion{info.ModTime(), info.Size()}
 		}
-		stamps = append(stamps, st)
+		versions = append(versions, version)
 	}
-	return stamps
+	return versions
 }
 
-// reload puts the files in force if they changed, or in any case with force. It
-// reports whether they were tried, and why they are refused.
+// reload loads the files and puts them in force if they changed, if the last load failed, or if
+// force is set. It returns whether there is a result to report, and why the files are refused.
+// Without force, a failure that equals the last one is not reported again.
 //
-// The files of a pair never change at the same moment. One that is read between the
-// two does not match, is refused, and the old pair stays; the other file's change,
-// or the next try, mends it. The stamps are taken before the read, so that a change
-// during it is seen as one afterwards.
-func (s *Source) reload(force bool) (tried bool, err error) {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	stamps := s.stat()
-	if !force && s.failure == nil && slices.Equal(stamps, s.stamps) {
+// The certificate and the key of a pair never change at the same moment. A load between the
+// two changes finds a pair that does not match and refuses it, and the old pair stays in force
+// until a later load finds both files replaced. The versions are read before the files, so that
+// a file that changes while it is read is loaded again.
+func (s *Source) reload(force bool) (report bool, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	versions := s.fileVersions()
+	if !force && s.failure == nil && slices.Equal(versions, s.versions) {
 		return false, nil
 	}
 	m, err := load(s.files, s.now(), s.current.Load())
@@ -110,14 +114,14 @@
 	if err != nil {
 		return force || !repeated, err
 	}
-	s.stamps = stamps
+	s.versions = versions
 	s.current.Store(m)
-	s.warned = endsLater
+	s.warnedExpiry = notExpiring
 	return true, nil
 }
 
-// Verify checks a certificate that was shown against the authorities that are in
-// force now, which may differ from those at the connection's begin.
+// Verify checks the chain that a peer presented against the authorities that are in force now.
+// They may differ from those at the connection's handshake.
 func (s *Source) Verify(chain []*x509.Certificate) error {
 	if len(chain) == 0 {
 		return errors.New("no certificate was shown")
@@ -125,8 +129,8 @@
 	return s.Material().verify(chain, x509.ExtKeyUsageClientAuth, s.now())
 }
 
-// Accepts says whether the certificate that an open connection began with is still
-// accepted; the error says why not. What it may be used for was checked at the begin.
+// Accepts returns an error if the peer's certificate of an open connection is no longer
+// accepted. It does not check the certificate's usage, which the handshake checked.
 func (s *Source) Accepts(state *tls.ConnectionState) error {
 	if state == nil || len(state.PeerCertificates) == 0 {
 		return nil
@@ -138,7 +142,7 @@
 	if err := m.verify(state.PeerCertificates, x509.ExtKeyUsageAny, now); err != nil {
 		return err
 	}
-	a := &accepted{m, leaf, leaf.NotAfter}
+	a := &acceptedLeaf{m, leaf, leaf.NotAfter}
 	for _, c := range state.PeerCertificates {
 		if c.NotAfter.Before(a.until) {
 			a.until = c.NotAfter
@@ -148,20 +152,21 @@
 	return nil
 }
 
-// accepted is the last certificate that Accepts let pass: after a reload it is asked for
-// each connection to a target, and most of them began with the same one.
-type accepted struct {
+// acceptedLeaf caches the last certificate that Accepts verified. After a reload, Accepts is
+// called for each open connection, and most of them have the same certificate.
+type acceptedLeaf struct {
 	material *Material
 	leaf     *x509.Certificate
 	until    time.Time
 }
 
-// build makes the TLS configurations of the material.
+// build creates the TLS configurations of the material.
 func (m *Material) build() {
 	m.server = &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		ClientCAs:  m.roots,
-		// A ticket would outlive the authority that its session was checked against.
+		// With a ticket, a session could be resumed after the authority that it was checked
+		// against has been removed.
 		SessionTicketsDisabled: true,
 	}
 	m.client = &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: m.roots}
@@ -170,7 +175,7 @@
 	}
 }
 
-// ServerTLS is for a listener that asks nobody for a certificate.
+// ServerTLS returns the configuration of a listener that requests no client certificates.
 func (s *Source) ServerTLS() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -180,14 +185,14 @@
 	}
 }
 
-// notRevoked ends the handshake with a certificate that is revoked by the lists in force;
-// the chains were verified before.
-func (s *Source) notRevoked(state tls.ConnectionState) error {
+// checkRevocation fails the handshake if the peer's certificate is revoked by the lists in
+// force. It is called after the chains were verified.
+func (s *Source) checkRevocation(state tls.ConnectionState) error {
 	return s.Material().revoked.check(state.VerifiedChains)
 }
 
-// MutualTLS is for a listener that checks certificates against the authorities in
-// force. protocols are those of the application, by preference.
+// MutualTLS returns the configuration of a listener that checks client certificates against the
+// authorities in force. protocols are the ALPN protocols, in order of preference.
 func (s *Source) MutualTLS(auth tls.ClientAuthType, protocols ...string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -197,21 +202,22 @@
 			cfg := s.Material().server.Clone()
 			cfg.ClientAuth = auth
 			cfg.NextProtos = protocols
-			cfg.VerifyConnection = s.notRevoked
+			cfg.VerifyConnection = s.checkRevocation
 			return cfg, nil
 		},
 	}
 }
 
-// ClientTLS is for one connection that is opened now, to a server whose certificate
-// must be valid for the name.
+// ClientTLS returns the configuration of an outgoing connection that is opened now, to a server
+// whose certificate must be valid for the name.
 func (s *Source) ClientTLS(name string) *tls.Config {
 	m := s.Material()
 	cfg := m.client.Clone()
 	cfg.ServerName = name
-	cfg.VerifyConnection = s.notRevoked
+	cfg.VerifyConnection = s.checkRevocation
 	if m.cert != nil {
-		// Shown whatever authorities the server asks for: it then says what it refuses.
+		// The certificate is presented whatever authorities the server requests, so that the
+		// server can say which certificate it refuses.
 		cfg.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return s.Material().cert, nil
 		}
--- a/keys/watcher.go
+++ b/keys/watcher.go
@@ -6,51 +6,53 @@
 	"time"
 )
 
-// Change is what a watcher found about a source.
+// Change is the kind of a Notice.
 type Change int
 
 // The changes.
 const (
-	// Reloaded says that new files are in force, Refused that they can't be and the old
-	// ones stay, EndsSoon and Ended that a certificate in force ends or has ended.
+	// Reloaded means that new files are in force.
 	Reloaded Change = iota
+	// Refused means that new files can't be put in force; the old material stays.
 	Refused
+	// EndsSoon means that a certificate in force expires within Watcher.WarnBefore.
 	EndsSoon
+	// Ended means that a certificate in force has expired.
 	Ended
-	// ListOverdue says that a newer revocation list should have been put in place.
+	// ListOverdue means that a revocation list should have been replaced by a newer one.
 	ListOverdue
-	// Revoked says that the certificate that is shown is revoked.
+	// Revoked means that the source's own certificate is revoked.
 	Revoked
 )
 
-// Notice is a change of one source.
+// Notice reports a change of one source.
 type Notice struct {
 	Source *Source
 	Change Change
-	// Cause says in words for operators what was found.
+	// Cause describes the change in plain text for operators.
 	Cause string
 }
 
-// ending is how far the end of a source's certificates is, as last told.
-type ending int
+// expiryState says how close the certificates of a source are to their expiry.
+type expiryState int
 
 const (
-	endsLater ending = iota
-	endsSoon
-	ended
+	notExpiring expiryState = iota
+	expiresSoon
+	expired
 )
 
-// Watcher reloads sources and says when their certificates end.
+// Watcher reloads sources and reports when their certificates expire.
 type Watcher struct {
 	Sources []*Source
-	// WarnBefore is how long before its end a certificate is told of.
+	// WarnBefore is how long before its expiry a certificate is reported.
 	WarnBefore time.Duration
-	// Tell receives each notice; it is called by one goroutine at a time.
+	// Tell is called with each notice, by one goroutine at a time.
 	Tell func(Notice)
 }
 
-// Run looks at the files at each tick, and loads them in any case at each signal,
-// until ctx ends.
+// Run checks the files at once and at each tick, and reloads those that changed. At each signal
+// it reloads all files. It returns when ctx ends.
 func (w *Watcher) Run(ctx context.Context, ticks <-chan time.Time, signals <-chan struct{}) {
 	w.check(false)
 	for {
@@ -67,9 +69,9 @@
 
 func (w *Watcher) check(force bool) {
 	for _, s := range w.Sources {
-		tried, err := s.reload(force)
+		report, err := s.reload(force)
 		switch {
-		case !tried:
+		case !report:
 		case err != nil:
 			w.Tell(Notice{s, Refused, err.Error()})
 		default:
@@ -78,73 +80,74 @@
 				w.Tell(Notice{s, Revoked, err.Error()})
 			}
 		}
-		w.checkEnd(s)
+		w.checkExpiry(s)
 		w.checkLists(s)
 	}
 }
 
 func reloadCause(m *Material) string {
-	const cause = "the files changed, or a signal asked for it"
+	const cause = "the files changed, or a signal requested a reload"
 	if lists := m.Lists(); lists != "" {
 		return cause + "; " + lists
 	}
 	return cause
 }
 
-// checkLists tells once of each list that is overdue.
+// checkLists reports each overdue revocation list once.
 func (w *Watcher) checkLists(s *Source) {
 	overdue := s.Material().Overdue(s.now())
-	s.lock.Lock()
-	news := overdue != "" && overdue != s.overdue
+	s.mu.Lock()
+	isNew := overdue != "" && overdue != s.overdue
 	s.overdue = overdue
-	s.lock.Unlock()
-	if news {
+	s.mu.Unlock()
+	if isNew {
 		w.Tell(Notice{s, ListOverdue, overdue})
 	}
 }
 
-// checkEnd tells once of each step of a certificate towards its end.
-func (w *Watcher) checkEnd(s *Source) {
-	state := s.ending(w.WarnBefore)
-	s.lock.Lock()
-	news := state > s.warned
-	s.warned = max(s.warned, state)
-	s.lock.Unlock()
-	if !news {
+// checkExpiry reports once that a certificate expires soon, and once that it has expired.
+func (w *Watcher) checkExpiry(s *Source) {
+	state := s.expiryState(w.WarnBefore)
+	s.mu.Lock()
+	isNew := state > s.warnedExpiry
+	s.warnedExpiry = max(s.warnedExpiry, state)
+	s.mu.Unlock()
+	if !isNew {
 		return
 	}
 	change := EndsSoon
-	if state == ended {
+	if state == expired {
 		change = Ended
 	}
 	w.Tell(Notice{s, change, s.EndText()})
 }
 
-func (s *Source) ending(before time.Duration) ending {
+func (s *Source) expiryState(before time.Duration) expiryState {
 	left := s.Left()
 	switch {
 	case left <= 0:
-		return ended
+		return expired
 	case left < before:
-		return endsSoon
+		return expiresSoon
 	default:
-		return endsLater
+		return notExpiring
 	}
 }
 
-// Left returns the time until the first certificate in force ends; negative after it.
+// Left returns the time until the first certificate in force expires; negative afterwards.
 func (s *Source) Left() time.Duration {
 	ends, _ := s.Material().Ends()
 	return ends.Sub(s.now())
 }
 
-// EndText says which file's certificate ends, and when.
+// EndText says which file's certificate expires first, and when.
 func (s *Source) EndText() string {
 	ends, file := s.Material().Ends()
 	return fmt.Sprintf("the certificate in %s ends at %s, %d days left", file, ends.UTC().Format(time.RFC3339), DaysLeft(ends, s.now()))
 }
 
-// DaysLeft returns the whole days until the end; negative after it.
+// DaysLeft returns the whole days until ends. After it the result is negative, and a day that
+// has begun counts as a whole one.
 func DaysLeft(ends, now time.Time) int {
 	const day = 24 * time.Hour
 	left := ends.Sub(now)
