--- a/core/history/history.go
+++ b/core/history/history.go
@@ -126,7 +126,7 @@
 
 // Bytes returns the memory that the buckets take in bytes, without the names of services.
 func (r *Ring) Bytes() int {
-	// The sizes of a count, a serviceSlot and a slot without its arrays.
+	// The sizes in bytes of a count, a serviceSlot, and a bucketSlot without its arrays.
 	const count, row, header = 4, 12, 128
 	bucket := header + count*(r.cfg.latencies()+2*len(r.cfg.Causes)) + row*(r.cfg.Services+1)
 	return bucket * r.cfg.Buckets
--- a/core/selector/compile_test.go
+++ b/core/selector/compile_test.go
@@ -83,7 +83,7 @@
 		change func(*model.Model)
 		want   []string
 	}{
-		{"nothing", nil, []string{}},
+		{"valid model", nil, []string{}},
 		{"placement by caller on a divided service",
 			selectors(model.Selector{Name: "s", Service: "pages", Callers: mustParse("role = export"), Targets: mustParse("pool = big")}),
 			[]string{`selector "s": callers: service "pages" is divided by key, so placement must not depend on the caller; hand these callers to another service with to_service, or drop the condition`}},
@@ -114,13 +114,13 @@
 				model.Selector{Name: "s1", Service: "pages", Callers: mustParse("role in (a, b)"), Refuse: true},
 				model.Selector{Name: "s2", Service: "pages", Callers: mustParse("role notin (a, b)"), ToService: "files"}),
 			[]string{}},
-		{"loop of three",
+		{"cycle of three services",
 			selectors(
 				model.Selector{Name: "a", Service: "files", ToService: "misc"},
 				model.Selector{Name: "b", Service: "misc", ToService: "pages"},
 				model.Selector{Name: "c", Service: "pages", Callers: mustParse("x = y"), ToService: "files"}),
 			[]string{`selector "c": to_service: requests go round in a circle: files -> misc -> pages -> files; remove one of the selectors with to_service [selector "a"] [selector "b"]`}},
-		{"loop of one",
+		{"cycle of one service",
 			selectors(model.Selector{Name: "a", Service: "files", ToService: "files"}),
 			[]string{`selector "a": to_service: requests go round in a circle: files -> files; remove one of the selectors with to_service`}},
 		{"unknown service",
--- a/core/selector/index.go
+++ b/core/selector/index.go
@@ -31,6 +31,7 @@
 	return x
 }
 
+// addByService adds the objects of list to the map by their service, if the index includes it.
 func addByService[T any](x *index, into map[string][]*T, list []T, service func(*T) string) {
 	for i := range list {
 		if name := service(&list[i]); x.includes(name) {
@@ -39,6 +40,7 @@
 	}
 }
 
+// includes reports whether the index includes the service.
 func (x *index) includes(service string) bool { return x.wanted == nil || x.wanted[service] }
 
 // selectorsOf returns the selectors of a service, highest priority first; selectors of equal
--- a/keys/keys.go
+++ b/keys/keys.go
@@ -75,10 +75,11 @@
 	revoked     revocations
 	// ownRevoked is not nil if the certificate in cert is itself revoked.
 	ownRevoked error
-	// expiry is the earliest end of all certificates, and endsIn the file that holds it.
+	// expiry is the earliest expiry of all certificates, and expiryFile the file with that
+	// certificate.
 	expiry     time.Time
 	expiryFile string
-	// server is what GetConfigForClient returns for mutual TLS.
+	// server is the base of the configurations that Source.MutualTLS uses.
 	server *tls.Config
 	client *tls.Config
 }
@@ -86,6 +87,7 @@
 // Ends returns the earliest expiry of the certificates, and the file with that certificate.
 func (m *Material) Ends() (time.Time, string) { return m.expiry, m.expiryFile }
 
+// noteExpiry lowers m.expiry to t, the expiry of a certificate in the file, if t is earlier.
 func (m *Material) noteExpiry(t time.Time, file string) {
 	if m.expiryFile == "" || t.Before(m.expiry) {
 		m.expiry, m.expiryFile = t, file
@@ -221,6 +223,7 @@
 	return m.revoked.check(chains)
 }
 
+// chains verifies a chain, leaf first, and returns the chains to the authorities.
 func (m *Material) chains(chain []*x509.Certificate, usage x509.ExtKeyUsage, now time.Time) ([][]*x509.Certificate, error) {
 	intermediates := x509.NewCertPool()
 	for _, c := range chain[1:] {
@@ -231,6 +234,7 @@
 	})
 }
 
+// checkTime checks that the certificate is valid at now.
 func checkTime(file string, c *x509.Certificate, now time.Time) error {
 	if now.Before(c.NotBefore) {
 		return &Error{file, fmt.Sprintf("the certificate %q is valid only from %s", c.Subject.CommonName, c.NotBefore.UTC().Format(time.RFC3339)), "wait until then, or set the VM's clock"}
--- a/keys/read.go
+++ b/keys/read.go
@@ -33,6 +33,7 @@
 	return parseCertificates(file, data)
 }
 
+// parseCertificates parses the certificates in data, the content of the file.
 func parseCertificates(file string, data []byte) ([]*x509.Certificate, error) {
 	var certs []*x509.Certificate
 	for {
@@ -72,6 +73,7 @@
 	return parseKey(file, data)
 }
 
+// parseKey parses the first private key in data, the content of the file.
 func parseKey(file string, data []byte) (crypto.Signer, error) {
 	for {
 		var block *pem.Block
--- a/keys/revocation.go
+++ b/keys/revocation.go
@@ -61,6 +61,7 @@
 
 const rewriteListHint = "write the authority's list again as a PEM block X509 CRL"
 
+// addList adds the revocation list in the block to m.revoked.
 func (m *Material) addList(f *Files, block *pem.Block) error {
 	if block.Type != blockRevocations {
 		return &Error{f.CRL, fmt.Sprintf("it holds a block %s", block.Type), rewriteListHint}
--- a/keys/revocation_test.go
+++ b/keys/revocation_test.go
@@ -65,7 +65,7 @@
 	assert.NilError(t, err)
 	refused := func(err error) bool { var r *RevokedError; return errors.As(err, &r) && r.Name == "r2" }
 	at := start
-	for what, tc := range map[string]struct{ list, want string }{
+	for name, tc := range map[string]struct{ list, want string }{
 		"older":               {first, "has the number 1, and 2 is in force"},
 		"same number":         {string(same), "has the same number 2 as the one in force but a different content"},
 		"empty":               {"", "holds no revocation list"},
@@ -79,9 +79,9 @@
 		at = at.Add(time.Minute)
 		replaceFileAt(t, f.CRL, tc.list, at)
 		assert.DeepEqual(t, s.checkOnce(false), []Change{Refused})
-		assert.ErrorContains(t, s.Failure(), tc.want, what)
-		assert.Assert(t, refused(s.Verify(certificates(t, dir, "r2"))), what)
-		assert.NilError(t, s.Verify(certificates(t, dir, "r1")), what)
+		assert.ErrorContains(t, s.Failure(), tc.want, name)
+		assert.Assert(t, refused(s.Verify(certificates(t, dir, "r2"))), name)
+		assert.NilError(t, s.Verify(certificates(t, dir, "r1")), name)
 		replaceFileAt(t, f.CRL, good, at.Add(time.Second))
 		s.checkOnce(false)
 		assert.NilError(t, s.Failure())
@@ -133,9 +133,9 @@
 	}
 	revoke(t, dir, "r2")
 	for _, check := range []bool{false, true} {
-		one, two := open("r1", check), open("r2", false)
-		assert.Equal(t, handshake(t, one.MutualTLS(tls.RequireAndVerifyClientCert), two.ClientTLS("r1")) != nil, check)
-		assert.Equal(t, handshake(t, two.MutualTLS(tls.RequireAndVerifyClientCert), one.ClientTLS("r2")) != nil, check)
+		r1, r2 := open("r1", check), open("r2", false)
+		assert.Equal(t, handshake(t, r1.MutualTLS(tls.RequireAndVerifyClientCert), r2.ClientTLS("r1")) != nil, check)
+		assert.Equal(t, handshake(t, r2.MutualTLS(tls.RequireAndVerifyClientCert), r1.ClientTLS("r2")) != nil, check)
 	}
 }
 
@@ -150,14 +150,14 @@
 		cfg.Time = now
 		return cfg, err
 	}
-	a, b := net.Pipe()
-	defer a.Close()
-	defer b.Close()
-	accepting, dialling := tls.Server(a, server), tls.Client(b, client)
+	serverConn, clientConn := net.Pipe()
+	defer serverConn.Close()
+	defer clientConn.Close()
+	accepting, dialling := tls.Server(serverConn, server), tls.Client(clientConn, client)
 	done := make(chan error, 1)
-	go func() { done <- accepting.Handshake(); a.Close() }()
+	go func() { done <- accepting.Handshake(); serverConn.Close() }()
 	err := dialling.Handshake()
-	b.Close()
+	clientConn.Close()
 	for _, err := range []error{err, <-done} {
 		var r *RevokedError
 		if errors.As(err, &r) {
