--- a/kv/backoff.go
+++ b/kv/backoff.go
@@ -2,16 +2,18 @@
 
 import "time"
 
-// Backoff says how long to wait after failures in a row. It has neither clock
-// nor random source of its own.
+// Backoff computes how long to wait after consecutive failures. It has neither a clock
+// nor a random source of its own.
 type Backoff struct {
-	// Base bounds the wait after the first failure; each further one doubles the bound.
+	// Base is the upper bound of the wait after the first failure; each further failure
+	// doubles the bound.
 	Base time.Duration
-	// Cap bounds the wait after any number of failures.
+	// Cap is the highest bound, after any number of failures.
 	Cap time.Duration
 }
 
-// Default waits. With the cap, n routers ask a store that is down n/2.5 times a second.
+// Default bounds of the waits. With this cap, n routers call an unreachable store n/2.5 times a
+// second in total.
 const (
 	DefaultBackoffBase = 50 * time.Millisecond
 	DefaultBackoffCap  = 5 * time.Second
@@ -27,13 +29,13 @@
 	return b
 }
 
-// Wait returns a wait drawn evenly between zero and the bound after the number of
-// failures in a row (full jitter); random is in [0, 1).
+// Wait returns a random wait between zero and the bound for the number of consecutive
+// failures (full jitter); random is a uniformly distributed number in [0, 1).
 //
-// All routers see the store fail at the same moment. With equal waits they would
-// also return at the same moment, and the store, just back, would fail under them
-// again. One would notice it as bursts of calls at fixed distances. Waits that
-// are spread over the whole range have no moment in common.
+// All routers see the store fail at the same time. With equal waits they would also
+// retry at the same time and overload the store as soon as it recovers, which would
+// show as bursts of calls at fixed intervals. Waits that are spread over the whole
+// range prevent that.
 func (b Backoff) Wait(failures int, random float64) time.Duration {
 	if failures <= 0 {
 		return 0
@@ -45,62 +47,62 @@
 	return time.Duration(random * float64(min(bound, b.Cap)))
 }
 
-// gate keeps calls back after failures. It is a state machine without clock,
-// lock or random source.
-type gate struct {
+// backoffGate delays calls after failures. It is a state machine without a clock, a lock or
+// a random source.
+type backoffGate struct {
 	backoff  Backoff
 	failures int
-	// failedAt is when the last failure that counted was seen, until when its wait ends.
+	// failedAt is the time of the last counted failure, retryAt the end of its wait.
 	failedAt time.Time
-	until    time.Time
-	// probe says that only one call at a time goes out until one has succeeded. It is
-	// off for watches: one that waits for a change would keep the others back as long.
-	probe   bool
-	probing bool
+	retryAt  time.Time
+	// singleProbe allows only one call at a time until one has succeeded. It is off for
+	// watches, because a watch that waits for a change would block the others that long.
+	singleProbe   bool
+	probeInFlight bool
 }
 
-// admit says whether a call may go out. After failures it lets one call through
-// when the wait has ended, and the others once that one succeeded: all callers
-// of the process wait for the same moment, and would otherwise come at once.
-func (g *gate) admit(now time.Time) bool {
+// admit reports whether a call may be sent. After failures it admits one call when the
+// wait has ended, and the others when that call has succeeded: all callers in the
+// process wait until the same moment and would otherwise call simultaneously.
+func (g *backoffGate) admit(now time.Time) bool {
 	if g.failures == 0 {
 		return true
 	}
-	if g.probing || now.Before(g.until) {
+	if g.probeInFlight || now.Before(g.retryAt) {
 		return false
 	}
-	g.probing = g.probe
+	g.probeInFlight = g.singleProbe
 	return true
 }
 
-// succeeded opens the gate, unless the call began before the last failure: its
-// answer may be older than that.
-func (g *gate) succeeded(started time.Time) {
+// succeeded ends the backoff, unless the call started before the last failure: then the
+// store may have responded before it failed.
+func (g *backoffGate) succeeded(started time.Time) {
 	if g.failures > 0 && started.Before(g.failedAt) {
 		return
 	}
 	g.failures = 0
-	g.probing = false
+	g.probeInFlight = false
 }
 
-// failed begins a wait. Calls that began before the last failure do not count
-// again: many in flight at one moment of failure are one failure, and would
-// otherwise push the wait to its cap at once.
-func (g *gate) failed(now, started time.Time, random float64) {
+// failed starts a wait. Calls that started before the last counted failure are not
+// counted: many calls in flight when the store fails are one failure and would
+// otherwise raise the wait to its cap immediately.
+func (g *backoffGate) failed(now, started time.Time, random float64) {
 	if g.failures > 0 && started.Before(g.failedAt) {
 		return
 	}
 	g.failures++
 	g.failedAt = now
-	g.until = now.Add(g.backoff.Wait(g.failures, random))
-	g.probing = false
+	g.retryAt = now.Add(g.backoff.Wait(g.failures, random))
+	g.probeInFlight = false
 }
 
-// abandoned frees the probe's place after a call that says nothing about the
-// store, because its caller gave up.
-func (g *gate) abandoned(started time.Time) {
+// abandoned allows the next probe after a call whose caller cancelled it, which shows
+// nothing about the store.
+func (g *backoffGate) abandoned(started time.Time) {
 	if g.failures > 0 && started.Before(g.failedAt) {
 		return
 	}
-	g.probing = false
+	g.probeInFlight = false
 }
--- a/kv/backoff_test.go
+++ b/kv/backoff_test.go
@@ -18,20 +18,20 @@
 	assert.Equal(t, b.Wait(1<<30, 0.5), b.Cap/2)
 }
 
-// returns simulates routers that all meet an outage at once, and returns the
-// greatest number of them that calls within one window once the store is back.
-func returns(routers int, outage, window time.Duration, random func() float64) int {
+// busiestWindow simulates routers that all see an outage start at the same time, and returns
+// the largest number of them that call within one window after the store has recovered.
+func busiestWindow(routers int, outage, window time.Duration, random func() float64) int {
 	start := time.Unix(0, 0)
-	back := start.Add(outage)
+	recovered := start.Add(outage)
 	calls := make(map[int]int)
 	for range routers {
-		g := gate{backoff: Backoff{Base: 50 * time.Millisecond, Cap: 5 * time.Second}, probe: true}
+		g := backoffGate{backoff: Backoff{Base: 50 * time.Millisecond, Cap: 5 * time.Second}, singleProbe: true}
 		now := start
-		for now.Before(back) {
+		for now.Before(recovered) {
 			g.failed(now, now, random())
-			now = g.until.Add(time.Millisecond)
+			now = g.retryAt.Add(time.Millisecond)
 		}
-		calls[int(now.Sub(back)/window)]++
+		calls[int(now.Sub(recovered)/window)]++
 	}
 	most := 0
 	for _, n := range calls {
@@ -40,24 +40,23 @@
 	return most
 }
 
-// Symptom: the store comes back, fails again at once, and so on.
-// Sequence: an outage hits all routers at one moment; their equal waits end at
-// one moment too.
-// Cause: backoff without a random part.
+// Guards against a store that recovers and is overloaded again at once: an outage starts for
+// all routers at the same time, and without jitter their equal waits also end at the same time.
 func TestRoutersReturnSpreadOut(t *testing.T) {
 	const routers = 1000
 	const window = 100 * time.Millisecond
 	random := rand.New(rand.NewSource(1))
-	equal := returns(routers, time.Minute, window, func() float64 { return 0.999 })
-	spread := returns(routers, time.Minute, window, random.Float64)
+	equal := busiestWindow(routers, time.Minute, window, func() float64 { return 0.999 })
+	spread := busiestWindow(routers, time.Minute, window, random.Float64)
 	assert.Equal(t, equal, routers)
-	// Waits reach 5 s, which is 50 windows. Perfectly even they would hold 20 routers
-	// each; the remainders of waits crowd towards the first windows, by at most double.
+	// Waits are up to 5 s, which is 50 windows. With an even distribution each window would
+	// have 20 routers. The ends of the waits are denser in the first windows, by a factor of
+	// at most two.
 	assert.Assert(t, spread <= 60, "%d of %d routers within %v", spread, routers, window)
 }
 
-func TestFailuresOfOneMomentCountOnce(t *testing.T) {
-	g := gate{backoff: Backoff{Base: time.Second, Cap: time.Hour}}
+func TestConcurrentFailuresCountOnce(t *testing.T) {
+	g := backoffGate{backoff: Backoff{Base: time.Second, Cap: time.Hour}}
 	started := time.Unix(0, 0)
 	for i := range 100 {
 		g.failed(started.Add(time.Duration(i+1)*time.Millisecond), started, 0.5)
@@ -69,8 +68,8 @@
 	assert.Equal(t, g.failures, 0)
 }
 
-func TestAbandonedProbeMakesRoomForTheNext(t *testing.T) {
-	g := gate{backoff: Backoff{Base: time.Second, Cap: time.Second}, probe: true}
+func TestAbandonedProbeAllowsTheNext(t *testing.T) {
+	g := backoffGate{backoff: Backoff{Base: time.Second, Cap: time.Second}, singleProbe: true}
 	now := time.Unix(0, 0)
 	g.failed(now, now, 0.5)
 	now = now.Add(time.Second)
--- a/kv/budget.go
+++ b/kv/budget.go
@@ -10,7 +10,7 @@
 	"golang.org/x/time/rate"
 )
 
-// Priority says which calls go first where the budget is short.
+// Priority decides which calls are allowed first when the budget is nearly used up.
 type Priority uint8
 
 const (
@@ -35,21 +35,21 @@
 	}
 }
 
-// reserves are the shares of the burst that a priority leaves to those above it.
+// reserves are the shares of the burst that each priority leaves for higher ones.
 var reserves = [priorityCount]float64{Ownership: 0, Configuration: 0.25, Rest: 0.5}
 
-// Observer receives one observation for each call, those that the budget refused
-// included. Outcome is the call's Code, "over_budget" or "backed_off".
+// Observer receives one observation for each call, including calls that the budget
+// refused. Outcome is the call's Code, "over_budget" or "backed_off".
 type Observer interface {
 	StoreCall(kind, outcome string, d time.Duration)
 }
 
-// outcomeBackedOff is the outcome of a call that was kept back after failures.
+// outcomeBackedOff is the outcome of a call that was not sent because of earlier failures.
 const outcomeBackedOff = "backed_off"
 
-var errBackedOff = errors.New("kept back after failures")
+var errBackedOff = errors.New("not sent: backing off after failures")
 
-// Rate is a number of calls a second and how many may come at once.
+// Rate is a number of calls per second and the number allowed in a burst.
 type Rate struct {
 	PerSecond float64
 	Burst     int
@@ -57,15 +57,15 @@
 
 // BudgetConfig holds the settings of a budget.
 type BudgetConfig struct {
-	// Reads bounds get, list, watch and VM list calls. Default 100 a second, 200 at once.
+	// Reads limits get, list, watch and VM list calls. Default: 100 per second, burst 200.
 	Reads Rate
-	// Writes bounds compare-and-swap and lease calls. Default 20 a second, 40 at once.
+	// Writes limits compare-and-swap and lease calls. Default: 20 per second, burst 40.
 	Writes Rate
-	// Backoff bounds the waits after failures. Default 50 ms to 5 s.
+	// Backoff limits the waits after failures. Default: 50 ms to 5 s.
 	Backoff Backoff
 	// Observer receives an observation for each call. Default: none.
 	Observer Observer
-	// Now is the clock. Default time.Now.
+	// Now is the clock. Default: time.Now.
 	Now func() time.Time
 	// Random returns numbers in [0, 1). Default: math/rand/v2.
 	Random func() float64
@@ -100,10 +100,10 @@
 
 func (noObserver) StoreCall(string, string, time.Duration) {}
 
-// Budget bounds one router's calls to the platform. It never makes a call wait
-// and never repeats one: a call that does not fit is refused at once with
-// ErrOverBudget, one that is kept back after failures with ErrUnavailable, and
-// neither was sent. It is safe for concurrent use.
+// Budget limits one router's calls to the platform. It never delays or repeats a
+// call. A call beyond the rate is refused immediately with ErrOverBudget, a call
+// during the backoff after failures with ErrUnavailable; neither is sent. A Budget
+// is safe for concurrent use.
 type Budget struct {
 	store     Store
 	directory Directory
@@ -112,13 +112,13 @@
 	mu     sync.Mutex
 	reads  *rate.Limiter
 	writes *rate.Limiter
-	// Watches have a gate of their own: where only watches are broken, writes that
-	// keep keys served must not be kept back with them.
-	calls   gate
-	watches gate
+	// Watches have their own backoff: if only watches fail, writes that keep keys
+	// served must not be delayed.
+	calls   backoffGate
+	watches backoffGate
 }
 
-// NewBudget returns a budget over the store and the list of VMs.
+// NewBudget returns a budget for calls of the store and the list of VMs.
 func NewBudget(store Store, directory Directory, cfg BudgetConfig) *Budget {
 	cfg = cfg.withDefaults()
 	return &Budget{
@@ -127,38 +127,37 @@
 		cfg:       cfg,
 		reads:     rate.NewLimiter(rate.Limit(cfg.Reads.PerSecond), cfg.Reads.Burst),
 		writes:    rate.NewLimiter(rate.Limit(cfg.Writes.PerSecond), cfg.Writes.Burst),
-		calls:     gate{backoff: cfg.Backoff, probe: true},
-		watches:   gate{backoff: cfg.Backoff},
+		calls:     backoffGate{backoff: cfg.Backoff, singleProbe: true},
+		watches:   backoffGate{backoff: cfg.Backoff},
 	}
 }
 
-// For returns the platform as seen by calls of the priority. It implements Store
-// and Directory.
+// For returns a client whose calls have the priority. It implements Store and Directory.
 func (b *Budget) For(p Priority) *Budgeted { return &Budgeted{budget: b, priority: min(p, Rest)} }
 
-// call carries out one call within the budget.
+// call makes one call if the budget allows it.
 func (b *Budget) call(ctx context.Context, kind CallKind, p Priority, run func() error) error {
 	started := b.cfg.Now()
 	if err := b.admit(kind, p, started); err != nil {
-		b.cfg.Observer.StoreCall(string(kind), refusal(err), 0)
+		b.cfg.Observer.StoreCall(string(kind), refusalOutcome(err), 0)
 		return err
 	}
 	err := run()
 	ended := b.cfg.Now()
-	b.settle(ctx, kind, started, ended, err)
+	b.recordOutcome(ctx, kind, started, ended, err)
 	b.cfg.Observer.StoreCall(string(kind), Code(err), ended.Sub(started))
 	return err
 }
 
-func refusal(err error) string {
+func refusalOutcome(err error) string {
 	if errors.Is(err, errBackedOff) {
 		return outcomeBackedOff
 	}
 	return Code(err)
 }
 
-// admit takes a place in the budget. The rate comes first: a refused call must
-// not hold the place of the one that finds out whether the store is back.
+// admit takes a token of the budget. The rate is checked first: a call that it refuses
+// must not count as the probe that finds out whether the store has recovered.
 func (b *Budget) admit(kind CallKind, p Priority, now time.Time) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -174,9 +173,9 @@
 	return nil
 }
 
-// settle tells the gate how the call ended. Only the store's silence or refusal
-// counts as a failure; a conflict is an answer.
-func (b *Budget) settle(ctx context.Context, kind CallKind, started, ended time.Time, err error) {
+// recordOutcome updates the backoff after a call. Only a missing reply or a refusal counts as a
+// failure; a conflict is a reply.
+func (b *Budget) recordOutcome(ctx context.Context, kind CallKind, started, ended time.Time, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	g := b.gate(kind)
@@ -201,7 +200,7 @@
 	return b.reads
 }
 
-func (b *Budget) gate(kind CallKind) *gate {
+func (b *Budget) gate(kind CallKind) *backoffGate {
 	if kind == CallWatch {
 		return &b.watches
 	}
--- a/kv/budget_test.go
+++ b/kv/budget_test.go
@@ -15,110 +15,106 @@
 
 var _ kv.Observer = (*telemetry.Telemetry)(nil)
 
-// observed counts observations by kind and outcome.
-type observed map[string]int
+// callCounts counts observations by kind of call and outcome.
+type callCounts map[string]int
 
-func (o observed) StoreCall(kind, outcome string, _ time.Duration) { o[kind+" "+outcome]++ }
+func (o callCounts) StoreCall(kind, outcome string, _ time.Duration) { o[kind+" "+outcome]++ }
 
-// budgetBench is a budget over a stand-in with a clock moved by hand.
-type budgetBench struct {
+// budgetFixture is a budget for a stand-in platform, with a manual clock.
+type budgetFixture struct {
 	now      time.Time
 	platform *standin.Platform
 	budget   *kv.Budget
-	observed observed
+	counts   callCounts
 }
 
-func newBudgetBench(cfg kv.BudgetConfig) *budgetBench {
-	b := &budgetBench{now: time.Unix(1000, 0), platform: standin.New(standin.Config{}), observed: observed{}}
-	cfg.Now = func() time.Time { return b.now }
+func newBudgetFixture(cfg kv.BudgetConfig) *budgetFixture {
+	f := &budgetFixture{now: time.Unix(1000, 0), platform: standin.New(standin.Config{}), counts: callCounts{}}
+	cfg.Now = func() time.Time { return f.now }
 	cfg.Random = func() float64 { return 0.5 }
-	cfg.Observer = b.observed
-	c := b.platform.Client("a")
-	b.budget = kv.NewBudget(c, c, cfg)
-	return b
+	cfg.Observer = f.counts
+	c := f.platform.Client("a")
+	f.budget = kv.NewBudget(c, c, cfg)
+	return f
 }
 
-// get makes n calls of the priority and returns how many were let through.
-func (b *budgetBench) get(p kv.Priority, n int) int {
-	before := b.platform.Calls()[kv.CallGet]
+// get makes n calls of the priority and returns how many were sent.
+func (f *budgetFixture) get(p kv.Priority, n int) int {
+	before := f.platform.Calls()[kv.CallGet]
 	for range n {
-		_, _ = b.budget.For(p).Get(context.Background(), "k")
+		_, _ = f.budget.For(p).Get(context.Background(), "k")
 	}
-	return int(b.platform.Calls()[kv.CallGet] - before)
+	return int(f.platform.Calls()[kv.CallGet] - before)
 }
 
-// Symptom: keys stay unserved while a listing of everything runs.
-// Sequence: low-priority calls use up the budget, an ownership call is refused.
-// Cause: one budget for all without reserves.
-func TestFullBudgetServesOwnershipFirst(t *testing.T) {
-	b := newBudgetBench(kv.BudgetConfig{Reads: kv.Rate{PerSecond: 10, Burst: 40}})
-	assert.Equal(t, b.get(kv.Rest, 100), 20)
-	assert.Equal(t, b.get(kv.Configuration, 100), 10)
-	assert.Equal(t, b.get(kv.Ownership, 100), 10)
-	assert.Equal(t, b.get(kv.Ownership, 1), 0)
-	b.now = b.now.Add(time.Second)
-	assert.Equal(t, b.get(kv.Rest, 100), 0)
-	assert.Equal(t, b.get(kv.Configuration, 100), 0)
-	assert.Equal(t, b.get(kv.Ownership, 100), 10)
-	b.now = b.now.Add(2 * time.Second)
-	assert.Equal(t, b.get(kv.Rest, 100), 0)
-	assert.Equal(t, b.get(kv.Configuration, 100), 10)
+// Guards against keys that stay unserved while everything is listed: without reserves, calls of
+// low priority use up the budget and ownership calls are refused.
+func TestExhaustedBudgetServesOwnershipFirst(t *testing.T) {
+	f := newBudgetFixture(kv.BudgetConfig{Reads: kv.Rate{PerSecond: 10, Burst: 40}})
+	assert.Equal(t, f.get(kv.Rest, 100), 20)
+	assert.Equal(t, f.get(kv.Configuration, 100), 10)
+	assert.Equal(t, f.get(kv.Ownership, 100), 10)
+	assert.Equal(t, f.get(kv.Ownership, 1), 0)
+	f.now = f.now.Add(time.Second)
+	assert.Equal(t, f.get(kv.Rest, 100), 0)
+	assert.Equal(t, f.get(kv.Configuration, 100), 0)
+	assert.Equal(t, f.get(kv.Ownership, 100), 10)
+	f.now = f.now.Add(2 * time.Second)
+	assert.Equal(t, f.get(kv.Rest, 100), 0)
+	assert.Equal(t, f.get(kv.Configuration, 100), 10)
 }
 
-func TestWritesHaveABudgetOfTheirOwn(t *testing.T) {
-	b := newBudgetBench(kv.BudgetConfig{Reads: kv.Rate{PerSecond: 1, Burst: 1}})
-	assert.Equal(t, b.get(kv.Ownership, 2), 1)
-	s := b.budget.For(kv.Ownership)
+func TestWritesHaveTheirOwnBudget(t *testing.T) {
+	f := newBudgetFixture(kv.BudgetConfig{Reads: kv.Rate{PerSecond: 1, Burst: 1}})
+	assert.Equal(t, f.get(kv.Ownership, 2), 1)
+	s := f.budget.For(kv.Ownership)
 	_, err := s.CompareAndSwap(context.Background(), "k", 0, nil)
 	assert.NilError(t, err)
 	_, err = s.Get(context.Background(), "k")
 	assert.ErrorIs(t, err, kv.ErrOverBudget)
-	assert.DeepEqual(t, b.observed, observed{"get not_found": 1, "get over_budget": 2, "cas ok": 1})
+	assert.DeepEqual(t, f.counts, callCounts{"get not_found": 1, "get over_budget": 2, "cas ok": 1})
 }
 
-func TestFailuresKeepCallsBackUntilOneSucceeds(t *testing.T) {
-	b := newBudgetBench(kv.BudgetConfig{Backoff: kv.Backoff{Base: time.Second, Cap: 4 * time.Second}})
-	b.platform.SetDown(true)
-	assert.Equal(t, b.get(kv.Ownership, 10), 1)
-	b.now = b.now.Add(500 * time.Millisecond)
-	assert.Equal(t, b.get(kv.Ownership, 10), 1)
-	b.now = b.now.Add(500 * time.Millisecond)
-	assert.Equal(t, b.get(kv.Ownership, 10), 0)
-	b.platform.SetDown(false)
-	b.now = b.now.Add(500 * time.Millisecond)
-	assert.Equal(t, b.get(kv.Ownership, 10), 10)
-	assert.DeepEqual(t, b.observed, observed{"get unavailable": 2, "get backed_off": 28, "get not_found": 10})
+func TestCallsBackOffAfterFailuresUntilOneSucceeds(t *testing.T) {
+	f := newBudgetFixture(kv.BudgetConfig{Backoff: kv.Backoff{Base: time.Second, Cap: 4 * time.Second}})
+	f.platform.SetDown(true)
+	assert.Equal(t, f.get(kv.Ownership, 10), 1)
+	f.now = f.now.Add(500 * time.Millisecond)
+	assert.Equal(t, f.get(kv.Ownership, 10), 1)
+	f.now = f.now.Add(500 * time.Millisecond)
+	assert.Equal(t, f.get(kv.Ownership, 10), 0)
+	f.platform.SetDown(false)
+	f.now = f.now.Add(500 * time.Millisecond)
+	assert.Equal(t, f.get(kv.Ownership, 10), 10)
+	assert.DeepEqual(t, f.counts, callCounts{"get unavailable": 2, "get backed_off": 28, "get not_found": 10})
 }
 
-// Symptom: ownership changes stop although the store takes writes.
-// Sequence: the store drops watches and nothing else; each failed watch makes the
-// router keep all calls back.
-// Cause: one state of failure for watches and calls.
-func TestBrokenWatchesDoNotKeepWritesBack(t *testing.T) {
-	b := newBudgetBench(kv.BudgetConfig{})
-	b.platform.SetWatchFault(standin.WatchBroken)
-	s := b.budget.For(kv.Ownership)
+// Guards against ownership changes that stop although the store accepts writes: only watches fail,
+// and if watches and calls share one backoff, each failed watch delays all calls.
+func TestBrokenWatchesDoNotDelayWrites(t *testing.T) {
+	f := newBudgetFixture(kv.BudgetConfig{})
+	f.platform.SetWatchFault(standin.WatchBroken)
+	s := f.budget.For(kv.Ownership)
 	_, _, err := s.Watch(context.Background(), "", 0)
 	assert.ErrorIs(t, err, kv.ErrUnavailable)
 	_, err = s.CompareAndSwap(context.Background(), "k", 0, nil)
 	assert.NilError(t, err)
 	_, _, err = s.Watch(context.Background(), "", 0)
 	assert.ErrorIs(t, err, kv.ErrUnavailable)
-	assert.Equal(t, b.observed["watch backed_off"], 1)
+	assert.Equal(t, f.counts["watch backed_off"], 1)
 }
 
-// Symptom: after an outage one prefix is watched and the others stay stale.
-// Sequence: two watches fail, the wait ends, the first goes out and waits for a
-// change that does not come; the second is kept back until it does.
-// Cause: letting a single watch find out whether the store is back.
+// Guards against prefixes that stay stale after an outage: two watches fail, and after the backoff
+// the first is sent and waits for a change. If a single watch had to succeed first, the second
+// would not be sent until that change happens.
 func TestWatchesDoNotWaitForEachOther(t *testing.T) {
-	b := newBudgetBench(kv.BudgetConfig{})
-	s := b.budget.For(kv.Configuration)
-	b.platform.SetWatchFault(standin.WatchBroken)
+	f := newBudgetFixture(kv.BudgetConfig{})
+	s := f.budget.For(kv.Configuration)
+	f.platform.SetWatchFault(standin.WatchBroken)
 	_, _, err := s.Watch(context.Background(), "a/", 0)
 	assert.ErrorIs(t, err, kv.ErrUnavailable)
-	b.platform.SetWatchFault(standin.WatchWorks)
-	b.now = b.now.Add(time.Minute)
+	f.platform.SetWatchFault(standin.WatchWorks)
+	f.now = f.now.Add(time.Minute)
 
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -127,8 +123,8 @@
 		_, _, err := s.Watch(ctx, "a/", 0)
 		ended <- err
 	}()
-	waittest.Until(t, "the watch has gone out", func() bool { return b.platform.Calls()[kv.CallWatch] == 2 })
-	_, err = b.platform.Client("b").CompareAndSwap(ctx, "b/1", 0, nil)
+	waittest.Until(t, "the watch has been sent", func() bool { return f.platform.Calls()[kv.CallWatch] == 2 })
+	_, err = f.platform.Client("b").CompareAndSwap(ctx, "b/1", 0, nil)
 	assert.NilError(t, err)
 	records, _, err := s.Watch(ctx, "b/", 0)
 	assert.NilError(t, err)
@@ -137,9 +133,9 @@
 	assert.ErrorIs(t, <-ended, context.Canceled)
 }
 
-func TestBudgetPassesEveryCallOn(t *testing.T) {
-	b := newBudgetBench(kv.BudgetConfig{})
-	ctx, s := context.Background(), b.budget.For(kv.Rest)
+func TestBudgetForwardsEveryCall(t *testing.T) {
+	f := newBudgetFixture(kv.BudgetConfig{})
+	ctx, s := context.Background(), f.budget.For(kv.Rest)
 	revision, err := s.CompareAndSwap(ctx, "k", 0, []byte("v"))
 	assert.NilError(t, err)
 	record, err := s.Get(ctx, "k")
@@ -159,9 +155,9 @@
 	assert.NilError(t, s.Release(ctx, lease))
 	_, err = s.VMs(ctx)
 	assert.NilError(t, err)
-	want := observed{}
+	want := callCounts{}
 	for _, kind := range kv.CallKinds() {
 		want[string(kind)+" ok"] = 1
 	}
-	assert.DeepEqual(t, b.observed, want)
+	assert.DeepEqual(t, f.counts, want)
 }
--- a/kv/budgeted.go
+++ b/kv/budgeted.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Budgeted is the platform within a budget, for calls of one priority.
+// Budgeted is a client of the platform whose calls have one priority and count against a Budget.
 type Budgeted struct {
 	budget   *Budget
 	priority Priority
--- a/kv/call.go
+++ b/kv/call.go
@@ -1,6 +1,6 @@
 package kv
 
-// CallKind names one kind of call to the platform, in metrics and budgets.
+// CallKind is a kind of call to the platform; its value is used in metrics and on the wire.
 type CallKind string
 
 // The kinds of calls.
@@ -15,8 +15,8 @@
 	CallVMs     CallKind = "vms"
 )
 
-// Writes says whether a call of the kind may change the store, so that a lost
-// reply leaves its outcome unknown.
+// Writes reports whether a call of the kind may change the store, so that its outcome is
+// unknown if the reply is lost.
 func (k CallKind) Writes() bool {
 	switch k {
 	case CallCAS, CallAcquire, CallRenew, CallRelease:
--- a/kv/era.go
+++ b/kv/era.go
@@ -1,34 +1,34 @@
 package kv
 
-// Era counts how often a store has come back from an older copy of itself. What was written
-// since the copy is gone then, and revisions and leases are given out again. A store that does
-// not count is always in era 0.
+// Era is the number of times that a store has been restored from a backup. After a restore,
+// everything written since the backup is gone, and revisions and lease ids are used again. A store
+// that does not state its era is always in era 0.
 type Era uint32
 
 const (
-	// eraShift is how many bits of a Revision are the store's own number; the era stands above
-	// them, so that no two eras share one and those of a later era are greater. JSON numbers
-	// are exact up to as many bits.
+	// eraShift is the number of low bits of a Revision that have the store's own revision number.
+	// The era is in the bits above, so that revisions of two eras differ and those of a later era
+	// are greater. JSON numbers are exact up to this number of bits.
 	eraShift = 53
-	// LastEra is the highest era that a Revision can have.
+	// LastEra is the highest era that fits into a Revision.
 	LastEra Era = 1<<(64-eraShift) - 1
-	// LastNumber is the highest number of a revision.
+	// LastNumber is the highest revision number of the store that fits into a Revision.
 	LastNumber uint64 = 1<<eraShift - 1
 )
 
-// RevisionAt returns the revision of an era that the store itself calls number; neither may be
-// beyond its last.
+// RevisionAt returns the Revision for a revision number of the store in an era. They must not
+// exceed LastNumber and LastEra.
 func RevisionAt(era Era, number uint64) Revision { return Revision(uint64(era)<<eraShift | number) }
 
 // Era returns the era that the revision belongs to.
 func (r Revision) Era() Era { return Era(r >> eraShift) }
 
-// Number returns what the store itself calls the revision.
+// Number returns the store's own revision number.
 func (r Revision) Number() uint64 { return uint64(r) & LastNumber }
 
-// LeaseID names a lease of a Ledger; the zero value is none.
+// LeaseID identifies a lease of a Ledger; the zero value means no lease.
 type LeaseID struct {
-	// Era is that in which the lease was taken; Number is the store's own name for it.
+	// Era is the era in which the lease was acquired, Number the store's own id of the lease.
 	Era    Era
 	Number uint64
 }
--- a/kv/errors.go
+++ b/kv/errors.go
@@ -6,7 +6,7 @@
 	"github.com/pkg/errors"
 )
 
-// callError is one of the errors of the store together with what led to it.
+// callError is one of the errors of the store together with its cause.
 type callError struct {
 	class error
 	cause error
@@ -14,11 +14,11 @@
 
 func (e *callError) Error() string { return e.class.Error() + ": " + e.cause.Error() }
 
-// Unwrap lets errors.Is find both.
+// Unwrap makes errors.Is match both.
 func (e *callError) Unwrap() []error { return []error{e.class, e.cause} }
 
 // WithCause returns class, one of the errors of the store, with its cause;
-// errors.Is finds both. Without a cause it returns class itself.
+// errors.Is matches both. If cause is nil, it returns class itself.
 func WithCause(class, cause error) error {
 	if cause == nil {
 		return class
@@ -42,14 +42,14 @@
 	{ErrInvalid, "invalid"},
 }
 
-// CodeOK is the code of a call without error.
+// CodeOK is the code of a call that succeeded.
 const CodeOK = "ok"
 
-// codeCancelled is the code of a call whose caller gave up.
+// codeCancelled is the code of a call whose context ended.
 const codeCancelled = "cancelled"
 
 // Code returns the machine-readable name of the error's class: CodeOK for nil,
-// "cancelled" for a caller that gave up, "other" for an error that is not the store's.
+// "cancelled" for a context that ended, "other" for an error that is not the store's.
 func Code(err error) string {
 	if err == nil {
 		return CodeOK
@@ -65,8 +65,8 @@
 	return "other"
 }
 
-// ByCode returns the error of the store with the machine-readable name, or nil.
-func ByCode(code string) error {
+// ErrorForCode returns the error of the store that has the code, or nil.
+func ErrorForCode(code string) error {
 	for _, c := range codes {
 		if c.code == code {
 			return c.err
--- a/kv/httpstore/call.go
+++ b/kv/httpstore/call.go
@@ -15,13 +15,13 @@
 )
 
 var (
-	errIncomplete = errors.New("httpstore: incomplete answer")
-	errForeign    = errors.New("httpstore: answer is not the platform's")
+	errIncomplete      = errors.New("httpstore: incomplete answer")
+	errNotFromPlatform = errors.New("httpstore: answer is not the platform's")
 )
 
-// call carries out one call. It goes on to the next address only where no
-// connection could be had, because then the call surely was not sent; nothing
-// that may have reached the platform is repeated.
+// call makes one call. It tries the next address only if no connection could be opened,
+// because only then the call was certainly not sent. A call that may have reached the
+// platform is never repeated.
 func (c *Client) call(ctx context.Context, kind kv.CallKind, body *callBody) (*replyBody, error) {
 	payload, err := json.Marshal(body)
 	if err != nil {
@@ -29,31 +29,31 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.timeout(kind))
 	defer cancel()
-	var last error
+	var lastErr error
 	for range c.cfg.Addresses {
 		preferred := c.preferred.Load()
 		reply, sent, err := c.attempt(ctx, c.address(preferred), kind, payload)
 		if err == nil {
-			return reply, outcome(reply.Code)
+			return reply, errorForCode(reply.Code)
 		}
 		c.preferred.CompareAndSwap(preferred, preferred+1)
 		if sent {
-			return nil, c.lost(kind, err)
+			return nil, c.unansweredError(kind, err)
 		}
-		last = err
+		lastErr = err
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	return nil, kv.WithCause(kv.ErrUnavailable, last)
+	return nil, kv.WithCause(kv.ErrUnavailable, lastErr)
 }
 
-// outcome returns the platform's error for the code, nil for success.
-func outcome(code string) error {
+// errorForCode returns the store's error for the code, or nil for success.
+func errorForCode(code string) error {
 	if code == kv.CodeOK {
 		return nil
 	}
-	return kv.ByCode(code)
+	return kv.ErrorForCode(code)
 }
 
 func (c *Client) timeout(kind kv.CallKind) time.Duration {
@@ -67,10 +67,10 @@
 	return c.cfg.Addresses[int(n%uint32(len(c.cfg.Addresses)))]
 }
 
-// lost returns the error of a call that was sent and got no answer. Resting
-// connections are closed too: where something between lost track of one, it has
-// often lost all, and each would cost a call its full timeout.
-func (c *Client) lost(kind kv.CallKind, cause error) error {
+// unansweredError returns the error of a call that was sent and got no answer. It also
+// closes idle connections: an intermediary that has lost the state of one connection has often
+// lost all of them, and each would make a call wait for its full timeout.
+func (c *Client) unansweredError(kind kv.CallKind, cause error) error {
 	c.transport.CloseIdleConnections()
 	if kind.Writes() {
 		return kv.WithCause(kv.ErrUnknown, cause)
@@ -78,15 +78,15 @@
 	return kv.WithCause(kv.ErrUnavailable, cause)
 }
 
-// attempt sends the call to one address. Where it fails, sent says whether a
-// connection was had, so that the platform may have run the call.
+// attempt sends the call to one address. If it fails, sent reports whether a
+// connection was open, in which case the platform may have executed the call.
 func (c *Client) attempt(ctx context.Context, address string, kind kv.CallKind, payload []byte) (reply *replyBody, sent bool, err error) {
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent = true }}
 	request, err := c.newRequest(httptrace.WithClientTrace(ctx, trace), address, kind, payload)
 	if err != nil {
 		return nil, false, err
 	}
-	// The transport is used without http.Client: that would follow redirects and so
+	// The transport is used without http.Client, which would follow redirects and so
 	// send a write twice.
 	response, err := c.transport.RoundTrip(request)
 	if err != nil {
@@ -103,16 +103,16 @@
 	if err != nil {
 		return nil, err
 	}
-	// net/http replays a request on another connection only where it can rewind the
-	// body. Without GetBody it cannot, so that every replay is ours to decide.
+	// net/http replays a request on another connection only if it can rewind the body.
+	// Without GetBody it cannot, so that only this package decides on replays.
 	request.GetBody = nil
 	request.Header.Set("Content-Type", contentType)
 	request.Header.Set(headerClient, c.cfg.Name)
 	return request, nil
 }
 
-// readReply decodes an answer. One that lacks a code of the protocol, such as
-// the error page of something between, says nothing about whether the call ran.
+// readReply decodes an answer. An answer without a code of the protocol, such as
+// the error page of an intermediary, does not show whether the call was executed.
 func readReply(response *http.Response, limit int64) (*replyBody, error) {
 	data, err := io.ReadAll(io.LimitReader(response.Body, limit+1))
 	if err != nil {
@@ -123,11 +123,11 @@
 	}
 	var reply replyBody
 	if err := json.Unmarshal(data, &reply); err != nil {
-		return nil, errors.Wrapf(errForeign, "status %d", response.StatusCode)
+		return nil, errors.Wrapf(errNotFromPlatform, "status %d", response.StatusCode)
 	}
 	status, known := statuses[reply.Code]
 	if !known || status != response.StatusCode {
-		return nil, errors.Wrapf(errForeign, "status %d, code %q", response.StatusCode, reply.Code)
+		return nil, errors.Wrapf(errNotFromPlatform, "status %d, code %q", response.StatusCode, reply.Code)
 	}
 	return &reply, nil
 }
--- a/kv/httpstore/client.go
+++ b/kv/httpstore/client.go
@@ -15,28 +15,29 @@
 
 // Config holds the settings of a client.
 type Config struct {
-	// Addresses are the platform's addresses as host:port; at least one.
+	// Addresses are the platform's addresses, host:port; at least one is required.
 	Addresses []string
-	// Name names the client to the platform.
+	// Name is the client's name, which is sent to the platform.
 	Name string
-	// TLS switches to HTTPS where it is set.
+	// TLS enables HTTPS if it is set.
 	TLS *tls.Config
-	// DialTLS switches to HTTPS too and gives the configuration for a connection to the
-	// host that is opened now, in place of TLS.
+	// DialTLS also enables HTTPS. It returns the TLS configuration for each new connection
+	// to the host and replaces TLS.
 	DialTLS func(host string) *tls.Config
-	// Timeout bounds each call but watches. Default 2 s.
+	// Timeout limits each call except watches. Default: 2 s.
 	Timeout time.Duration
-	// DialTimeout bounds opening a connection. Default 500 ms.
+	// DialTimeout limits opening a connection. Default: 500 ms.
 	DialTimeout time.Duration
-	// WatchWait is how long the platform holds a watch without a change. Default 30 s.
+	// WatchWait is how long the platform waits for a change before it answers a watch.
+	// Default: 30 s.
 	WatchWait time.Duration
-	// WatchGrace is how much later than WatchWait an answer may come. Default 3 s.
+	// WatchGrace is how much later than WatchWait the answer to a watch may arrive. Default: 3 s.
 	WatchGrace time.Duration
-	// MaxConns bounds the connections to one address. Default 32.
+	// MaxConns limits the connections to one address. Default: 32.
 	MaxConns int
-	// MaxReply bounds an answer in bytes. Default 64 MiB.
+	// MaxReply limits the size of an answer in bytes. Default: 64 MiB.
 	MaxReply int64
-	// Now is the clock that dates leases. Default time.Now.
+	// Now is the clock for Renewed of leases. Default: time.Now.
 	Now func() time.Time
 }
 
@@ -47,8 +48,8 @@
 	defaultWatchGrace  = 3 * time.Second
 	defaultMaxConns    = 32
 	defaultMaxReply    = 64 << 20
-	// idleTimeout closes resting connections before a server or something between
-	// does so unseen.
+	// idleTimeout closes idle connections before a server or an intermediary drops them
+	// without notice.
 	idleTimeout = 20 * time.Second
 )
 
@@ -75,13 +76,14 @@
 	}
 }
 
-// Client speaks the protocol to the platform. It implements kv.Store and
+// Client calls the platform over the protocol. It implements kv.Store and
 // kv.Directory and is safe for concurrent use.
 type Client struct {
 	cfg       Config
 	scheme    string
 	transport *http.Transport
-	// preferred counts the address switches; its remainder is the address in use.
+	// preferred counts the changes of the address. Modulo the number of addresses it is the
+	// index of the current one.
 	preferred atomic.Uint32
 }
 
@@ -103,8 +105,8 @@
 	return c, nil
 }
 
-// newTransport returns a transport without proxies, compression and HTTP/2: with
-// one call at a time on a connection, a broken one spoils only its own call.
+// newTransport returns a transport without proxies, compression and HTTP/2. A connection
+// carries one call at a time, so that a broken connection affects only one call.
 func newTransport(cfg Config) *http.Transport {
 	dialer := &net.Dialer{Timeout: cfg.DialTimeout}
 	transport := &http.Transport{
@@ -125,7 +127,7 @@
 	return transport
 }
 
-// dialTLS opens a connection and ends its handshake within the dialer's time.
+// dialTLS opens a connection and completes its TLS handshake within the dialer's timeout.
 func dialTLS(ctx context.Context, dialer *net.Dialer, configFor func(string) *tls.Config, network, address string) (net.Conn, error) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -137,7 +139,7 @@
 	return secure.DialContext(ctx, network, address)
 }
 
-// Close closes the resting connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
 // Get implements kv.Store.
@@ -173,9 +175,9 @@
 	return reply.Revision, nil
 }
 
-// Watch implements kv.Store. An answer that does not come in time counts
-// as a broken watch: a connection that went silent would otherwise look like a
-// prefix without changes.
+// Watch implements kv.Store. It returns an error if the answer does not arrive in time:
+// otherwise a connection that no longer delivers packets would look like a prefix without
+// changes.
 func (c *Client) Watch(ctx context.Context, prefix string, since kv.Revision) ([]kv.Record, kv.Revision, error) {
 	body := &callBody{Prefix: prefix, Revision: since, WaitMillis: c.cfg.WatchWait.Milliseconds()}
 	reply, err := c.call(ctx, kv.CallWatch, body)
@@ -198,8 +200,8 @@
 	return c.lease(ctx, kv.CallRenew, lease)
 }
 
-// lease carries out a call that returns a lease. Renewed is read before the call
-// is sent: the platform may have counted from any moment after it.
+// lease makes a call that returns a lease. Renewed is the time before the call is sent,
+// because the platform's TTL may start at any moment after it.
 func (c *Client) lease(ctx context.Context, kind kv.CallKind, lease kv.Lease) (kv.Lease, error) {
 	sent := c.cfg.Now()
 	reply, err := c.call(ctx, kind, &callBody{Lease: encodeLease(lease)})
--- a/kv/httpstore/contract_fault_test.go
+++ b/kv/httpstore/contract_fault_test.go
@@ -12,13 +12,13 @@
 )
 
 func TestDownStoreRefusesEverything(t *testing.T) {
-	contract(t, func(t *testing.T, b *bench) {
-		ctx, s := context.Background(), b.connect("a")
-		results := watchInBackground(t, b, s, ctx, 0)
-		b.platform.SetDown(true)
+	forEachImplementation(t, func(t *testing.T, f *fixture) {
+		ctx, s := context.Background(), f.connect("a")
+		results := watchInBackground(t, f, s, ctx, 0)
+		f.platform.SetDown(true)
 		assert.ErrorIs(t, (<-results).err, kv.ErrUnavailable)
 		assertUnreachable(t, s)
-		b.platform.SetDown(false)
+		f.platform.SetDown(false)
 		_, err := s.CompareAndSwap(ctx, "a/1", 0, []byte("one"))
 		assert.NilError(t, err)
 	})
@@ -44,26 +44,25 @@
 	assert.ErrorIs(t, err, kv.ErrUnavailable)
 }
 
-func TestCutOffDataCentre(t *testing.T) {
-	contract(t, func(t *testing.T, b *bench) {
-		ctx, cut, other := context.Background(), b.connect("lapu/router-1"), b.connect("lapu-lapu/router-1")
-		b.platform.CutOff("lapu", true)
+func TestCutOffDataCentreCanNotReachTheStore(t *testing.T) {
+	forEachImplementation(t, func(t *testing.T, f *fixture) {
+		ctx, cut, other := context.Background(), f.connect("lapu/router-1"), f.connect("lapu-lapu/router-1")
+		f.platform.CutOff("lapu", true)
 		assertUnreachable(t, cut)
 		_, err := other.CompareAndSwap(ctx, "a/1", 0, []byte("one"))
 		assert.NilError(t, err)
-		b.platform.CutOff("lapu", false)
+		f.platform.CutOff("lapu", false)
 		_, err = cut.Get(ctx, "a/1")
 		assert.NilError(t, err)
 	})
 }
 
-// Symptom: a write is reported as failed and shows up nevertheless.
-// Sequence: the write takes effect and its reply is lost.
-// Cause: a client that takes every error for "did not happen".
+// Guards against a write that is reported as failed although it took effect: its reply is lost, and
+// the client takes every error for a call without effect.
 func TestLostReplyIsUnknown(t *testing.T) {
-	contract(t, func(t *testing.T, b *bench) {
-		ctx, s := context.Background(), b.connect("a")
-		b.platform.LoseReplies(kv.CallCAS, 1)
+	forEachImplementation(t, func(t *testing.T, f *fixture) {
+		ctx, s := context.Background(), f.connect("a")
+		f.platform.LoseReplies(kv.CallCAS, 1)
 		_, err := s.CompareAndSwap(ctx, "a/1", 0, []byte("one"))
 		assert.ErrorIs(t, err, kv.ErrUnknown)
 		record, err := s.Get(ctx, "a/1")
@@ -71,7 +70,7 @@
 		assert.Equal(t, string(record.Value), "one")
 		_, err = s.CompareAndSwap(ctx, "a/1", record.Revision, []byte("two"))
 		assert.NilError(t, err)
-		b.platform.LoseReplies(kv.CallAcquire, 1)
+		f.platform.LoseReplies(kv.CallAcquire, 1)
 		_, err = s.Acquire(ctx, "duty", "a", time.Minute)
 		assert.ErrorIs(t, err, kv.ErrUnknown)
 		_, err = s.Acquire(ctx, "duty", "a", time.Minute)
@@ -79,41 +78,40 @@
 	})
 }
 
-// Symptom: a write lands long after its caller gave up on it.
-// Sequence: the store is slow, the caller's context ends, the store goes on.
-// Cause: none to mend: callers must count with it, so the stand-in does it.
-func TestSlowWriteLandsAfterItsCallerGaveUp(t *testing.T) {
-	contract(t, func(t *testing.T, b *bench) {
-		s := b.connect("a")
-		b.platform.SetDelay(time.Hour)
+// A slow store may apply a write long after the caller's context has ended. That can't be prevented,
+// so callers must handle it, and the stand-in reproduces it.
+func TestSlowWriteTakesEffectAfterItsCallerCancelled(t *testing.T) {
+	forEachImplementation(t, func(t *testing.T, f *fixture) {
+		s := f.connect("a")
+		f.platform.SetDelay(time.Hour)
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() {
-			<-b.clock.asleep
+			<-f.clock.delayed
 			cancel()
 		}()
 		_, err := s.CompareAndSwap(ctx, "a/1", 0, []byte("one"))
 		assert.ErrorIs(t, err, kv.ErrUnknown)
 		_, err = s.Get(ctx, "a/1")
 		assert.ErrorIs(t, err, kv.ErrUnavailable)
-		b.platform.SetDelay(0)
-		waittest.Until(t, "the write lands", func() bool { return b.platform.Revision() > 0 })
+		f.platform.SetDelay(0)
+		waittest.Until(t, "the write takes effect", func() bool { return f.platform.Revision() > 0 })
 		_, err = s.Get(context.Background(), "a/1")
 		assert.NilError(t, err)
 	})
 }
 
 func TestStaleListOfVMs(t *testing.T) {
-	contract(t, func(t *testing.T, b *bench) {
-		ctx, s := context.Background(), b.connect("a")
+	forEachImplementation(t, func(t *testing.T, f *fixture) {
+		ctx, s := context.Background(), f.connect("a")
 		old := []kv.VM{{Name: "r1", DataCentre: "lapu", PeerAddress: "127.0.0.1:1"}}
 		current := []kv.VM{{Name: "r1", DataCentre: "lapu", PeerAddress: "127.0.0.1:1", Leaving: true}}
-		b.platform.SetVMs(old)
-		b.platform.SetStaleVMs(true)
-		b.platform.SetVMs(current)
+		f.platform.SetVMs(old)
+		f.platform.SetStaleVMs(true)
+		f.platform.SetVMs(current)
 		vms, err := s.VMs(ctx)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, vms, old)
-		b.platform.SetStaleVMs(false)
+		f.platform.SetStaleVMs(false)
 		vms, err = s.VMs(ctx)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, vms, current)
--- a/kv/httpstore/contract_test.go
+++ b/kv/httpstore/contract_test.go
@@ -18,19 +18,19 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// clock is a clock that tests move by hand.
+// clock is a manual clock.
 type clock struct {
 	mu  sync.Mutex
 	now time.Time
-	// asleep gets one for each call that a slow store holds.
-	asleep chan struct{}
+	// delayed receives a value for each call that a slow store delays.
+	delayed chan struct{}
 }
 
-func newClock() *clock { return &clock{now: time.Unix(1_000_000, 0), asleep: make(chan struct{}, 1)} }
+func newClock() *clock { return &clock{now: time.Unix(1_000_000, 0), delayed: make(chan struct{}, 1)} }
 
-// Sleep holds a call until its caller gives up.
+// Sleep delays a call until its context ends.
 func (c *clock) Sleep(ctx context.Context, _ time.Duration) error {
-	c.asleep <- struct{}{}
+	c.delayed <- struct{}{}
 	<-ctx.Done()
 	return ctx.Err()
 }
@@ -47,35 +47,35 @@
 	c.now = c.now.Add(d)
 }
 
-// client is what the contract is about.
+// client is the interface that each implementation must provide.
 type client interface {
 	kv.Store
 	kv.Directory
 }
 
-// bench is one implementation under test with the stand-in behind it.
-type bench struct {
+// fixture is one implementation under test and the stand-in that it uses.
+type fixture struct {
 	platform *standin.Platform
 	clock    *clock
 	// connect returns a client with the name.
 	connect func(name string) client
-	// remote says whether calls go over HTTP.
+	// remote is true if calls are made over HTTP.
 	remote bool
 }
 
-const history = 8
+const historySize = 8
 
 func newPlatform() (*standin.Platform, *clock) {
 	c := newClock()
-	return standin.New(standin.Config{Now: c.Now, History: history, Sleep: c.Sleep}), c
+	return standin.New(standin.Config{Now: c.Now, History: historySize, Sleep: c.Sleep}), c
 }
 
-func direct(*testing.T) *bench {
+func newDirectFixture(*testing.T) *fixture {
 	p, c := newPlatform()
-	return &bench{platform: p, clock: c, connect: func(name string) client { return p.Client(name) }}
+	return &fixture{platform: p, clock: c, connect: func(name string) client { return p.Client(name) }}
 }
 
-// serveStore serves the platform over HTTP until the test has ended.
+// serveStore serves the platform over HTTP until the test ends.
 func serveStore(t *testing.T, p *standin.Platform) *httptest.Server {
 	t.Helper()
 	server := httptest.NewServer(httpstore.NewHandler(func(name string) httpstore.Backend { return p.Client(name) }))
@@ -83,24 +83,24 @@
 	return server
 }
 
-func overHTTP(t *testing.T) *bench {
+func newHTTPFixture(t *testing.T) *fixture {
 	p, c := newPlatform()
 	server := serveStore(t, p)
 	connect := func(name string) client {
 		return newClient(t, httpstore.Config{Addresses: []string{server.Listener.Addr().String()}, Name: name, Now: c.Now})
 	}
-	return &bench{platform: p, clock: c, connect: connect, remote: true}
+	return &fixture{platform: p, clock: c, connect: connect, remote: true}
 }
 
-// contract runs the test against each implementation.
-func contract(t *testing.T, test func(t *testing.T, b *bench)) {
-	t.Run("direct", func(t *testing.T) { test(t, direct(t)) })
-	t.Run("http", func(t *testing.T) { test(t, overHTTP(t)) })
+// forEachImplementation runs the test with each implementation.
+func forEachImplementation(t *testing.T, test func(t *testing.T, f *fixture)) {
+	t.Run("direct", func(t *testing.T) { test(t, newDirectFixture(t)) })
+	t.Run("http", func(t *testing.T) { test(t, newHTTPFixture(t)) })
 }
 
 func TestGetAndCompareAndSwap(t *testing.T) {
-	contract(t, func(t *testing.T, b *bench) {
-		ctx, s := context.Background(), b.connect("a")
+	forEachImplementation(t, func(t *testing.T, f *fixture) {
+		ctx, s := context.Background(), f.connect("a")
 		_, err := s.Get(ctx, "k")
 		assert.ErrorIs(t, err, kv.ErrNotFound)
 		_, err = s.CompareAndSwap(ctx, "k", 7, []byte("x"))
@@ -120,9 +120,9 @@
 	})
 }
 
-func TestLargestValue(t *testing.T) {
-	contract(t, func(t *testing.T, b *bench) {
-		ctx, s := context.Background(), b.connect("a")
+func TestValueSizeLimit(t *testing.T) {
+	forEachImplementation(t, func(t *testing.T, f *fixture) {
+		ctx, s := context.Background(), f.connect("a")
 		_, err := s.CompareAndSwap(ctx, "k", 0, make([]byte, kv.MaxValue+1))
 		assert.ErrorIs(t, err, kv.ErrTooLarge)
 		value := bytes.Repeat([]byte{0xff}, kv.MaxValue)
@@ -135,39 +135,39 @@
 }
 
 func TestListIsOrderedAndBounded(t *testing.T) {
-	contract(t, func(t *testing.T, b *bench) {
-		ctx, s := context.Background(), b.connect("a")
+	forEachImplementation(t, func(t *testing.T, f *fixture) {
+		ctx, s := context.Background(), f.connect("a")
 		for _, key := range []string{"a/2", "b/1", "a/1"} {
 			_, err := s.CompareAndSwap(ctx, key, 0, []byte(key))
 			assert.NilError(t, err)
 		}
 		records, revision, err := s.List(ctx, "a/")
 		assert.NilError(t, err)
-		assert.Equal(t, revision, b.platform.Revision())
+		assert.Equal(t, revision, f.platform.Revision())
 		assert.Equal(t, len(records), 2)
 		assert.Equal(t, records[0].Key, "a/1")
 		assert.Equal(t, records[1].Key, "a/2")
 	})
 }
 
-func TestLease(t *testing.T) {
-	contract(t, func(t *testing.T, b *bench) {
-		ctx, s, other := context.Background(), b.connect("a"), b.connect("b")
+func TestLeaseIsExclusiveUntilItExpires(t *testing.T) {
+	forEachImplementation(t, func(t *testing.T, f *fixture) {
+		ctx, s, other := context.Background(), f.connect("a"), f.connect("b")
 		const ttl = 10 * time.Second
 		lease, err := s.Acquire(ctx, "duty", "a", ttl)
 		assert.NilError(t, err)
-		assert.Assert(t, lease.Renewed.Equal(b.clock.Now()))
+		assert.Assert(t, lease.Renewed.Equal(f.clock.Now()))
 		_, err = other.Acquire(ctx, "duty", "b", ttl)
 		assert.ErrorIs(t, err, kv.ErrLeaseLost)
 
-		b.clock.Add(ttl - time.Second)
+		f.clock.Add(ttl - time.Second)
 		lease, err = s.Renew(ctx, lease)
 		assert.NilError(t, err)
-		b.clock.Add(ttl - time.Second)
+		f.clock.Add(ttl - time.Second)
 		_, err = other.Acquire(ctx, "duty", "b", ttl)
 		assert.ErrorIs(t, err, kv.ErrLeaseLost)
 
-		b.clock.Add(time.Second)
+		f.clock.Add(time.Second)
 		_, err = s.Renew(ctx, lease)
 		assert.ErrorIs(t, err, kv.ErrLeaseLost)
 		taken, err := other.Acquire(ctx, "duty", "b", ttl)
@@ -182,19 +182,18 @@
 	})
 }
 
-// Symptom: two routers act as holder of one lease.
-// Sequence: a holder is paused, its lease lapses, another acquires it, the first
-// wakes and renews.
-// Cause: a store that renews by name instead of by the lease's id.
-func TestLapsedLeaseIsNotRenewed(t *testing.T) {
-	contract(t, func(t *testing.T, b *bench) {
-		ctx, s := context.Background(), b.connect("a")
+// Guards against two routers that act as the holder of one lease: a holder is suspended, its lease
+// expires, another router acquires it, and the first resumes and renews it. This happens if the
+// store renews leases by name instead of by id.
+func TestExpiredLeaseIsNotRenewed(t *testing.T) {
+	forEachImplementation(t, func(t *testing.T, f *fixture) {
+		ctx, s := context.Background(), f.connect("a")
 		lease, err := s.Acquire(ctx, "duty", "a", time.Minute)
 		assert.NilError(t, err)
-		b.platform.LapseLease("duty")
+		f.platform.ExpireLease("duty")
 		_, err = s.Renew(ctx, lease)
 		assert.ErrorIs(t, err, kv.ErrLeaseLost)
-		_, err = b.connect("b").Acquire(ctx, "duty", "b", time.Minute)
+		_, err = f.connect("b").Acquire(ctx, "duty", "b", time.Minute)
 		assert.NilError(t, err)
 		_, err = s.Renew(ctx, lease)
 		assert.ErrorIs(t, err, kv.ErrLeaseLost)
@@ -202,13 +201,13 @@
 }
 
 func TestCallsAreCounted(t *testing.T) {
-	contract(t, func(t *testing.T, b *bench) {
-		ctx, s := context.Background(), b.connect("a")
+	forEachImplementation(t, func(t *testing.T, f *fixture) {
+		ctx, s := context.Background(), f.connect("a")
 		_, _ = s.CompareAndSwap(ctx, "a/1", 0, nil)
 		_, _ = s.Get(ctx, "a/1")
 		_, _ = s.Get(ctx, "a/2")
 		_, _, _ = s.Watch(ctx, "a/", 0)
-		calls := b.platform.Calls()
+		calls := f.platform.Calls()
 		assert.DeepEqual(t, calls, map[kv.CallKind]uint64{
 			kv.CallCAS: 1, kv.CallGet: 2, kv.CallWatch: 1,
 		})
--- a/kv/httpstore/contract_watch_test.go
+++ b/kv/httpstore/contract_watch_test.go
@@ -13,8 +13,8 @@
 )
 
 func TestWatchReturnsLastValueOfEachKey(t *testing.T) {
-	contract(t, func(t *testing.T, b *bench) {
-		ctx, s := context.Background(), b.connect("a")
+	forEachImplementation(t, func(t *testing.T, f *fixture) {
+		ctx, s := context.Background(), f.connect("a")
 		first, err := s.CompareAndSwap(ctx, "a/1", 0, []byte("old"))
 		assert.NilError(t, err)
 		_, err = s.CompareAndSwap(ctx, "a/2", 0, []byte("two"))
@@ -25,14 +25,14 @@
 		assert.NilError(t, err)
 		records, revision, err := s.Watch(ctx, "a/", 0)
 		assert.NilError(t, err)
-		assert.Equal(t, revision, b.platform.Revision())
+		assert.Equal(t, revision, f.platform.Revision())
 		assert.Equal(t, len(records), 2)
 		assert.Equal(t, string(records[0].Value), "two")
 		assert.Equal(t, string(records[1].Value), "new")
 	})
 }
 
-// watchResult is what a watch in the background returned.
+// watchResult is the result of a watch in the background.
 type watchResult struct {
 	records  []kv.Record
 	revision kv.Revision
@@ -40,23 +40,23 @@
 }
 
 // watchInBackground starts a watch and returns once the store has counted it.
-func watchInBackground(t *testing.T, b *bench, s client, ctx context.Context, since kv.Revision) <-chan watchResult {
+func watchInBackground(t *testing.T, f *fixture, s client, ctx context.Context, since kv.Revision) <-chan watchResult {
 	t.Helper()
-	before := b.platform.Calls()[kv.CallWatch]
+	before := f.platform.Calls()[kv.CallWatch]
 	results := make(chan watchResult, 1)
 	go func() {
 		records, revision, err := s.Watch(ctx, "a/", since)
 		results <- watchResult{records, revision, err}
 	}()
-	waittest.Until(t, "the watch is counted", func() bool { return b.platform.Calls()[kv.CallWatch] > before })
+	waittest.Until(t, "the watch is counted", func() bool { return f.platform.Calls()[kv.CallWatch] > before })
 	return results
 }
 
-func TestWatchWaits(t *testing.T) {
-	contract(t, func(t *testing.T, b *bench) {
+func TestWatchWaitsForAChange(t *testing.T) {
+	forEachImplementation(t, func(t *testing.T, f *fixture) {
 		ctx, cancel := context.WithCancel(context.Background())
-		s := b.connect("a")
-		results := watchInBackground(t, b, s, ctx, 0)
+		s := f.connect("a")
+		results := watchInBackground(t, f, s, ctx, 0)
 		_, err := s.CompareAndSwap(ctx, "b/1", 0, []byte("elsewhere"))
 		assert.NilError(t, err)
 		_, err = s.CompareAndSwap(ctx, "a/1", 0, []byte("one"))
@@ -66,22 +66,21 @@
 		assert.Equal(t, len(got.records), 1)
 		assert.Equal(t, got.records[0].Key, "a/1")
 
-		results = watchInBackground(t, b, s, ctx, got.revision)
+		results = watchInBackground(t, f, s, ctx, got.revision)
 		cancel()
 		got = <-results
 		assert.ErrorIs(t, got.err, context.Canceled)
 	})
 }
 
-// Symptom: a router misses a change for good.
-// Sequence: it is cut off while more changes happen than the store has history
-// for, then goes on watching from its old revision.
-// Cause: a store that silently starts at the oldest change it still has.
+// Guards against a router that never sees a change: it is disconnected while more changes happen
+// than the history has room for, and continues watching from its old revision. Without an error the
+// watch would start at the oldest change in the history.
 func TestWatchOfCompactedRevisionIsRefused(t *testing.T) {
-	contract(t, func(t *testing.T, b *bench) {
-		ctx, s := context.Background(), b.connect("a")
+	forEachImplementation(t, func(t *testing.T, f *fixture) {
+		ctx, s := context.Background(), f.connect("a")
 		revision := kv.Revision(0)
-		for range history + 1 {
+		for range historySize + 1 {
 			next, err := s.CompareAndSwap(ctx, "a/1", revision, []byte("x"))
 			assert.NilError(t, err)
 			revision = next
@@ -97,28 +96,27 @@
 		records, _, err := s.Watch(ctx, "a/", since)
 		assert.NilError(t, err)
 		assert.Equal(t, string(records[0].Value), "y")
-		b.platform.Compact()
+		f.platform.Compact()
 		_, _, err = s.Watch(ctx, "a/", since)
 		assert.ErrorIs(t, err, kv.ErrCompacted)
 	})
 }
 
-// Symptom: a router never learns of changes again.
-// Sequence: the platform's service is replaced and counts from a lower revision;
-// a watch goes on from the higher one.
-// Cause: waiting for a revision that the new service reaches much later, if ever.
+// Guards against a router that no longer sees changes: the platform's store is replaced by one that
+// starts at a lower revision, and a watch from the higher one would wait until the new store
+// reaches it.
 func TestWatchAheadOfTheStoreIsRefused(t *testing.T) {
-	contract(t, func(t *testing.T, b *bench) {
-		_, _, err := b.connect("a").Watch(context.Background(), "a/", 99)
+	forEachImplementation(t, func(t *testing.T, f *fixture) {
+		_, _, err := f.connect("a").Watch(context.Background(), "a/", 99)
 		assert.ErrorIs(t, err, kv.ErrCompacted)
 	})
 }
 
 func TestBrokenWatchFails(t *testing.T) {
-	contract(t, func(t *testing.T, b *bench) {
-		ctx, s := context.Background(), b.connect("a")
-		results := watchInBackground(t, b, s, ctx, 0)
-		b.platform.SetWatchFault(standin.WatchBroken)
+	forEachImplementation(t, func(t *testing.T, f *fixture) {
+		ctx, s := context.Background(), f.connect("a")
+		results := watchInBackground(t, f, s, ctx, 0)
+		f.platform.SetWatchFault(standin.WatchBroken)
 		got := <-results
 		assert.ErrorIs(t, got.err, kv.ErrUnavailable)
 		_, err := s.CompareAndSwap(ctx, "a/1", 0, []byte("one"))
@@ -127,12 +125,12 @@
 }
 
 func TestSilentWatchHangsUntilItsContextEnds(t *testing.T) {
-	contract(t, func(t *testing.T, b *bench) {
+	forEachImplementation(t, func(t *testing.T, f *fixture) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		s := b.connect("a")
-		b.platform.SetWatchFault(standin.WatchSilent)
-		results := watchInBackground(t, b, s, ctx, 0)
+		s := f.connect("a")
+		f.platform.SetWatchFault(standin.WatchSilent)
+		results := watchInBackground(t, f, s, ctx, 0)
 		_, err := s.CompareAndSwap(ctx, "a/1", 0, []byte("one"))
 		assert.NilError(t, err)
 		select {
--- a/kv/httpstore/failure_test.go
+++ b/kv/httpstore/failure_test.go
@@ -20,7 +20,7 @@
 	"tarragongw/kv/standin"
 )
 
-// newClient returns a client whose dials take as long as a busy machine may need.
+// newClient returns a client with a dial timeout that is long enough for a busy machine.
 func newClient(t *testing.T, cfg httpstore.Config) *httpstore.Client {
 	t.Helper()
 	cfg.DialTimeout = waittest.Patience
@@ -30,7 +30,7 @@
 	return c
 }
 
-// serve runs a handler in the platform's place and returns a client of it.
+// serve runs a handler instead of the platform and returns a client of it.
 func serve(t *testing.T, cfg httpstore.Config, handler http.HandlerFunc) *httpstore.Client {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -39,11 +39,11 @@
 	return newClient(t, cfg)
 }
 
-// refusingAddress is one on which nothing listens: the system gives no such port to
-// anybody, as it might one that a test was given and closed.
+// refusingAddress is an address on which nothing listens. The operating system never assigns this
+// port, while it may assign again a port that a test has opened and closed.
 const refusingAddress = "127.0.0.1:1"
 
-func cas(c *httpstore.Client) error {
+func casError(c *httpstore.Client) error {
 	_, err := c.CompareAndSwap(context.Background(), "k", 0, []byte("v"))
 	return err
 }
@@ -55,23 +55,22 @@
 
 func TestRefusedDialIsUnavailable(t *testing.T) {
 	c := newClient(t, httpstore.Config{Addresses: []string{refusingAddress, refusingAddress}})
-	assert.ErrorIs(t, cas(c), kv.ErrUnavailable)
+	assert.ErrorIs(t, casError(c), kv.ErrUnavailable)
 	assert.ErrorIs(t, getError(c), kv.ErrUnavailable)
 }
 
-func TestNextAddressAfterRefusedDial(t *testing.T) {
+func TestNextAddressIsUsedAfterARefusedDial(t *testing.T) {
 	p, _ := newPlatform()
 	server := serveStore(t, p)
 	c := newClient(t, httpstore.Config{Addresses: []string{refusingAddress, server.Listener.Addr().String()}})
-	assert.NilError(t, cas(c))
+	assert.NilError(t, casError(c))
 	assert.NilError(t, getError(c))
 	assert.DeepEqual(t, p.Calls(), map[kv.CallKind]uint64{kv.CallCAS: 1, kv.CallGet: 1})
 }
 
-// Symptom: a change is made twice.
-// Sequence: a call is sent on a connection that was used before, the platform
-// runs it and the connection breaks before the answer.
-// Cause: net/http sends some requests again by itself after that.
+// Guards against a change that is made twice: a call is sent on a reused connection, the platform
+// executes it, and the connection breaks before the answer. After that net/http repeats some
+// requests by itself.
 func TestBrokenReusedConnectionIsNotReplayed(t *testing.T) {
 	var runs atomic.Int32
 	c := serve(t, httpstore.Config{}, func(w http.ResponseWriter, r *http.Request) {
@@ -82,30 +81,29 @@
 		}
 		panic(http.ErrAbortHandler)
 	})
-	assert.NilError(t, cas(c))
-	assert.ErrorIs(t, cas(c), kv.ErrUnknown)
+	assert.NilError(t, casError(c))
+	assert.ErrorIs(t, casError(c), kv.ErrUnknown)
 	assert.Equal(t, runs.Load(), int32(2))
 	assert.NilError(t, getError(c))
 	assert.ErrorIs(t, getError(c), kv.ErrUnavailable)
 	assert.Equal(t, runs.Load(), int32(4))
 }
 
-// Symptom: a write that the platform ran is reported as not done.
-// Sequence: something between answers in the platform's place, or the platform's
-// answer is cut short, or it redirects.
-// Cause: taking any status for the platform's own statement.
-func TestForeignAnswerLeavesWriteUnknown(t *testing.T) {
+// Guards against a write that the platform executed being reported as failed: an intermediary
+// answers instead of the platform, or the answer is truncated or a redirect, and the client takes
+// any status for the platform's.
+func TestAnswerNotFromThePlatformLeavesWriteUnknown(t *testing.T) {
 	answers := map[string]http.HandlerFunc{
 		"error page": func(w http.ResponseWriter, _ *http.Request) {
 			http.Error(w, "bad gateway", http.StatusBadGateway)
 		},
-		"unavailable by something between": func(w http.ResponseWriter, _ *http.Request) {
+		"unavailable from an intermediary": func(w http.ResponseWriter, _ *http.Request) {
 			http.Error(w, `{"message":"no backend"}`, http.StatusServiceUnavailable)
 		},
 		"code and status differ": func(w http.ResponseWriter, _ *http.Request) {
 			http.Error(w, `{"code":"unavailable"}`, http.StatusOK)
 		},
-		"cut short": func(w http.ResponseWriter, _ *http.Request) {
+		"truncated": func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "100")
 			_, _ = io.WriteString(w, `{"code":"ok"`)
 		},
@@ -120,7 +118,7 @@
 				runs.Add(1)
 				answer(w, r)
 			})
-			assert.ErrorIs(t, cas(c), kv.ErrUnknown)
+			assert.ErrorIs(t, casError(c), kv.ErrUnknown)
 			assert.Equal(t, runs.Load(), int32(1))
 			assert.ErrorIs(t, getError(c), kv.ErrUnavailable)
 		})
@@ -128,19 +126,19 @@
 }
 
 func TestTimeoutLeavesWriteUnknown(t *testing.T) {
-	// Long enough to open a connection on a busy machine: before that it is "not sent".
+	// The timeout is long enough to open a connection on a busy machine. Without a connection the
+	// call counts as not sent.
 	c := serve(t, httpstore.Config{Timeout: time.Second}, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 	})
-	assert.ErrorIs(t, cas(c), kv.ErrUnknown)
+	assert.ErrorIs(t, casError(c), kv.ErrUnknown)
 	assert.ErrorIs(t, getError(c), kv.ErrUnavailable)
 }
 
-// Symptom: a router serves by an old configuration for hours.
-// Sequence: something between loses track of the connection that a watch waits on.
-// Cause: a watch without a bound on its silence.
-func TestSilentWatchIsGivenUp(t *testing.T) {
+// Guards against a router that serves with an old configuration for hours: an intermediary loses the
+// state of the connection that a watch waits on, and the watch has no timeout.
+func TestSilentWatchTimesOut(t *testing.T) {
 	p, _ := newPlatform()
 	server := serveStore(t, p)
 	p.SetWatchFault(standin.WatchSilent)
@@ -153,14 +151,14 @@
 	assert.ErrorIs(t, err, kv.ErrUnavailable)
 }
 
-func TestQuietWatchIsOneCallAndMovesOn(t *testing.T) {
+func TestWatchWithoutChangesIsOneCallAndAdvancesTheRevision(t *testing.T) {
 	p, _ := newPlatform()
 	server := serveStore(t, p)
 	c := newClient(t, httpstore.Config{
 		Addresses: []string{server.Listener.Addr().String()},
 		WatchWait: 20 * time.Millisecond,
 	})
-	assert.NilError(t, cas(c))
+	assert.NilError(t, casError(c))
 	records, revision, err := c.Watch(context.Background(), "elsewhere/", 0)
 	assert.NilError(t, err)
 	assert.Equal(t, len(records), 0)
@@ -168,9 +166,8 @@
 	assert.Equal(t, p.Calls()[kv.CallWatch], uint64(1))
 }
 
-// Symptom: the platform counts watches of clients that are long gone.
-// Sequence: a client goes away while its watch waits.
-// Cause: a handler that does not notice that its client has gone.
+// Guards against watches that continue in the platform after their client has disconnected, because
+// the handler does not detect that.
 func TestWatchEndsWithItsClient(t *testing.T) {
 	ended := make(chan struct{})
 	p, _ := newPlatform()
@@ -213,9 +210,9 @@
 	roots.AddCert(server.Certificate())
 	addresses := []string{server.Listener.Addr().String()}
 	trusting := newClient(t, httpstore.Config{Addresses: addresses, TLS: &tls.Config{RootCAs: roots, ServerName: "example.com"}})
-	assert.NilError(t, cas(trusting))
-	wary := newClient(t, httpstore.Config{Addresses: addresses, TLS: &tls.Config{RootCAs: x509.NewCertPool()}})
-	assert.ErrorIs(t, cas(wary), kv.ErrUnavailable)
+	assert.NilError(t, casError(trusting))
+	untrusting := newClient(t, httpstore.Config{Addresses: addresses, TLS: &tls.Config{RootCAs: x509.NewCertPool()}})
+	assert.ErrorIs(t, casError(untrusting), kv.ErrUnavailable)
 	assert.Equal(t, p.Calls()[kv.CallCAS], uint64(1))
 }
 
@@ -226,5 +223,5 @@
 	}
 }
 
-// discardLog keeps the handshake errors that a test causes out of its output.
+// discardLog drops the handshake errors that TestTLS causes.
 var discardLog = log.New(io.Discard, "", 0)
--- a/kv/httpstore/fuzz_test.go
+++ b/kv/httpstore/fuzz_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// FuzzReadReply: an answer of the platform, with records or the list of VMs, is read
-// whole or refused; a page of something between never passes for one.
+// FuzzReadReply checks that an answer of the platform, with records or the list of VMs, is
+// decoded completely or rejected, and that no other page is accepted as an answer.
 func FuzzReadReply(f *testing.F) {
 	f.Add(200, `{"code":"ok","record":{"key":"a","value":"dg==","revision":7}}`)
 	f.Add(200, `{"code":"ok","vms":[{"name":"a","data_centre":"lapu","peer_address":"10.0.0.1:1","leaving":true}]}`)
--- a/kv/httpstore/handler.go
+++ b/kv/httpstore/handler.go
@@ -10,18 +10,18 @@
 	"tarragongw/kv"
 )
 
-// Backend is what the handler serves; the stand-in's client implements it.
+// Backend is the platform that the handler serves; standin.Client implements it.
 type Backend interface {
 	kv.Store
 	kv.Directory
-	// Poll is a Watch that ends after wait with no record and a revision to go on from.
+	// Poll is a Watch that ends after wait with no records and a revision to continue from.
 	Poll(ctx context.Context, prefix string, since kv.Revision, wait time.Duration) ([]kv.Record, kv.Revision, error)
 }
 
-// maxWait bounds a watch that a client may ask for.
+// maxWait is the longest wait of a watch.
 const maxWait = time.Minute
 
-// operation carries out one kind of call.
+// operation executes one kind of call.
 type operation func(ctx context.Context, b Backend, body *callBody, reply *replyBody) error
 
 var operations = map[kv.CallKind]operation{
@@ -35,8 +35,8 @@
 	kv.CallVMs:     vms,
 }
 
-// NewHandler serves the protocol. It asks backend for the view of the client
-// that a call names.
+// NewHandler returns a handler that serves the protocol. It calls backend for the Backend
+// of the client that a call names.
 func NewHandler(backend func(client string) Backend) http.Handler {
 	mux := http.NewServeMux()
 	for kind, op := range operations {
@@ -47,14 +47,14 @@
 	return mux
 }
 
-// serve carries out one call. Where the backend says that the outcome is unknown
-// it breaks the connection instead of answering, as a platform does that loses
-// its reply; an answer would be a statement that it cannot make.
+// serve executes one call. If the backend reports that the outcome is unknown, serve
+// aborts the connection instead of answering, as if the reply was lost: any answer
+// would state an outcome.
 func serve(w http.ResponseWriter, r *http.Request, b Backend, op operation) {
 	var body callBody
-	// The body is read to its end: only then does net/http notice a client that goes
-	// away, without which its watch would wait on.
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyLimit))
+	// The body is read to its end, because only then net/http detects that a client has
+	// disconnected. Otherwise the client's watch would continue.
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCallBytes))
 	if err == nil {
 		err = json.Unmarshal(data, &body)
 	}
@@ -74,7 +74,7 @@
 func write(w http.ResponseWriter, reply *replyBody) {
 	w.Header().Set("Content-Type", contentType)
 	w.WriteHeader(statuses[reply.Code])
-	// An error here means that the client has gone; there is nobody left to tell.
+	// An error here means that the client has closed the connection.
 	_ = json.NewEncoder(w).Encode(reply)
 }
 
--- a/kv/httpstore/wire.go
+++ b/kv/httpstore/wire.go
@@ -1,10 +1,8 @@
-// Package httpstore is the adapter between the platform's interfaces and its
-// HTTP+JSON protocol: a client for one or more addresses, and a handler that
-// serves a backend over the same protocol.
+// Package httpstore implements package kv's interfaces over an HTTP+JSON protocol: a
+// client for one or more addresses, and a handler that serves a backend.
 //
-// Each call is one POST to /v1/KIND with a JSON body. POST is used for reads
-// too: net/http never replays it, so that every call is counted as the platform
-// counts it.
+// Each call is one POST to /v1/KIND with a JSON body. Reads are POST requests too:
+// net/http never replays them, so that the client counts the same calls as the platform.
 package httpstore
 
 import (
@@ -16,20 +14,21 @@
 
 const (
 	pathPrefix = "/v1/"
-	// headerClient names the client to the platform.
+	// headerClient is the header with the client's name.
 	headerClient = "Tarragon-Client"
 	contentType  = "application/json"
-	// bodyLimit bounds a call: the largest value in base64 and its envelope, in bytes.
-	bodyLimit = kv.MaxValue/3*4 + 64<<10
+	// maxCallBytes is the largest size of a call's body in bytes: the largest value in base64,
+	// and the rest of the JSON.
+	maxCallBytes = kv.MaxValue/3*4 + 64<<10
 )
 
-// callBody is the body of a call; each kind uses some of the fields.
+// callBody is the body of a call; each kind of call uses some of the fields.
 type callBody struct {
 	Key      string      `json:"key,omitempty"`
 	Prefix   string      `json:"prefix,omitempty"`
 	Revision kv.Revision `json:"revision,omitempty"`
 	Value    []byte      `json:"value,omitempty"`
-	// WaitMillis bounds a watch; the answer has no records where it ran out.
+	// WaitMillis limits the wait of a watch; its answer has no records if nothing changed.
 	WaitMillis int64      `json:"wait_ms,omitempty"`
 	Lease      *leaseBody `json:"lease,omitempty"`
 }
@@ -54,8 +53,8 @@
 	return kv.Lease{Name: l.Name, Holder: l.Holder, ID: l.ID, TTL: ttl}
 }
 
-// replyBody is the body of an answer. Code is kv.CodeOK or the code of one
-// of the platform's errors.
+// replyBody is the body of an answer. Code is kv.CodeOK or the code of one of the
+// store's errors.
 type replyBody struct {
 	Code     string      `json:"code"`
 	Record   *kv.Record  `json:"record,omitempty"`
@@ -65,7 +64,7 @@
 	VMs      []kv.VM     `json:"vms,omitempty"`
 }
 
-// statuses maps the codes to HTTP statuses.
+// statuses has the HTTP status of each code. A code without a status is never sent.
 var statuses = map[string]int{
 	kv.CodeOK:                  http.StatusOK,
 	kv.Code(kv.ErrConflict):    http.StatusConflict,
--- a/kv/platform.go
+++ b/kv/platform.go
@@ -1,5 +1,5 @@
-// Package kv is the side of the router that the platform meets: the
-// key-value store that holds what must last, and the list of VMs.
+// Package kv has the router's interfaces to the platform: the key-value store for
+// durable state, and the list of VMs.
 package kv
 
 import (
@@ -9,34 +9,34 @@
 	"github.com/pkg/errors"
 )
 
-// Revision is the store's version of a key; it grows with each write to the
-// store. Zero means that the key does not exist.
+// Revision is the version of a key in the store. Each write to the store increases the
+// store's revision. Zero means that the key does not exist.
 type Revision uint64
 
 // Errors of the store. They are matched with errors.Is.
 var (
-	// ErrConflict means that the key was not at the expected revision; the write did not happen.
+	// ErrConflict means that the key did not have the expected revision; the write had no effect.
 	ErrConflict = errors.New("store: revision conflict")
-	// ErrUnavailable means that the store refused or was not reached; the call did not happen.
+	// ErrUnavailable means that the store refused the call or was unreachable; the call had no effect.
 	ErrUnavailable = errors.New("store: unavailable")
 	// ErrUnknown means that the reply was lost; a write may have taken effect.
 	ErrUnknown = errors.New("store: outcome unknown")
 	// ErrNotFound means that the key does not exist.
 	ErrNotFound = errors.New("store: not found")
-	// ErrLeaseLost means that the lease lapsed or is held by another.
+	// ErrLeaseLost means that the lease has expired or is held by another client.
 	ErrLeaseLost = errors.New("store: lease lost")
-	// ErrOverBudget means that the router's own budget of store calls refused the call.
+	// ErrOverBudget means that the router's own Budget refused the call; it was not sent.
 	ErrOverBudget = errors.New("store: call budget exhausted")
-	// ErrCompacted means that a watch asked for a revision that the store has no history
-	// for, older than it kept or newer than it has; the caller lists again.
+	// ErrCompacted means that the store has no history for the revision of a watch, because
+	// it is older than the history or newer than the store's revision. The caller must list again.
 	ErrCompacted = errors.New("store: revision compacted, list again")
-	// ErrTooLarge means that the value exceeds MaxValue; the write did not happen.
+	// ErrTooLarge means that the value exceeds MaxValue; the write had no effect.
 	ErrTooLarge = errors.New("store: value too large")
-	// ErrInvalid means that the store does not accept the call's arguments; it did not happen.
+	// ErrInvalid means that the store rejected the call's arguments; the call had no effect.
 	ErrInvalid = errors.New("store: invalid argument")
 )
 
-// MaxValue is the size of the largest value that the store holds, in bytes.
+// MaxValue is the largest size of a value in the store, in bytes.
 const MaxValue = 1 << 20
 
 // Record is a key with its value.
@@ -44,11 +44,11 @@
 	Key      string   `json:"key"`
 	Value    []byte   `json:"value"`
 	Revision Revision `json:"revision"`
-	// Deleted marks the end of a key in a watch.
+	// Deleted is true for a key that a watch returns because it was deleted.
 	Deleted bool `json:"deleted,omitempty"`
 }
 
-// Lease is a store's lease: a hint about who should act, never a proof.
+// Lease is a lease of the store: a hint about who should act, not a proof that no other client acts.
 type Lease struct {
 	Name    string        `json:"name"`
 	Holder  string        `json:"holder"`
@@ -60,15 +60,15 @@
 // Store is the platform's key-value service.
 type Store interface {
 	Get(ctx context.Context, key string) (Record, error)
-	// List returns the records under prefix in order of key and the store's revision
-	// at which they were read.
+	// List returns the records under prefix, sorted by key, and the store's revision at which
+	// they were read.
 	List(ctx context.Context, prefix string) ([]Record, Revision, error)
-	// CompareAndSwap writes value if the key is at expect (zero: absent).
+	// CompareAndSwap writes value if the key has the revision expect (zero: does not exist).
 	CompareAndSwap(ctx context.Context, key string, expect Revision, value []byte) (Revision, error)
 	// Watch waits until a key under prefix changes after since, or until ctx ends, and
-	// returns the changes and the revision to go on from. Of several writes to one key
-	// only the last is returned. A store may end the wait early with no record and a
-	// revision to go on from. Where it has no history since that revision the error is
+	// returns the changes and the revision to continue from. Of several writes to one key
+	// only the last is returned. A store may end the wait early with no records and a
+	// revision to continue from. If it has no history since that revision, the error is
 	// ErrCompacted.
 	Watch(ctx context.Context, prefix string, since Revision) ([]Record, Revision, error)
 	Acquire(ctx context.Context, name, holder string, ttl time.Duration) (Lease, error)
@@ -86,8 +86,8 @@
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// Directory is the platform's list of VMs. It lags: it is a hint to join and to
-// leave, never a proof of life or death.
+// Directory is the platform's list of VMs. The list lags behind: it is a hint that a VM
+// joins or leaves, not a proof that it runs or has stopped.
 type Directory interface {
 	VMs(ctx context.Context) ([]VM, error)
 }
--- a/kv/prefixed_test.go
+++ b/kv/prefixed_test.go
@@ -10,24 +10,24 @@
 	"tarragongw/kv/standin"
 )
 
-func TestPrefixedSeesOnlyItsPart(t *testing.T) {
+func TestPrefixedStoreSeesOnlyKeysUnderItsPrefix(t *testing.T) {
 	ctx := context.Background()
-	whole := standin.New(standin.Config{}).Client("test")
-	part := kv.Prefixed(whole, "ours/")
-	_, err := whole.CompareAndSwap(ctx, "theirs/a", 0, []byte("theirs"))
+	store := standin.New(standin.Config{}).Client("test")
+	sub := kv.Prefixed(store, "ours/")
+	_, err := store.CompareAndSwap(ctx, "theirs/a", 0, []byte("theirs"))
 	assert.NilError(t, err)
-	revision, err := part.CompareAndSwap(ctx, "a", 0, []byte("ours"))
+	revision, err := sub.CompareAndSwap(ctx, "a", 0, []byte("ours"))
 	assert.NilError(t, err)
 
-	rec, err := whole.Get(ctx, "ours/a")
+	rec, err := store.Get(ctx, "ours/a")
 	assert.NilError(t, err)
 	assert.Equal(t, string(rec.Value), "ours")
-	records, _, err := part.List(ctx, "")
+	records, _, err := sub.List(ctx, "")
 	assert.NilError(t, err)
 	assert.Equal(t, len(records), 1)
 	assert.Equal(t, records[0].Key, "a")
-	changed, _, err := part.Watch(ctx, "", revision-1)
+	changes, _, err := sub.Watch(ctx, "", revision-1)
 	assert.NilError(t, err)
-	assert.Equal(t, len(changed), 1)
-	assert.Equal(t, changed[0].Key, "a")
+	assert.Equal(t, len(changes), 1)
+	assert.Equal(t, changes[0].Key, "a")
 }
--- a/kv/settle.go
+++ b/kv/resolve.go
@@ -8,17 +8,17 @@
 	"github.com/pkg/errors"
 )
 
-// Op is one write as a record remembers it. A record that is settled keeps the
-// ops of its last writes, its own included.
+// Op is the operation id of a write, as stored in the record's value. A record
+// has the ops of its last writes, including the one that wrote it.
 type Op struct {
-	// ID is unique to the write.
+	// ID is the unique id of the write.
 	ID string `json:"id"`
-	// Base is the revision that the write expected. No two writes that took effect
-	// have the same.
+	// Base is the revision that the write expected. It differs between all writes of a key
+	// that took effect.
 	Base Revision `json:"base"`
 }
 
-// Write is one compare-and-swap with an operation id. Value contains
+// Write is one compare-and-swap with an operation id. Value must contain
 // Op{ID: OpID, Base: Expect}.
 type Write struct {
 	Key    string
@@ -33,7 +33,7 @@
 const (
 	// StillUnknown means that the write may have taken effect or may yet do so.
 	StillUnknown Outcome = iota
-	// Landed means that the write took effect; others may have followed since.
+	// Landed means that the write took effect; other writes may have followed.
 	Landed
 	// NotLanded means that the write did not take effect and never will.
 	NotLanded
@@ -51,22 +51,22 @@
 	}
 }
 
-// Settlement is the result of a settled write.
+// Settlement is the result of a write whose outcome has been determined as far as possible.
 type Settlement struct {
 	Outcome Outcome
-	// Revision is the write's own revision; zero where it did not land, or where
-	// others followed before it was read back.
+	// Revision is the revision of the write; zero if the write did not take effect, or if
+	// other writes followed before the record was read back.
 	Revision Revision
-	// Current is the record as last read back; zero where it was not read.
+	// Current is the record as last read back; zero if it was not read.
 	Current Record
 }
 
-// Settler carries out writes and settles those whose reply was lost.
+// Settler makes writes, and determines the outcome of those whose reply was lost.
 type Settler struct {
 	Store Store
-	// Ops returns the ops that a record's value remembers, in any order.
+	// Ops returns the ops that a record's value contains, in any order.
 	Ops func(value []byte) ([]Op, error)
-	// Backoff spaces the attempts to read back. Default 50 ms to 5 s.
+	// Backoff limits the waits between attempts to read back. Default: 50 ms to 5 s.
 	Backoff Backoff
 	// Sleep waits for d or until ctx ends. Default: a timer.
 	Sleep func(ctx context.Context, d time.Duration) error
@@ -74,29 +74,29 @@
 	Random func() float64
 }
 
-var errOpsForgotten = errors.New("the record no longer remembers writes that old")
+var errOpsEvicted = errors.New("the record no longer has the ops of writes that old")
 
-// Write carries out the compare-and-swap. Where the reply is lost it reads the
-// record back until the outcome is known or ctx ends. The error is nil only for
-// Landed; for NotLanded it says why, for StillUnknown it is ErrUnknown.
+// Write executes the compare-and-swap. If the reply is lost, it reads the record back
+// until the outcome is known or ctx ends. The error is nil only for Landed; for
+// NotLanded it is the reason, for StillUnknown it is ErrUnknown.
 //
-// Symptom of what this prevents: a change is applied twice, or is reported as
-// failed and holds. It happens where a lost reply is taken for a failure and the
-// change is made again on top of the record as it then is.
+// This prevents a change from being applied twice, or from being reported as failed
+// although it took effect. Both happen if a lost reply is taken for a failure and the
+// change is applied again to the record's new value.
 func (s Settler) Write(ctx context.Context, w Write) (Settlement, error) {
 	s = s.withDefaults()
 	revision, err := s.Store.CompareAndSwap(ctx, w.Key, w.Expect, w.Value)
 	if err == nil {
 		return Settlement{Outcome: Landed, Revision: revision}, nil
 	}
-	if !errors.Is(err, ErrUnknown) && surelyNot(err) {
+	if !errors.Is(err, ErrUnknown) && hasNoEffect(err) {
 		return Settlement{Outcome: NotLanded}, err
 	}
-	return s.settle(ctx, w, err)
+	return s.resolve(ctx, w, err)
 }
 
-// surelyNot says whether the error is a statement that the write did not happen.
-func surelyNot(err error) bool {
+// hasNoEffect reports whether the error states that the write had no effect.
+func hasNoEffect(err error) bool {
 	for _, e := range []error{ErrConflict, ErrUnavailable, ErrTooLarge, ErrInvalid, ErrOverBudget} {
 		if errors.Is(err, e) {
 			return true
@@ -127,8 +127,8 @@
 	}
 }
 
-// settle reads back until the outcome is known.
-func (s Settler) settle(ctx context.Context, w Write, cause error) (Settlement, error) {
+// resolve reads the record back until the outcome of the write is known.
+func (s Settler) resolve(ctx context.Context, w Write, cause error) (Settlement, error) {
 	var current Record
 	for attempt := 0; ; attempt++ {
 		err := s.Sleep(ctx, s.Backoff.Wait(attempt, s.Random()))
@@ -142,9 +142,9 @@
 		}
 		current = record
 		if record.Revision != w.Expect {
-			return s.judge(w, record)
+			return s.decideByOps(w, record)
 		}
-		revision, err := s.close(ctx, w)
+		revision, err := s.resend(ctx, w)
 		if err == nil {
 			return Settlement{Outcome: Landed, Revision: revision}, nil
 		}
@@ -152,19 +152,18 @@
 	}
 }
 
-// close ends the case that the record is still as it was: the write was lost, or
-// it is on its way and lands later. It sends the very same write again. That is
-// no second application: both expect the same revision, so at most one of them
-// ever takes effect, and whichever does carries the op. If this one lands, the
-// first cannot any more; a conflict means that the record has moved on, and it
-// is read back again.
-func (s Settler) close(ctx context.Context, w Write) (Revision, error) {
+// resend sends the same write again if the record is unchanged: the first one was lost, or is
+// delayed and may take effect later. The change can't be applied twice, because both
+// writes expect the same revision, so that at most one of them takes effect, and both
+// contain the op. If this one takes effect, the first one no longer can. A conflict means
+// that the record has changed; it is read back again.
+func (s Settler) resend(ctx context.Context, w Write) (Revision, error) {
 	return s.Store.CompareAndSwap(ctx, w.Key, w.Expect, w.Value)
 }
 
-// judge decides by the ops of a record that has moved on from the expected
-// revision: exactly one write took effect on top of that, and the record says which.
-func (s Settler) judge(w Write, record Record) (Settlement, error) {
+// decideByOps determines the outcome from the ops of a record that no longer has the expected
+// revision: exactly one write replaced that revision, and the record's ops show which.
+func (s Settler) decideByOps(w Write, record Record) (Settlement, error) {
 	ops, err := s.Ops(record.Value)
 	if err != nil {
 		return Settlement{Current: record}, WithCause(ErrUnknown, err)
@@ -177,7 +176,7 @@
 	}
 	for _, op := range ops {
 		if op.ID == w.OpID {
-			return landed(record, newest.ID == w.OpID), nil
+			return landedResult(record, newest.ID == w.OpID), nil
 		}
 	}
 	for _, op := range ops {
@@ -185,10 +184,10 @@
 			return Settlement{Outcome: NotLanded, Current: record}, ErrConflict
 		}
 	}
-	return Settlement{Current: record}, WithCause(ErrUnknown, errOpsForgotten)
+	return Settlement{Current: record}, WithCause(ErrUnknown, errOpsEvicted)
 }
 
-func landed(record Record, newest bool) Settlement {
+func landedResult(record Record, newest bool) Settlement {
 	s := Settlement{Outcome: Landed, Current: record}
 	if newest {
 		s.Revision = record.Revision
--- a/kv/settle_test.go
+++ b/kv/resolve_test.go
@@ -13,7 +13,7 @@
 	"tarragongw/kv/standin"
 )
 
-// counter is a record whose value must grow by one with each write.
+// counter is the value of a record that each write must increase by one.
 type counter struct {
 	Value int     `json:"value"`
 	Ops   []kv.Op `json:"ops"`
@@ -21,13 +21,13 @@
 
 const keptOps = 3
 
-// next returns the counter after one more write.
+// next returns the counter after one more write, the op.
 func (c counter) next(op kv.Op) counter {
 	ops := append([]kv.Op{op}, c.Ops...)
 	return counter{Value: c.Value + 1, Ops: ops[:min(len(ops), keptOps)]}
 }
 
-func decode(t *testing.T, value []byte) (c counter) {
+func decodeCounter(t *testing.T, value []byte) (c counter) {
 	t.Helper()
 	if len(value) > 0 {
 		assert.NilError(t, json.Unmarshal(value, &c))
@@ -41,27 +41,27 @@
 	return c.Ops, err
 }
 
-// read returns the counter and its revision.
-func read(t *testing.T, s kv.Store) (counter, kv.Revision) {
+// readCounter returns the counter and its revision.
+func readCounter(t *testing.T, s kv.Store) (counter, kv.Revision) {
 	t.Helper()
 	record, err := s.Get(context.Background(), "counter")
 	if errors.Is(err, kv.ErrNotFound) {
 		return counter{}, 0
 	}
 	assert.NilError(t, err)
-	return decode(t, record.Value), record.Revision
+	return decodeCounter(t, record.Value), record.Revision
 }
 
-// increment returns the write that adds one to what the store now holds.
+// increment returns a write that adds one to the current value in the store.
 func increment(t *testing.T, s kv.Store, id string) kv.Write {
 	t.Helper()
-	c, revision := read(t, s)
+	c, revision := readCounter(t, s)
 	value, err := json.Marshal(c.next(kv.Op{ID: id, Base: revision}))
 	assert.NilError(t, err)
 	return kv.Write{Key: "counter", OpID: id, Expect: revision, Value: value}
 }
 
-func settler(s kv.Store) kv.Settler {
+func newResolver(s kv.Store) kv.Settler {
 	return kv.Settler{
 		Store:  s,
 		Ops:    counterOps,
@@ -70,18 +70,16 @@
 	}
 }
 
-// add increments with a settled write and expects it to land.
-func add(t *testing.T, s kv.Store, id string) {
+// mustIncrement increments the counter and asserts that the write took effect.
+func mustIncrement(t *testing.T, s kv.Store, id string) {
 	t.Helper()
-	got, err := settler(s).Write(context.Background(), increment(t, s, id))
+	got, err := newResolver(s).Write(context.Background(), increment(t, s, id))
 	assert.NilError(t, err)
 	assert.Equal(t, got.Outcome, kv.Landed)
 }
 
-// Symptom: a payout is released twice.
-// Sequence: the write takes effect, its reply is lost, the writer reads the
-// record again and applies its change on top.
-// Cause: a lost reply is taken for a failure.
+// Guards against a change that is applied twice, such as a payout: the write takes effect, its reply
+// is lost, and a writer that takes this for a failure reads the record and applies the change again.
 func TestLostReplyIsSettledByOpID(t *testing.T) {
 	for _, start := range []string{"absent", "present"} {
 		t.Run(start, func(t *testing.T) {
@@ -89,22 +87,22 @@
 			s := p.Client("a")
 			want := 1
 			if start == "present" {
-				add(t, s, "op-0")
+				mustIncrement(t, s, "op-0")
 				want = 2
 			}
 			p.LoseReplies(kv.CallCAS, 1)
-			got, err := settler(s).Write(context.Background(), increment(t, s, "op-1"))
+			got, err := newResolver(s).Write(context.Background(), increment(t, s, "op-1"))
 			assert.NilError(t, err)
 			assert.Equal(t, got.Outcome, kv.Landed)
-			c, revision := read(t, s)
+			c, revision := readCounter(t, s)
 			assert.Equal(t, c.Value, want)
 			assert.Equal(t, got.Revision, revision)
 		})
 	}
 }
 
-// The same sequence with a retry on a fresh read: what the settler is there to
-// prevent does happen, so the test above can fail.
+// The same sequence with a retry after a new read, without checking the op ids: the change is applied
+// twice, which shows that the test above can fail.
 func TestBlindRetryAppliesTwice(t *testing.T) {
 	p := standin.New(standin.Config{})
 	s := p.Client("a")
@@ -115,90 +113,85 @@
 			break
 		}
 	}
-	c, _ := read(t, s)
+	c, _ := readCounter(t, s)
 	assert.Equal(t, c.Value, 2)
 }
 
-// Symptom: a change is reported as lost although it holds.
-// Sequence: the write takes effect, its reply is lost, another writer changes the
-// record before it is read back.
-// Cause: looking only at the record's last writer.
-func TestLandedWriteUnderLaterOnes(t *testing.T) {
+// Guards against a change being reported as failed although it took effect: its reply is lost,
+// another writer changes the record before it is read back, and only the last op is compared.
+func TestLandedWriteIsFoundUnderLaterWrites(t *testing.T) {
 	p := standin.New(standin.Config{})
 	s, other := p.Client("a"), p.Client("b")
 	p.LoseReplies(kv.CallCAS, 1)
-	st := settler(s)
-	st.Sleep = func(context.Context, time.Duration) error {
-		add(t, other, "op-2")
+	resolver := newResolver(s)
+	resolver.Sleep = func(context.Context, time.Duration) error {
+		mustIncrement(t, other, "op-2")
 		return nil
 	}
-	got, err := st.Write(context.Background(), increment(t, s, "op-1"))
+	got, err := resolver.Write(context.Background(), increment(t, s, "op-1"))
 	assert.NilError(t, err)
 	assert.Equal(t, got.Outcome, kv.Landed)
 	assert.Equal(t, got.Revision, kv.Revision(0))
-	c, _ := read(t, s)
+	c, _ := readCounter(t, s)
 	assert.Equal(t, c.Value, 2)
 }
 
-// lossy loses the next compare-and-swap altogether, or holds it back.
-type lossy struct {
+// delayingStore delays the next compare-and-swaps and returns ErrUnknown for them. deliver executes
+// the last one; if it is not called, the write is lost.
+type delayingStore struct {
 	kv.Store
-	drop int
-	held func()
+	delayNext int
+	deliver   func()
 }
 
-func (l *lossy) CompareAndSwap(ctx context.Context, key string, expect kv.Revision, value []byte) (kv.Revision, error) {
-	if l.drop == 0 {
-		return l.Store.CompareAndSwap(ctx, key, expect, value)
+func (d *delayingStore) CompareAndSwap(ctx context.Context, key string, expect kv.Revision, value []byte) (kv.Revision, error) {
+	if d.delayNext == 0 {
+		return d.Store.CompareAndSwap(ctx, key, expect, value)
 	}
-	l.drop--
-	l.held = func() { _, _ = l.Store.CompareAndSwap(ctx, key, expect, value) }
+	d.delayNext--
+	d.deliver = func() { _, _ = d.Store.CompareAndSwap(ctx, key, expect, value) }
 	return 0, kv.ErrUnknown
 }
 
-// Symptom: a change acknowledged as not made appears later.
-// Sequence: the write is delayed on its way, its caller reads back, finds the
-// record as it was, and the delayed write lands after that.
-// Cause: an unchanged record is taken for proof that the write is lost.
+// Guards against a change that is reported as not made and takes effect later: the write is delayed,
+// its caller reads the record back, and takes the unchanged record for proof that the write is lost.
 func TestDelayedWriteCannotLandTwice(t *testing.T) {
 	p := standin.New(standin.Config{})
-	s := &lossy{Store: p.Client("a"), drop: 1}
-	got, err := settler(s).Write(context.Background(), increment(t, s, "op-1"))
+	s := &delayingStore{Store: p.Client("a"), delayNext: 1}
+	got, err := newResolver(s).Write(context.Background(), increment(t, s, "op-1"))
 	assert.NilError(t, err)
 	assert.Equal(t, got.Outcome, kv.Landed)
-	s.held()
-	c, revision := read(t, s)
+	s.deliver()
+	c, revision := readCounter(t, s)
 	assert.Equal(t, c.Value, 1)
 	assert.Equal(t, revision, got.Revision)
 }
 
-func TestWriteThatLostTheRaceHasNotLanded(t *testing.T) {
+func TestWriteThatLostARaceHasNotLanded(t *testing.T) {
 	p := standin.New(standin.Config{})
-	s, other := &lossy{Store: p.Client("a"), drop: 1}, p.Client("b")
+	s, other := &delayingStore{Store: p.Client("a"), delayNext: 1}, p.Client("b")
 	w := increment(t, s, "op-1")
-	add(t, other, "op-2")
-	got, err := settler(s).Write(context.Background(), w)
+	mustIncrement(t, other, "op-2")
+	got, err := newResolver(s).Write(context.Background(), w)
 	assert.ErrorIs(t, err, kv.ErrConflict)
 	assert.Equal(t, got.Outcome, kv.NotLanded)
-	assert.Equal(t, decode(t, got.Current.Value).Ops[0].ID, "op-2")
+	assert.Equal(t, decodeCounter(t, got.Current.Value).Ops[0].ID, "op-2")
 }
 
-// Symptom: a change is reported as not made although it was, long ago.
-// Sequence: the reply is lost, and so many writes follow that the record no
-// longer remembers this one.
-// Cause: absence from a bounded list is taken for proof.
-func TestForgottenOpStaysUnknown(t *testing.T) {
+// Guards against a change being reported as not made although it took effect: the reply is lost, and
+// so many writes follow that the record's bounded list of ops no longer contains this one.
+func TestEvictedOpStaysUnknown(t *testing.T) {
 	p := standin.New(standin.Config{})
 	s, other := p.Client("a"), p.Client("b")
 	p.LoseReplies(kv.CallCAS, 1)
-	st := settler(s)
-	st.Sleep = func(context.Context, time.Duration) error {
+	resolver := newResolver(s)
+	resolver.Sleep = func(context.Context, time.Duration) error {
 		for _, id := range []string{"op-2", "op-3", "op-4"} {
-			add(t, other, id)
+			mustIncrement(t, other, id)
 		}
 		return nil
 	}
-	got, err := st.Write(context.Background(), increment(t, s, "op-1"))
+	got, err := resolver.Write(context.Background(), increment(t, s, "op-1"))
 	assert.ErrorIs(t, err, kv.ErrUnknown)
 	assert.Equal(t, got.Outcome, kv.StillUnknown)
 }
@@ -208,16 +201,16 @@
 	s := p.Client("a")
 	ctx, cancel := context.WithCancel(context.Background())
 	p.LoseReplies(kv.CallCAS, 1)
-	st := settler(s)
+	resolver := newResolver(s)
 	waits := 0
-	st.Sleep = func(context.Context, time.Duration) error {
+	resolver.Sleep = func(context.Context, time.Duration) error {
 		p.SetDown(true)
 		if waits++; waits == 5 {
 			cancel()
 		}
 		return nil
 	}
-	got, err := st.Write(ctx, increment(t, s, "op-1"))
+	got, err := resolver.Write(ctx, increment(t, s, "op-1"))
 	assert.ErrorIs(t, err, kv.ErrUnknown)
 	assert.Equal(t, got.Outcome, kv.StillUnknown)
 }
@@ -227,7 +220,7 @@
 	s := p.Client("a")
 	w := increment(t, s, "op-1")
 	p.SetDown(true)
-	got, err := settler(s).Write(context.Background(), w)
+	got, err := newResolver(s).Write(context.Background(), w)
 	assert.ErrorIs(t, err, kv.ErrUnavailable)
 	assert.Equal(t, got.Outcome, kv.NotLanded)
 	assert.DeepEqual(t, p.Calls(), map[kv.CallKind]uint64{kv.CallGet: 1, kv.CallCAS: 1})
--- a/kv/standin/client.go
+++ b/kv/standin/client.go
@@ -7,22 +7,22 @@
 	"tarragongw/kv"
 )
 
-// Client is one client's view of the stand-in. It implements kv.Store and
+// Client is one client of the stand-in. It implements kv.Store and
 // kv.Directory and is safe for concurrent use.
 type Client struct {
 	p    *Platform
 	name string
 }
 
-// Client returns the view of the client with the name; see CutOff.
+// Client returns a client with the name, by which CutOff refers to it.
 func (p *Platform) Client(name string) *Client {
 	return &Client{p: p, name: name}
 }
 
-// do carries out one call: it counts it, waits where the store is slow, refuses
-// it where the client cannot reach the store, and applies it under the lock.
+// do makes one call: it counts the call, waits for the delay of a slow store, refuses
+// the call if the client cannot reach the store, and applies it while holding the lock.
 func (c *Client) do(ctx context.Context, kind kv.CallKind, apply func() error) error {
-	late, err := c.begin(ctx, kind)
+	ctxErr, err := c.startCall(ctx, kind)
 	if err != nil {
 		return err
 	}
@@ -32,22 +32,22 @@
 		return kv.ErrUnavailable
 	}
 	err = apply()
-	if late != nil && kind.Writes() {
-		return kv.WithCause(kv.ErrUnknown, late)
+	if ctxErr != nil && kind.Writes() {
+		return kv.WithCause(kv.ErrUnknown, ctxErr)
 	}
-	if c.p.losesReplyLocked(kind) {
-		return lostReply(kind)
+	if c.p.takeLostReplyLocked(kind) {
+		return lostReplyError(kind)
 	}
 	return err
 }
 
-// begin counts the call and waits where the store is slow. A write whose caller
-// gives up meanwhile goes on, with the context's error as late: slow stores do
-// apply writes after their caller has gone, which tests must meet.
-func (c *Client) begin(ctx context.Context, kind kv.CallKind) (late, err error) {
+// startCall counts the call and waits for the delay of a slow store. A write whose context
+// ends during the delay is still applied, with the context's error as ctxErr: real slow
+// stores also apply writes after the caller's context has ended, and tests must cover that.
+func (c *Client) startCall(ctx context.Context, kind kv.CallKind) (ctxErr, err error) {
 	c.p.mu.Lock()
 	c.p.calls[kind]++
-	delay := c.p.switches.delay
+	delay := c.p.faults.delay
 	unreachable := c.p.unreachableLocked(c.name)
 	c.p.mu.Unlock()
 	if unreachable {
@@ -59,15 +59,15 @@
 	if delay <= 0 {
 		return nil, nil
 	}
-	late = c.p.cfg.Sleep(ctx, delay)
-	if late != nil && !kind.Writes() {
-		return nil, kv.WithCause(kv.ErrUnavailable, late)
+	ctxErr = c.p.cfg.Sleep(ctx, delay)
+	if ctxErr != nil && !kind.Writes() {
+		return nil, kv.WithCause(kv.ErrUnavailable, ctxErr)
 	}
-	return late, nil
+	return ctxErr, nil
 }
 
-// lostReply is the error of a call whose reply was lost: a read just failed.
-func lostReply(kind kv.CallKind) error {
+// lostReplyError returns the error of a call whose reply was lost; a lost read had no effect.
+func lostReplyError(kind kv.CallKind) error {
 	if kind.Writes() {
 		return kv.ErrUnknown
 	}
@@ -124,8 +124,8 @@
 	})
 }
 
-// lease carries out a call that returns a lease. Renewed is read before the
-// call: the store may have counted from any moment after it.
+// lease makes a call that returns a lease. Renewed is the time before the call, because
+// the store's TTL may start at any moment after it.
 func (c *Client) lease(ctx context.Context, kind kv.CallKind, apply func() (kv.Lease, error)) (l kv.Lease, err error) {
 	sent := c.p.cfg.Now()
 	err = c.do(ctx, kind, func() error {
@@ -148,8 +148,8 @@
 func (c *Client) VMs(ctx context.Context) (vms []kv.VM, err error) {
 	err = c.do(ctx, kv.CallVMs, func() error {
 		current := c.p.vms
-		if c.p.switches.vmsAreOld {
-			current = c.p.switches.staleVMs
+		if c.p.faults.freezeVMs {
+			current = c.p.faults.frozenVMs
 		}
 		vms = append([]kv.VM(nil), current...)
 		return nil
--- a/kv/standin/control.go
+++ b/kv/standin/control.go
@@ -9,43 +9,43 @@
 	"tarragongw/kv"
 )
 
-// Order sets switches; members that are absent leave theirs as they are.
-type Order struct {
+// FaultRequest sets faults. Fields that are absent leave their fault unchanged.
+type FaultRequest struct {
 	Down        *bool  `json:"down,omitempty"`
 	DelayMillis *int64 `json:"delay_ms,omitempty"`
-	// LoseReplies maps a kind of call to the number of replies to lose.
+	// LoseReplies is the number of replies to lose, by kind of call.
 	LoseReplies map[kv.CallKind]int `json:"lose_replies,omitempty"`
-	// Watch is works, silent or broken.
+	// Watch is "works", "silent" or "broken".
 	Watch    *string `json:"watch,omitempty"`
 	StaleVMs *bool   `json:"stale_vms,omitempty"`
-	// CutOff maps the name of a client or of a group of clients to whether it is cut off.
+	// CutOff is whether a client or a group of clients is cut off, by its name.
 	CutOff map[string]bool `json:"cut_off,omitempty"`
-	// Lapse names leases that end at once; Compact forgets all history.
-	Lapse   []string `json:"lapse,omitempty"`
-	Compact bool     `json:"compact,omitempty"`
+	// ExpireLeases are the names of leases that expire immediately. Compact drops all history.
+	ExpireLeases []string `json:"lapse,omitempty"`
+	Compact      bool     `json:"compact,omitempty"`
 }
 
 var watchFaults = map[string]WatchFault{"works": WatchWorks, "silent": WatchSilent, "broken": WatchBroken}
 
-// check finds what is wrong with the order before any of it takes effect.
-func (o *Order) check() error {
-	if o.Watch != nil {
-		if _, ok := watchFaults[*o.Watch]; !ok {
-			return fmt.Errorf("watch %q: want works, silent or broken", *o.Watch)
+// check returns an error if the request is invalid, before any part of it takes effect.
+func (r *FaultRequest) check() error {
+	if r.Watch != nil {
+		if _, ok := watchFaults[*r.Watch]; !ok {
+			return fmt.Errorf("watch %q: want works, silent or broken", *r.Watch)
 		}
 	}
-	if o.DelayMillis != nil && *o.DelayMillis < 0 {
-		return fmt.Errorf("delay_ms %d: must not be negative", *o.DelayMillis)
+	if r.DelayMillis != nil && *r.DelayMillis < 0 {
+		return fmt.Errorf("delay_ms %d: must not be negative", *r.DelayMillis)
 	}
-	for kind, n := range o.LoseReplies {
-		if !known(kind) || n < 0 {
+	for kind, n := range r.LoseReplies {
+		if !isCallKind(kind) || n < 0 {
 			return fmt.Errorf("lose_replies %q: %d: want one of %v and a count", kind, n, kv.CallKinds())
 		}
 	}
 	return nil
 }
 
-func known(kind kv.CallKind) bool {
+func isCallKind(kind kv.CallKind) bool {
 	for _, k := range kv.CallKinds() {
 		if k == kind {
 			return true
@@ -54,52 +54,52 @@
 	return false
 }
 
-// Apply sets the switches that the order names, all or, with an error, none.
-func (p *Platform) Apply(o Order) error {
-	if err := o.check(); err != nil {
+// Apply sets the faults that the request contains. If it returns an error, it has set none.
+func (p *Platform) Apply(r FaultRequest) error {
+	if err := r.check(); err != nil {
 		return err
 	}
-	if o.Down != nil {
-		p.SetDown(*o.Down)
+	if r.Down != nil {
+		p.SetDown(*r.Down)
 	}
-	if o.DelayMillis != nil {
-		p.SetDelay(time.Duration(*o.DelayMillis) * time.Millisecond)
+	if r.DelayMillis != nil {
+		p.SetDelay(time.Duration(*r.DelayMillis) * time.Millisecond)
 	}
-	for kind, n := range o.LoseReplies {
+	for kind, n := range r.LoseReplies {
 		p.LoseReplies(kind, n)
 	}
-	if o.Watch != nil {
-		p.SetWatchFault(watchFaults[*o.Watch])
+	if r.Watch != nil {
+		p.SetWatchFault(watchFaults[*r.Watch])
 	}
-	if o.StaleVMs != nil {
-		p.SetStaleVMs(*o.StaleVMs)
+	if r.StaleVMs != nil {
+		p.SetStaleVMs(*r.StaleVMs)
 	}
-	for name, cut := range o.CutOff {
+	for name, cut := range r.CutOff {
 		p.CutOff(name, cut)
 	}
-	for _, name := range o.Lapse {
-		p.LapseLease(name)
+	for _, name := range r.ExpireLeases {
+		p.ExpireLease(name)
 	}
-	if o.Compact {
+	if r.Compact {
 		p.Compact()
 	}
 	return nil
 }
 
-// maxOrder bounds the body of an order in bytes.
-const maxOrder = 64 << 10
+// maxRequestBytes is the largest size of a request's body, in bytes.
+const maxRequestBytes = 64 << 10
 
-// ControlHandler serves the switches to other processes: POST takes an Order,
-// GET returns the numbers of calls by kind. It is for the dev command and tests.
+// ControlHandler lets other processes set faults: POST takes a FaultRequest, GET returns the
+// number of calls by kind. It is for the dev command and tests.
 func (p *Platform) ControlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /", func(w http.ResponseWriter, r *http.Request) {
-		var o Order
-		decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxOrder))
+		var faults FaultRequest
+		decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 		decoder.DisallowUnknownFields()
-		err := decoder.Decode(&o)
+		err := decoder.Decode(&faults)
 		if err == nil {
-			err = p.Apply(o)
+			err = p.Apply(faults)
 		}
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
@@ -109,7 +109,7 @@
 	})
 	mux.HandleFunc("GET /", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		// An error here means that the client has gone; there is nobody left to tell.
+		// An error here means that the client has closed the connection.
 		_ = json.NewEncoder(w).Encode(p.Calls())
 	})
 	return mux
--- a/kv/standin/standin.go
+++ b/kv/standin/standin.go
@@ -1,6 +1,6 @@
 // Package standin is an in-memory stand-in for the platform: the key-value
-// store and the list of VMs, with switches for the faults that the platform is
-// known to have. It serves the dev command and tests. Nothing is kept on disk.
+// store and the list of VMs. It can inject the faults that the platform is known
+// to have. It is used by the dev command and by tests and stores nothing on disk.
 package standin
 
 import (
@@ -15,45 +15,46 @@
 
 // Config holds the settings of a stand-in.
 type Config struct {
-	// MaxValue is the size of the largest value in bytes. Default kv.MaxValue.
+	// MaxValue is the largest size of a value in bytes. Default: kv.MaxValue.
 	MaxValue int
-	// History is the number of changes that a watch may lag behind. Default 4096.
+	// History is the number of changes that are kept for watches. Default: 4096.
 	History int
-	// Now is the clock of the leases. Default time.Now.
+	// Now is the clock for the expiry of leases. Default: time.Now.
 	Now func() time.Time
-	// Sleep waits for d or until ctx ends; it carries out the delay of a slow store.
+	// Sleep waits for d or until ctx ends; it implements the delay of a slow store.
 	// Default: a timer.
 	Sleep func(ctx context.Context, d time.Duration) error
 }
 
 const defaultHistory = 4096
 
-// change is one entry of the history; the value is that of the live record.
+// change is one entry of the history; the value is in the current record of the key.
 type change struct {
 	revision kv.Revision
 	key      string
 }
 
-// Platform is the stand-in's state, shared by all of its clients.
+// Platform is the state of the stand-in, which all its clients share.
 type Platform struct {
 	cfg Config
 
 	mu       sync.Mutex
 	revision kv.Revision
 	records  map[string]kv.Record
-	// history holds the last changes in order of revision; older ones are compacted.
+	// history has the last changes in order of revision; older ones have been dropped, up to
+	// the revision compacted.
 	history   []change
 	compacted kv.Revision
-	leases    map[string]lease
+	leases    map[string]leaseState
 	leaseID   uint64
 	vms       []kv.VM
-	// changed is closed and replaced whenever a waiting watch has to look again.
-	changed  chan struct{}
-	switches switches
-	calls    map[kv.CallKind]uint64
+	// changed is closed and replaced whenever pending watches must check for changes.
+	changed chan struct{}
+	faults  faults
+	calls   map[kv.CallKind]uint64
 }
 
-// New returns an empty stand-in with every fault off.
+// New returns an empty stand-in without faults.
 func New(cfg Config) *Platform {
 	if cfg.MaxValue <= 0 {
 		cfg.MaxValue = kv.MaxValue
@@ -68,12 +69,12 @@
 		cfg.Sleep = sleep
 	}
 	return &Platform{
-		cfg:      cfg,
-		records:  make(map[string]kv.Record),
-		leases:   make(map[string]lease),
-		changed:  make(chan struct{}),
-		switches: newSwitches(),
-		calls:    make(map[kv.CallKind]uint64),
+		cfg:     cfg,
+		records: make(map[string]kv.Record),
+		leases:  make(map[string]leaseState),
+		changed: make(chan struct{}),
+		faults:  newFaults(),
+		calls:   make(map[kv.CallKind]uint64),
 	}
 }
 
@@ -88,7 +89,7 @@
 	}
 }
 
-// Calls returns the number of calls of each kind so far, refused ones included.
+// Calls returns the number of calls of each kind so far, including refused ones.
 func (p *Platform) Calls() map[kv.CallKind]uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,21 +107,21 @@
 	return p.revision
 }
 
-// SetVMs replaces the list of VMs. While the list is stale, clients go on
-// seeing the one before.
+// SetVMs replaces the list of VMs. While the list is stale, clients still
+// see the list from before SetStaleVMs.
 func (p *Platform) SetVMs(vms []kv.VM) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.vms = append([]kv.VM(nil), vms...)
 }
 
-// wakeLocked makes every waiting watch look again.
+// wakeLocked makes all pending watches check for changes.
 func (p *Platform) wakeLocked() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// getLocked returns the live record of the key.
+// getLocked returns the current record of the key.
 func (p *Platform) getLocked(key string) (kv.Record, error) {
 	record, ok := p.records[key]
 	if !ok {
@@ -157,7 +158,7 @@
 	return p.revision, nil
 }
 
-// appendLocked adds to the history and forgets the oldest change where it is full.
+// appendLocked adds a change to the history and drops the oldest one if it is full.
 func (p *Platform) appendLocked(c change) {
 	if len(p.history) == p.cfg.History {
 		p.compacted = p.history[0].revision
@@ -166,7 +167,7 @@
 	p.history = append(p.history, c)
 }
 
-// Compact forgets all history, so that every watch that lags has to list again.
+// Compact drops all history, so that watches from an older revision must list again.
 func (p *Platform) Compact() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -178,23 +179,23 @@
 // changesLocked returns the records under prefix that changed after since, each
 // key once, in order of revision.
 func (p *Platform) changesLocked(prefix string, since kv.Revision) ([]kv.Record, error) {
-	// A revision above the store's own comes from an earlier life of the store.
-	// Waiting for it would look like a quiet prefix for ever, so it is refused too.
+	// A revision above the store's own comes from an earlier instance of the store. It is
+	// refused too, because waiting for it would look like a prefix without changes.
 	if since < p.compacted || since > p.revision {
 		return nil, kv.ErrCompacted
 	}
 	first := sort.Search(len(p.history), func(i int) bool { return p.history[i].revision > since })
 	var records []kv.Record
 	for _, c := range p.history[first:] {
-		live := p.records[c.key]
-		if strings.HasPrefix(c.key, prefix) && live.Revision == c.revision {
-			records = append(records, clone(live))
+		current := p.records[c.key]
+		if strings.HasPrefix(c.key, prefix) && current.Revision == c.revision {
+			records = append(records, clone(current))
 		}
 	}
 	return records, nil
 }
 
-// clone keeps callers and the store from sharing a value's bytes.
+// clone copies a record, so that callers and the store do not share the bytes of its value.
 func clone(r kv.Record) kv.Record {
 	r.Value = append([]byte(nil), r.Value...)
 	return r
--- a/kv/standin/watch.go
+++ b/kv/standin/watch.go
@@ -12,10 +12,10 @@
 	return c.Poll(ctx, prefix, since, 0)
 }
 
-// Poll is a Watch that ends after wait with no record and the revision to go on
-// from; zero waits without end. A watch that is silent ignores wait.
+// Poll is a Watch that ends after wait with no records and the revision to continue
+// from; zero means no limit. WatchSilent makes it ignore wait.
 func (c *Client) Poll(ctx context.Context, prefix string, since kv.Revision, wait time.Duration) ([]kv.Record, kv.Revision, error) {
-	if _, err := c.begin(ctx, kv.CallWatch); err != nil {
+	if _, err := c.startCall(ctx, kv.CallWatch); err != nil {
 		return nil, since, err
 	}
 	var timeout <-chan time.Time
@@ -26,7 +26,7 @@
 	}
 	expired := false
 	for {
-		records, revision, changed, err := c.look(prefix, since, expired)
+		records, revision, changed, err := c.pollOnce(prefix, since, expired)
 		if changed == nil {
 			return records, revision, err
 		}
@@ -40,14 +40,14 @@
 	}
 }
 
-// look returns the watch's result, or the channel to wait on where it has none.
-func (c *Client) look(prefix string, since kv.Revision, expired bool) ([]kv.Record, kv.Revision, <-chan struct{}, error) {
+// pollOnce returns the result of a watch, or the channel to wait on if it has none yet.
+func (c *Client) pollOnce(prefix string, since kv.Revision, expired bool) ([]kv.Record, kv.Revision, <-chan struct{}, error) {
 	c.p.mu.Lock()
 	defer c.p.mu.Unlock()
-	if c.p.unreachableLocked(c.name) || c.p.switches.watch == WatchBroken {
+	if c.p.unreachableLocked(c.name) || c.p.faults.watch == WatchBroken {
 		return nil, since, nil, kv.ErrUnavailable
 	}
-	if c.p.switches.watch == WatchSilent {
+	if c.p.faults.watch == WatchSilent {
 		return nil, since, c.p.changed, nil
 	}
 	records, err := c.p.changesLocked(prefix, since)
--- a/kv/ledger.go
+++ b/kv/txnstore.go
@@ -11,14 +11,14 @@
 	Revision Revision
 }
 
-// Put is a write of one key, which goes with its lease where there is one.
+// Put is a write of one key. If Lease is set, the key is removed when the lease ends.
 type Put struct {
 	Key   string
 	Value []byte
 	Lease LeaseID
 }
 
-// Txn is a set of writes that happen together, if every condition holds, or not at all.
+// Txn is a set of writes that take effect together if all conditions hold, or not at all.
 type Txn struct {
 	Conditions []Condition
 	Puts       []Put
@@ -28,24 +28,24 @@
 // Ledger is a store with transactions and with leases that keys can be bound to. Its
 // errors are those of Store.
 //
-// A call that is asked in one era and answered in another proves nothing: a read is then
-// ErrUnavailable, a watch ErrCompacted, a lease ErrLeaseLost and a transaction ErrUnknown. A
-// condition of an earlier era doesn't hold.
+// If the store is restored during a call, the response proves nothing. A read then returns
+// ErrUnavailable, a watch ErrCompacted, a lease call ErrLeaseLost, and a transaction
+// ErrUnknown. A condition with a revision of an earlier era does not hold.
 type Ledger interface {
-	// Era returns the latest era that an answer has named, and whether one has named any.
+	// Era returns the latest era that a response has stated, and whether any has.
 	Era() (Era, bool)
 	Get(ctx context.Context, key string) (Record, error)
 	// List returns the records under prefix and a revision to watch from. Records that
 	// changed meanwhile may be older or newer than that.
 	List(ctx context.Context, prefix string) ([]Record, Revision, error)
-	// Watch is that of Store, but ends after wait where nothing changed.
+	// Watch is like that of Store, but ends after wait if nothing changed.
 	Watch(ctx context.Context, prefix string, since Revision, wait time.Duration) ([]Record, Revision, error)
-	// Commit carries the transaction out. With ErrConflict it returns the conditions' keys
-	// as they are, those that don't exist with revision zero.
+	// Commit executes the transaction. With ErrConflict it returns the current records of
+	// the conditions' keys; keys that do not exist have revision zero.
 	Commit(ctx context.Context, txn Txn) (Revision, []Record, error)
-	// NewLease returns a lease and the time that it lasts from its last renewal's arrival.
+	// NewLease returns a lease and its TTL, counted from when the store receives the last renewal.
 	NewLease(ctx context.Context, ttl time.Duration) (LeaseID, time.Duration, error)
-	// KeepLease renews; ErrLeaseLost means that the lease has ended.
+	// KeepLease renews the lease; ErrLeaseLost means that it has ended.
 	KeepLease(ctx context.Context, id LeaseID) error
 	// EndLease removes the lease and the keys that are bound to it.
 	EndLease(ctx context.Context, id LeaseID) error
