--- a/kv/httpstore/failure_test.go
+++ b/kv/httpstore/failure_test.go
@@ -103,7 +103,7 @@
 		"code and status differ": func(w http.ResponseWriter, _ *http.Request) {
 			http.Error(w, `{"code":"unavailable"}`, http.StatusOK)
 		},
-		"truncated": func(w http.ResponseWriter, _ *http.Request) {
+		"truncated answer": func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "100")
 			_, _ = io.WriteString(w, `{"code":"ok"`)
 		},
