--- a/kv/budget.go
+++ b/kv/budget.go
@@ -166,7 +166,7 @@
 	if limiter.TokensAt(now) < 1+reserve {
 		return ErrOverBudget
 	}
-	if !b.gate(kind).admit(now) {
+	if !b.backoffGate(kind).admit(now) {
 		return WithCause(ErrUnavailable, errBackedOff)
 	}
 	limiter.AllowN(now, 1)
@@ -178,7 +178,7 @@
 func (b *Budget) recordOutcome(ctx context.Context, kind CallKind, started, ended time.Time, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	g := b.gate(kind)
+	g := b.backoffGate(kind)
 	switch {
 	case err == nil:
 		g.succeeded(started)
@@ -200,7 +200,7 @@
 	return b.reads
 }
 
-func (b *Budget) gate(kind CallKind) *backoffGate {
+func (b *Budget) backoffGate(kind CallKind) *backoffGate {
 	if kind == CallWatch {
 		return &b.watches
 	}
--- a/kv/budget_test.go
+++ b/kv/budget_test.go
@@ -15,21 +15,21 @@
 
 var _ kv.Observer = (*telemetry.Telemetry)(nil)
 
-// callCounts counts observations by kind of call and outcome.
-type callCounts map[string]int
+// counts has the number of observations by kind of call and outcome.
+type counts map[string]int
 
-func (o callCounts) StoreCall(kind, outcome string, _ time.Duration) { o[kind+" "+outcome]++ }
+func (c counts) StoreCall(kind, outcome string, _ time.Duration) { c[kind+" "+outcome]++ }
 
 // budgetFixture is a budget for a stand-in platform, with a manual clock.
 type budgetFixture struct {
 	now      time.Time
 	platform *standin.Platform
 	budget   *kv.Budget
-	counts   callCounts
+	counts   counts
 }
 
 func newBudgetFixture(cfg kv.BudgetConfig) *budgetFixture {
-	f := &budgetFixture{now: time.Unix(1000, 0), platform: standin.New(standin.Config{}), counts: callCounts{}}
+	f := &budgetFixture{now: time.Unix(1000, 0), platform: standin.New(standin.Config{}), counts: counts{}}
 	cfg.Now = func() time.Time { return f.now }
 	cfg.Random = func() float64 { return 0.5 }
 	cfg.Observer = f.counts
@@ -72,7 +72,7 @@
 	assert.NilError(t, err)
 	_, err = s.Get(context.Background(), "k")
 	assert.ErrorIs(t, err, kv.ErrOverBudget)
-	assert.DeepEqual(t, f.counts, callCounts{"get not_found": 1, "get over_budget": 2, "cas ok": 1})
+	assert.DeepEqual(t, f.counts, counts{"get not_found": 1, "get over_budget": 2, "cas ok": 1})
 }
 
 func TestCallsBackOffAfterFailuresUntilOneSucceeds(t *testing.T) {
@@ -86,7 +86,7 @@
 	f.platform.SetDown(false)
 	f.now = f.now.Add(500 * time.Millisecond)
 	assert.Equal(t, f.get(kv.Ownership, 10), 10)
-	assert.DeepEqual(t, f.counts, callCounts{"get unavailable": 2, "get backed_off": 28, "get not_found": 10})
+	assert.DeepEqual(t, f.counts, counts{"get unavailable": 2, "get backed_off": 28, "get not_found": 10})
 }
 
 // Guards against ownership changes that stop although the store accepts writes: only watches fail,
@@ -155,7 +155,7 @@
 	assert.NilError(t, s.Release(ctx, lease))
 	_, err = s.VMs(ctx)
 	assert.NilError(t, err)
-	want := callCounts{}
+	want := counts{}
 	for _, kind := range kv.CallKinds() {
 		want[string(kind)+" ok"] = 1
 	}
