--- a/kv/resolve.go
+++ b/kv/resolve.go
@@ -31,7 +31,7 @@
 type Outcome uint8
 
 const (
-	// StillUnknown means that the write may have taken effect or may yet do so.
+	// StillUnknown means that the write may have taken effect or may still do so.
 	StillUnknown Outcome = iota
 	// Landed means that the write took effect; other writes may have followed.
 	Landed
--- a/kv/txnstore.go
+++ b/kv/txnstore.go
@@ -36,7 +36,7 @@
 	Era() (Era, bool)
 	Get(ctx context.Context, key string) (Record, error)
 	// List returns the records under prefix and a revision to watch from. Records that
-	// changed meanwhile may be older or newer than that.
+	// changed while the list was read may be older or newer than that revision.
 	List(ctx context.Context, prefix string) ([]Record, Revision, error)
 	// Watch is like that of Store, but ends after wait if nothing changed.
 	Watch(ctx context.Context, prefix string, since Revision, wait time.Duration) ([]Record, Revision, error)
