--- a/core/assign/assign.go
+++ b/core/assign/assign.go
@@ -27,10 +27,10 @@
 
 // Defaults of Config.
 const (
-	// DefaultHold bounds how long keys stay with a holder that has become unreachable. It is
+	// DefaultGrantTTL bounds how long keys stay with a holder that has become unreachable. It is
 	// long enough for another router to take over as leader first: 1.2 s for the leader's
 	// lease to expire, and half a second for a renewal.
-	DefaultHold = 2 * time.Second
+	DefaultGrantTTL = 2 * time.Second
 	// DefaultRenewInterval allows for two lost renewals.
 	DefaultRenewInterval = 500 * time.Millisecond
 	// maxClockDrift is the fraction by which a holder's clock may run slow, so that its grant
@@ -38,11 +38,11 @@
 	maxClockDrift = 0.02
 	// expiryMargin covers the transit time of an order whose connection has ended.
 	expiryMargin = 100 * time.Millisecond
-	// WireDelay is how long after its timeout an order may still arrive, because it waits in
+	// LateArrivalBound is how long after its timeout an order may still arrive, because it waits in
 	// the queue of a full link. VMs with 10 Mbit/s held bytes back for more than half a
 	// second; a grant that arrived that late was still held when its keys had already gone to
 	// another target.
-	WireDelay = 600 * time.Millisecond
+	LateArrivalBound = 600 * time.Millisecond
 	// minFailures is how many orders in a row must fail before a holder counts as unreachable,
 	// and unreachableAfter how long ago its last answer must be. Single orders fail through
 	// broken connections or time out, and with many ranges three of them often fail at the
@@ -72,20 +72,20 @@
 // Config holds the durations that the assignment uses, and what is known of the store.
 // GrantTTL, LongHold and RenewInterval have defaults.
 type Config struct {
-	// GrantTTL is the TTL of a grant, and LongHold its TTL while the store is unreachable,
+	// GrantTTL is the TTL of a grant, and OutageGrantTTL its TTL while the store is unreachable,
 	// when no other router could take over.
-	GrantTTL, LongHold time.Duration
+	GrantTTL, OutageGrantTTL time.Duration
 	// RenewInterval is the time between two renewals of a grant.
 	RenewInterval time.Duration
-	// OldLeader bounds how long after the loss of its lease another leader may still send
+	// OldLeaderBound bounds how long after the loss of its lease another leader may still send
 	// renewals.
-	OldLeader time.Duration
+	OldLeaderBound time.Duration
 	// Era is the store era, see Assigner.Restored.
 	Era uint32
-	// Outdated reports whether the store may have lost writes of a former leader. The holders
+	// TableOutdated reports whether the store may have lost writes of a former leader. The holders
 	// in its table may then be wrong, and no key is granted until everything that the former
 	// leader may have granted has expired.
-	Outdated bool
+	TableOutdated bool
 	// WriteInterval is the least time between two writes of the table. If it is zero, only the
 	// duration of each write limits the rate.
 	WriteInterval time.Duration
@@ -93,10 +93,10 @@
 
 func (c Config) withDefaults() Config {
 	if c.GrantTTL <= 0 {
-		c.GrantTTL = DefaultHold
+		c.GrantTTL = DefaultGrantTTL
 	}
-	if c.LongHold < c.GrantTTL {
-		c.LongHold = c.GrantTTL
+	if c.OutageGrantTTL < c.GrantTTL {
+		c.OutageGrantTTL = c.GrantTTL
 	}
 	if c.RenewInterval <= 0 {
 		c.RenewInterval = DefaultRenewInterval
@@ -129,9 +129,9 @@
 	Address  string
 	From, To keyspace.Key
 	Token    uint64
-	// Hold is the TTL of the grant, counted from its arrival. Handover is the data that the
+	// TTL is the TTL of the grant, counted from its arrival. Handover is the data that the
 	// previous holder returned with its release.
-	Hold     time.Duration
+	TTL      time.Duration
 	Handover string
 	// First reports whether this is the first grant of the keys under this token.
 	First bool
@@ -161,7 +161,7 @@
 // maxLateArrival is how long after this outcome the order may still arrive.
 func (o Outcome) maxLateArrival() time.Duration {
 	if o == Unanswered {
-		return WireDelay
+		return LateArrivalBound
 	}
 	return 0
 }
@@ -292,16 +292,16 @@
 	a.nextToken = table.NextToken
 	a.raiseNextToken(cfg.Era)
 	a.generation = 1
-	if cfg.Outdated {
-		a.noPlacementBefore = now.Add(a.cfg.OldLeader + expiresAfter(a.cfg.LongHold))
+	if cfg.TableOutdated {
+		a.noPlacementBefore = now.Add(a.cfg.OldLeaderBound + expiresAfter(a.cfg.OutageGrantTTL))
 	}
-	oldLeaderExpiry := now.Add(a.cfg.OldLeader + expiresAfter(a.cfg.LongHold))
+	oldLeaderExpiry := now.Add(a.cfg.OldLeaderBound + expiresAfter(a.cfg.OutageGrantTTL))
 	token := a.takeToken()
 	for _, segment := range table.Segments {
-		segment.Moving, segment.Lost = false, false
+		segment.Moving, segment.HolderUnreachable = false, false
 		sp := span{Segment: segment, generation: a.generation}
 		switch {
-		case segment.Target != "" && cfg.Outdated:
+		case segment.Target != "" && cfg.TableOutdated:
 			sp.Holder, sp.Token, sp.nextTarget = keyspace.Holder{}, 0, segment.Target
 		case segment.Target != "":
 			sp.Token, sp.oldLeaderExpiry, sp.inherited = token, oldLeaderExpiry, true
@@ -332,10 +332,10 @@
 	a.nextToken = max(a.nextToken, uint64(a.era)<<eraShift)
 }
 
-// Restored records that the store was restored from an older copy and is now in the given era.
+// StoreRestored records that the store was restored from an older copy and is now in the given era.
 // The stored table is older than the orders sent, and is written again; grants continue as
 // during an outage of the store.
-func (a *Assigner) Restored(era uint32) {
+func (a *Assigner) StoreRestored(era uint32) {
 	a.raiseNextToken(era)
 	a.generation = max(a.generation, a.sentGeneration) + 1
 }
@@ -346,5 +346,5 @@
 // Service returns the name of the service.
 func (a *Assigner) Service() string { return a.service }
 
-// SetStoreAway records whether the store is unreachable. Grants then have the longer TTL.
-func (a *Assigner) SetStoreAway(away bool) { a.storeUnreachable = away }
+// SetStoreUnreachable records whether the store is unreachable. Grants then have the longer TTL.
+func (a *Assigner) SetStoreUnreachable(away bool) { a.storeUnreachable = away }
--- a/core/assign/assign_test.go
+++ b/core/assign/assign_test.go
@@ -17,7 +17,7 @@
 func testTargets(ids ...string) []directory.Target {
 	var all []directory.Target
 	for _, id := range ids {
-		all = append(all, directory.Target{ID: id, Born: 1, Service: "s", Address: id, Slots: 4})
+		all = append(all, directory.Target{ID: id, StartUnixMilli: 1, Service: "s", Address: id, Slots: 4})
 	}
 	return all
 }
@@ -28,10 +28,10 @@
 	for range 20 {
 		actions := a.Step(now)
 		if actions.Write != nil {
-			a.Written(actions.Write.Generation, true)
+			a.WriteDone(actions.Write.Generation, true)
 		}
 		for _, o := range actions.Orders {
-			a.Done(now, o.ID, Accepted, "h")
+			a.OrderDone(now, o.ID, Accepted, "h")
 		}
 		if actions.Write == nil && len(actions.Orders) == 0 {
 			return
@@ -83,11 +83,11 @@
 	actions := a.Step(after(maxPlacementDelay))
 	assert.Assert(t, actions.Write != nil)
 	assert.Equal(t, len(actions.Orders), 0)
-	a.Written(actions.Write.Generation, false)
+	a.WriteDone(actions.Write.Generation, false)
 	actions = a.Step(after(maxPlacementDelay))
 	assert.Assert(t, actions.Write != nil, "a failed write is repeated")
 	assert.Equal(t, len(actions.Orders), 0)
-	a.Written(actions.Write.Generation, true)
+	a.WriteDone(actions.Write.Generation, true)
 	assert.Assert(t, len(a.Step(after(maxPlacementDelay)).Orders) > 0)
 }
 
@@ -102,24 +102,24 @@
 	if moved.Target == "a" {
 		receiver = "b"
 	}
-	assert.Assert(t, a.Begin(now, Move{From: moved.From, To: moved.From + 10, Target: receiver}))
+	assert.Assert(t, a.StartMove(now, Move{From: moved.From, To: moved.From + 10, Target: receiver}))
 	actions := a.Step(now)
 	assert.Assert(t, actions.Write != nil)
-	a.Written(actions.Write.Generation, true)
+	a.WriteDone(actions.Write.Generation, true)
 	orders := a.Step(now).Orders
 	assert.Equal(t, len(orders), 1)
 	assert.Equal(t, orders[0].Kind, Release)
 	assert.Assert(t, orders[0].Token > moved.Token, "an older renewal must be refused after the release")
-	a.Done(now, orders[0].ID, Accepted, "handover")
+	a.OrderDone(now, orders[0].ID, Accepted, "handover")
 	write := a.Step(now).Write
-	assert.Assert(t, a.Overlay(write.Table).Find(moved.From).Moving, "the new holder has not accepted yet")
-	a.Written(write.Generation, true)
+	assert.Assert(t, a.MarkUnconfirmed(write.Table).Find(moved.From).Moving, "the new holder has not accepted yet")
+	a.WriteDone(write.Generation, true)
 	orders = a.Step(now).Orders
 	assert.Equal(t, len(orders), 1)
 	assert.Equal(t, orders[0].Holder.Target, receiver)
 	assert.Equal(t, orders[0].Handover, "handover")
-	a.Done(now, orders[0].ID, Accepted, "")
-	assert.Assert(t, !a.Overlay(write.Table).Find(moved.From).Moving)
+	a.OrderDone(now, orders[0].ID, Accepted, "")
+	assert.Assert(t, !a.MarkUnconfirmed(write.Table).Find(moved.From).Moving)
 }
 
 // Retries to a target that doesn't answer don't extend the grants that it may hold.
@@ -132,17 +132,17 @@
 		now = now.Add(50 * time.Millisecond)
 		actions := a.Step(now)
 		if actions.Write != nil {
-			a.Written(actions.Write.Generation, true)
+			a.WriteDone(actions.Write.Generation, true)
 		}
 		for _, o := range actions.Orders {
 			outcome := Accepted
 			if o.Holder.Target == unreachable {
 				outcome = Unanswered
 			}
-			a.Done(now.Add(time.Millisecond), o.ID, outcome, "")
+			a.OrderDone(now.Add(time.Millisecond), o.ID, outcome, "")
 		}
 	}
-	assert.Assert(t, a.spans[0].expiry.Sub(expiry) <= DefaultRenewInterval+DefaultHold, "the expiry moved by %v", a.spans[0].expiry.Sub(expiry))
+	assert.Assert(t, a.spans[0].expiry.Sub(expiry) <= DefaultRenewInterval+DefaultGrantTTL, "the expiry moved by %v", a.spans[0].expiry.Sub(expiry))
 }
 
 // Several orders that fail at the same moment don't make a target unreachable.
@@ -183,7 +183,7 @@
 	for range 12 {
 		now = now.Add(100 * time.Millisecond)
 		for _, m := range a.Rebalance(now, nil, 1) {
-			if a.Begin(now, m) {
+			if a.StartMove(now, m) {
 				moved += int(m.To) - int(m.From) + 1
 			}
 		}
@@ -226,7 +226,7 @@
 		now = now.Add(100 * time.Millisecond)
 		for _, m := range a.Rebalance(now, nil, 1) {
 			moved = moved || m.From >= evenRange.From && m.To <= evenRange.To
-			a.Begin(now, m)
+			a.StartMove(now, m)
 		}
 		runUntilIdle(a, now)
 	}
@@ -243,18 +243,18 @@
 	assert.Assert(t, len(first) > 0)
 	now = now.Add(400 * time.Millisecond)
 	for _, o := range first {
-		a.Done(now, o.ID, Unanswered, "")
+		a.OrderDone(now, o.ID, Unanswered, "")
 	}
 	now = now.Add(grantRetryDelay)
 	retries := a.Step(now).Orders
 	assert.Equal(t, len(retries), len(first))
-	assert.Assert(t, retries[0].Hold < DefaultHold)
+	assert.Assert(t, retries[0].TTL < DefaultGrantTTL)
 	for _, o := range retries {
-		a.Done(now, o.ID, Accepted, "")
+		a.OrderDone(now, o.ID, Accepted, "")
 	}
 	full := a.Step(now).Orders
 	assert.Equal(t, len(full), len(first))
-	assert.Equal(t, full[0].Hold, DefaultHold)
+	assert.Equal(t, full[0].TTL, DefaultGrantTTL)
 }
 
 // Guards against a target that keeps more than half of the load for ten seconds because its
@@ -293,7 +293,7 @@
 		now := after(placementQuietPeriod + DefaultRenewInterval)
 		orders := a.Step(now).Orders
 		assert.Assert(t, len(orders) > 0)
-		a.Done(now.Add(300*time.Millisecond), orders[0].ID, c.outcome, "")
+		a.OrderDone(now.Add(300*time.Millisecond), orders[0].ID, c.outcome, "")
 		assert.Equal(t, a.spans[0].expiry.After(before), c.extended, "%v", c.outcome)
 		assert.Equal(t, a.candidates["a"].failures, 1, "%v", c.outcome)
 	}
--- a/core/assign/candidates.go
+++ b/core/assign/candidates.go
@@ -25,7 +25,7 @@
 			continue
 		}
 		c, known := a.candidates[t.ID]
-		if !known || c.target.Born != t.Born || c.target.Address != t.Address {
+		if !known || c.target.StartUnixMilli != t.StartUnixMilli || c.target.Address != t.Address {
 			c = &candidate{lastAnswer: now}
 			a.lastTargetAt = now
 		}
@@ -43,12 +43,12 @@
 	}
 }
 
-// OldLeaderStops sets the latest times at which a grant with the usual TTL, and one with the
+// BoundOldLeaderGrants sets the latest times at which a grant with the usual TTL, and one with the
 // long TTL, of a former leader may arrive. Targets that don't answer this leader need not be
 // waited for longer than those grants last, and targets that answer it only for long grants
 // that they accepted earlier.
-func (a *Assigner) OldLeaderStops(lastGrant, lastLongGrant time.Time) {
-	longExpiry := lastLongGrant.Add(expiresAfter(a.cfg.LongHold))
+func (a *Assigner) BoundOldLeaderGrants(lastGrant, lastLongGrant time.Time) {
+	longExpiry := lastLongGrant.Add(expiresAfter(a.cfg.OutageGrantTTL))
 	expiry := laterOf(lastGrant.Add(expiresAfter(a.cfg.GrantTTL)), longExpiry)
 	a.noPlacementBefore = earlierOf(a.noPlacementBefore, expiry)
 	for i := range a.spans {
--- a/core/assign/ended_test.go
+++ b/core/assign/ended_test.go
@@ -20,17 +20,17 @@
 	for name, ended := range map[string]bool{"ended": true, "departed only": false} {
 		t.Run(name, func(t *testing.T) {
 			old := newSettled(t, "a", "b")
-			cfg := Config{LongHold: 6 * time.Second, OldLeader: 10 * time.Second}
+			cfg := Config{OutageGrantTTL: 6 * time.Second, OldLeaderBound: 10 * time.Second}
 			now := after(placementQuietPeriod + time.Second)
 			a := TakeOver(now, cfg, "s", old.Table())
 			a.SetTargets(now, testTargets("b"))
 			if ended {
-				a.SetEnded([]keyspace.Holder{{Target: "a", Born: 1}, {Target: "b", Born: 9}})
+				a.SetEnded([]keyspace.Holder{{Target: "a", StartUnixMilli: 1}, {Target: "b", StartUnixMilli: 9}})
 			}
 			runUntilIdle(a, now)
 			kept := keysPerTarget(a)["a"]
 			assert.Equal(t, kept == 0, ended, "%d keys are still assigned to the departed target", kept)
-			runUntilIdle(a, now.Add(cfg.OldLeader+expiresAfter(cfg.LongHold)))
+			runUntilIdle(a, now.Add(cfg.OldLeaderBound+expiresAfter(cfg.OutageGrantTTL)))
 			assert.DeepEqual(t, keysPerTarget(a), map[string]int{"b": 1 << 16})
 		})
 	}
--- a/core/assign/orders.go
+++ b/core/assign/orders.go
@@ -49,7 +49,7 @@
 	if s.generation <= a.writtenGeneration {
 		return true
 	}
-	return s.Moving && !s.Lost && s.acked && !s.releaseSent
+	return s.Moving && !s.HolderUnreachable && s.acked && !s.releaseSent
 }
 
 // releaseDue reports whether the holder must be ordered now to release the keys, without
@@ -74,7 +74,7 @@
 	}
 	a.addOrder(s, actions, Order{
 		Kind: Grant, Holder: s.Holder, Address: c.target.Address, From: s.From, To: s.To, Token: s.Token,
-		Hold: a.grantTTL(now, s, c), Handover: s.handover, First: !s.grantSent,
+		TTL: a.grantTTL(now, s, c), Handover: s.handover, First: !s.grantSent,
 	})
 	s.grantSent = true
 }
@@ -85,12 +85,12 @@
 func (a *Assigner) grantTTL(now time.Time, s *span, c *candidate) time.Duration {
 	ttl := a.cfg.GrantTTL
 	if a.storeUnreachable {
-		ttl = a.cfg.LongHold
+		ttl = a.cfg.OutageGrantTTL
 	}
 	if c.failures == 0 || !s.acked {
 		return ttl
 	}
-	remaining := s.lastExpiry().Sub(now) - WireDelay - expiryMargin
+	remaining := s.lastExpiry().Sub(now) - LateArrivalBound - expiryMargin
 	remaining -= time.Duration(float64(remaining) * maxClockDrift)
 	return min(max(remaining, minGrantTTL), ttl)
 }
@@ -102,12 +102,12 @@
 	a.lastOrderID++
 	o.ID = a.lastOrderID
 	s.orderInFlight = true
-	a.pendingOrders[o.ID] = pendingOrder{from: s.From, token: s.Token, kind: o.Kind, ttl: o.Hold}
+	a.pendingOrders[o.ID] = pendingOrder{from: s.From, token: s.Token, kind: o.Kind, ttl: o.TTL}
 	actions.Orders = append(actions.Orders, o)
 }
 
-// Done records the outcome of an order.
-func (a *Assigner) Done(now time.Time, id uint64, outcome Outcome, handover string) {
+// OrderDone records the outcome of an order.
+func (a *Assigner) OrderDone(now time.Time, id uint64, outcome Outcome, handover string) {
 	p, known := a.pendingOrders[id]
 	delete(a.pendingOrders, id)
 	if !known {
@@ -163,7 +163,7 @@
 		if s.inherited {
 			// From now on the target refuses what an older leader sends, but the last grant
 			// that it accepted from one may have been a long one.
-			s.inherited, s.oldLeaderExpiry = false, earlierOf(s.oldLeaderExpiry, now.Add(expiresAfter(a.cfg.LongHold)))
+			s.inherited, s.oldLeaderExpiry = false, earlierOf(s.oldLeaderExpiry, now.Add(expiresAfter(a.cfg.OutageGrantTTL)))
 		}
 		s.expiry = laterOf(s.expiry, now.Add(expiresAfter(p.ttl)))
 		s.acked, s.newHolder, s.handover, s.nextOrderAt = true, false, "", now.Add(a.cfg.RenewInterval)
--- a/core/assign/ranges.go
+++ b/core/assign/ranges.go
@@ -38,9 +38,9 @@
 	return s.Target != "" && s.acked && !s.orderInFlight && !s.Moving && !s.inherited
 }
 
-// Begin starts a move that was decided on, and reports whether it did. It does nothing if the
+// StartMove starts a move that was decided on, and reports whether it did. It does nothing if the
 // keys are already moving, their holder has changed, or the new target can't take them.
-func (a *Assigner) Begin(now time.Time, m Move) bool {
+func (a *Assigner) StartMove(now time.Time, m Move) bool {
 	i := a.indexOf(m.From)
 	s := &a.spans[i]
 	if a.storeUnreachable || s.Moving || s.orderInFlight || s.Target == "" || s.Target == m.Target || m.To > s.To || !a.candidates[m.Target].acceptsKeys() {
--- a/core/assign/rebalance_test.go
+++ b/core/assign/rebalance_test.go
@@ -61,7 +61,7 @@
 		sim.assigner.Load().Add(sim.now, keyspace.Key(k), 1)
 	}
 	for _, m := range sim.assigner.Rebalance(sim.now, sim.serviceTime, 1) {
-		if sim.assigner.Begin(sim.now, m) {
+		if sim.assigner.StartMove(sim.now, m) {
 			sim.movedKeys += int(m.To) - int(m.From) + 1
 		}
 	}
@@ -141,14 +141,14 @@
 	for i := range 50 {
 		now = now.Add(20 * time.Millisecond)
 		key := donor.From + keyspace.Key(10*i)
-		a.Begin(now, Move{From: key, To: key, Target: receiver})
+		a.StartMove(now, Move{From: key, To: key, Target: receiver})
 		actions := a.Step(now)
 		if actions.Write != nil {
 			writes++
-			a.Written(actions.Write.Generation, true)
+			a.WriteDone(actions.Write.Generation, true)
 		}
 		for _, o := range actions.Orders {
-			a.Done(now, o.ID, Accepted, "h")
+			a.OrderDone(now, o.ID, Accepted, "h")
 		}
 	}
 	assert.Assert(t, writes >= 8 && writes <= 11, "%d writes within a second", writes)
@@ -170,15 +170,15 @@
 		sim.now = sim.now.Add(10 * time.Millisecond)
 		actions := sim.assigner.Step(sim.now)
 		if actions.Write != nil {
-			sim.assigner.Written(actions.Write.Generation, true)
+			sim.assigner.WriteDone(actions.Write.Generation, true)
 		}
 		for _, o := range actions.Orders {
 			if !unreachable(o.Holder.Target) {
-				sim.assigner.Done(sim.now, o.ID, Accepted, "")
+				sim.assigner.OrderDone(sim.now, o.ID, Accepted, "")
 				continue
 			}
 			orders++
-			sim.assigner.Done(sim.now, o.ID, NotSent, "")
+			sim.assigner.OrderDone(sim.now, o.ID, NotSent, "")
 		}
 	}
 	assert.Assert(t, orders < 8*ranges, "%d orders for %d ranges within 2 s", orders, ranges)
--- a/core/assign/simulation_test.go
+++ b/core/assign/simulation_test.go
@@ -77,7 +77,7 @@
 		return Superseded
 	}
 	t.rememberToken(o)
-	ttl := time.Duration(float64(o.Hold) * (1 + maxClockDrift))
+	ttl := time.Duration(float64(o.TTL) * (1 + maxClockDrift))
 	unexpired := t.grants[:0]
 	for _, g := range t.grants {
 		if g.expiry > arrived {
@@ -205,7 +205,7 @@
 	var all []directory.Target
 	for _, t := range sim.targets {
 		if t.registered {
-			all = append(all, directory.Target{ID: t.id, Born: t.instance, Service: "s", Address: t.id, Slots: 4, Draining: t.draining})
+			all = append(all, directory.Target{ID: t.id, StartUnixMilli: t.instance, Service: "s", Address: t.id, Slots: 4, Draining: t.draining})
 		}
 	}
 	return all
@@ -223,15 +223,15 @@
 	// A leader that is still current soon leads again in the restored store.
 	if l.era != sim.era && !l.cutOff && current && sim.chance(10) {
 		l.era = sim.era
-		l.assigner.Restored(sim.era)
+		l.assigner.StoreRestored(sim.era)
 	}
-	l.assigner.SetStoreAway(l.cutOff)
+	l.assigner.SetStoreUnreachable(l.cutOff)
 	for k := range 3 {
 		l.assigner.Load().Add(sim.clock(), keyspace.Key(sim.random(1<<16)>>uint(4*k)), 1)
 	}
 	if sim.chance(10) && !sim.noRebalance {
 		for _, m := range l.assigner.Rebalance(sim.clock(), nil, 1) {
-			l.assigner.Begin(sim.clock(), m)
+			l.assigner.StartMove(sim.clock(), m)
 		}
 	}
 	actions := l.assigner.Step(sim.clock())
@@ -247,24 +247,24 @@
 	sim.schedule(time.Duration(sim.random(60))*time.Millisecond, func() {
 		current := l == sim.leaders[len(sim.leaders)-1]
 		if l.era != sim.era {
-			l.assigner.Written(write.Generation, false)
+			l.assigner.WriteDone(write.Generation, false)
 			return
 		}
 		if !current || l.cutOff {
 			if !current && !l.cutOff {
 				l.stopped = true // the store answered that another router leads
 			}
-			l.assigner.Written(write.Generation, false)
+			l.assigner.WriteDone(write.Generation, false)
 			return
 		}
 		sim.table = write.Table
-		l.assigner.Written(write.Generation, !sim.chance(10))
+		l.assigner.WriteDone(write.Generation, !sim.chance(10))
 	})
 }
 
 func (sim *simulation) sendOrder(l *simLeader, o *Order) {
 	if sim.now-l.leaseRenewed > simOldLeaderBound {
-		sim.schedule(orderTimeout, func() { l.assigner.Done(sim.clock(), o.ID, Unanswered, "") })
+		sim.schedule(orderTimeout, func() { l.assigner.OrderDone(sim.clock(), o.ID, Unanswered, "") })
 		return
 	}
 	if sim.mutant == "low release token" && o.Kind == Release {
@@ -284,7 +284,7 @@
 	if sim.mutant == "ignore late arrival" {
 		outcome = Broken
 	}
-	l.assigner.Done(sim.clock(), o.ID, outcome, "")
+	l.assigner.OrderDone(sim.clock(), o.ID, outcome, "")
 }
 
 // deliverLate carries out an order after its timeout.
@@ -296,7 +296,7 @@
 
 func (sim *simulation) deliverOrder(l *simLeader, o *Order) {
 	t := sim.target(o.Holder)
-	unanswered := func() { l.assigner.Done(sim.clock(), o.ID, Unanswered, "") }
+	unanswered := func() { l.assigner.OrderDone(sim.clock(), o.ID, Unanswered, "") }
 	if t == nil || !t.running || t.unreachableFrom[l.number] {
 		sim.schedule(orderTimeout, unanswered)
 		return
@@ -320,12 +320,12 @@
 		sim.schedule(orderTimeout, unanswered)
 		return
 	}
-	sim.schedule(time.Duration(sim.random(40))*time.Millisecond, func() { l.assigner.Done(sim.clock(), o.ID, outcome, "h") })
+	sim.schedule(time.Duration(sim.random(40))*time.Millisecond, func() { l.assigner.OrderDone(sim.clock(), o.ID, outcome, "h") })
 }
 
 func (sim *simulation) target(h keyspace.Holder) *simTarget {
 	for _, t := range sim.targets {
-		if t.id == h.Target && t.instance == h.Born {
+		if t.id == h.Target && t.instance == h.StartUnixMilli {
 			return t
 		}
 	}
@@ -404,16 +404,16 @@
 	if sim.table != nil {
 		table = sim.table.Clone()
 	}
-	cfg := Config{GrantTTL: simTTL, LongHold: simLongTTL, OldLeader: simOldLeaderBound, Era: sim.era}
+	cfg := Config{GrantTTL: simTTL, OutageGrantTTL: simLongTTL, OldLeaderBound: simOldLeaderBound, Era: sim.era}
 	if sim.mutant != "trust restored table" {
-		cfg.Outdated = sim.era > 0 && (table == nil || table.Era < sim.era)
+		cfg.TableOutdated = sim.era > 0 && (table == nil || table.Era < sim.era)
 	}
 	if sim.mutant == "no wait for old leader" {
-		cfg.OldLeader, cfg.LongHold = -simOldLeaderBound, simTTL
+		cfg.OldLeaderBound, cfg.OutageGrantTTL = -simOldLeaderBound, simTTL
 	}
 	l := &simLeader{assigner: TakeOver(sim.clock(), cfg, "s", table), number: len(sim.leaders), leaseRenewed: sim.now, era: sim.era}
 	if sim.mutant == "ignore old grants" {
-		l.assigner.cfg.GrantTTL, l.assigner.cfg.LongHold = simTTL, simLongTTL
+		l.assigner.cfg.GrantTTL, l.assigner.cfg.OutageGrantTTL = simTTL, simLongTTL
 		for i := range l.assigner.spans {
 			l.assigner.spans[i].oldLeaderExpiry, l.assigner.spans[i].inherited = time.Time{}, false
 		}
@@ -430,9 +430,9 @@
 	switch {
 	case l.stopped:
 	case sim.mutant == "":
-		l.assigner.OldLeaderStops(last, last)
+		l.assigner.BoundOldLeaderGrants(last, last)
 	case sim.mutant == "ignore long grants":
-		l.assigner.OldLeaderStops(last, time.Time{})
+		l.assigner.BoundOldLeaderGrants(last, time.Time{})
 	}
 }
 
--- a/core/assign/step.go
+++ b/core/assign/step.go
@@ -51,10 +51,10 @@
 	return t
 }
 
-// Overlay returns a copy of a stored table in which the segments whose new holder has not
+// MarkUnconfirmed returns a copy of a stored table in which the segments whose new holder has not
 // accepted them yet are marked as moving. The new holder would refuse requests sent before
 // that, and each refused request would cost a retry from the retry budget.
-func (a *Assigner) Overlay(stored *keyspace.Table) *keyspace.Table {
+func (a *Assigner) MarkUnconfirmed(stored *keyspace.Table) *keyspace.Table {
 	t := stored.Clone()
 	for i := range t.Segments {
 		segment := &t.Segments[i]
@@ -66,8 +66,8 @@
 	return t
 }
 
-// Written records the result of a write. A failed write is repeated.
-func (a *Assigner) Written(generation uint64, ok bool) {
+// WriteDone records the result of a write. A failed write is repeated.
+func (a *Assigner) WriteDone(generation uint64, ok bool) {
 	a.writeInFlight = false
 	if ok {
 		a.writtenGeneration = max(a.writtenGeneration, generation)
@@ -85,7 +85,7 @@
 		}
 		c := a.candidates[s.Target]
 		switch {
-		case c != nil && c.target.Born != s.Born:
+		case c != nil && c.target.StartUnixMilli != s.StartUnixMilli:
 			a.grantToNewInstance(s, c)
 		case c == nil:
 			a.beginMove(now, s, "", true)
@@ -101,7 +101,7 @@
 // nothing yet, and the previous instance has ended with its process.
 func (a *Assigner) grantToNewInstance(s *span, c *candidate) {
 	s.Holder, s.newHolder = c.target.Holder(), true
-	s.Moving, s.Lost, s.nextTarget, s.handover = false, false, "", ""
+	s.Moving, s.HolderUnreachable, s.nextTarget, s.handover = false, false, "", ""
 	s.inherited, s.expiry, s.oldLeaderExpiry = false, time.Time{}, time.Time{}
 	a.renewToken(s)
 }
@@ -116,13 +116,13 @@
 // beginMove starts taking the keys from their holder.
 func (a *Assigner) beginMove(now time.Time, s *span, nextTarget string, unreachable bool) {
 	if s.Moving {
-		if unreachable && !s.Lost {
-			s.Lost = true
+		if unreachable && !s.HolderUnreachable {
+			s.HolderUnreachable = true
 			a.markChanged(s)
 		}
 		return
 	}
-	s.Moving, s.Lost, s.nextTarget, s.releaseSent = true, unreachable, nextTarget, false
+	s.Moving, s.HolderUnreachable, s.nextTarget, s.releaseSent = true, unreachable, nextTarget, false
 	s.releaseToken = a.takeToken()
 	a.markChanged(s)
 }
@@ -140,7 +140,7 @@
 // markUnheld records that nobody holds the keys.
 func (a *Assigner) markUnheld(s *span, handover string) {
 	s.Holder, s.Token = keyspace.Holder{}, 0
-	s.Moving, s.Lost, s.acked, s.handover = false, false, false, handover
+	s.Moving, s.HolderUnreachable, s.acked, s.handover = false, false, false, handover
 	s.inherited, s.expiry, s.oldLeaderExpiry = false, time.Time{}, time.Time{}
 }
 
--- a/core/directory/departed.go
+++ b/core/directory/departed.go
@@ -61,5 +61,5 @@
 		return false
 	}
 	// If both report their start time, the order of these must agree.
-	return e.target.Born == 0 || t.target.Born == 0 || e.target.Born > t.target.Born
+	return e.target.StartUnixMilli == 0 || t.target.StartUnixMilli == 0 || e.target.StartUnixMilli > t.target.StartUnixMilli
 }
--- a/core/directory/departed_test.go
+++ b/core/directory/departed_test.go
@@ -10,8 +10,8 @@
 
 // A target is known to have ended only once it has departed and a later one has its address.
 func TestTargetHasEndedOnceALaterOneHasItsAddress(t *testing.T) {
-	old := Target{ID: "old", Born: 1000, Address: "10.0.0.1:80", Service: "keyed"}
-	next := Target{ID: "next", Born: 5000, Address: old.Address, Service: "other"}
+	old := Target{ID: "old", StartUnixMilli: 1000, Address: "10.0.0.1:80", Service: "keyed"}
+	next := Target{ID: "next", StartUnixMilli: 5000, Address: old.Address, Service: "other"}
 	with := func(t Target, change func(*Target)) Target { change(&t); return t }
 	for name, c := range map[string]struct {
 		old, next Target
@@ -23,10 +23,10 @@
 	}{
 		"taken by another service":  {old: old, next: next, ended: true},
 		"taken by the same service": {old: old, next: with(next, func(t *Target) { t.Service = old.Service }), ended: true},
-		"neither reports its start": {old: with(old, func(t *Target) { t.Born = 0 }), next: with(next, func(t *Target) { t.Born = 0 }), ended: true},
+		"neither reports its start": {old: with(old, func(t *Target) { t.StartUnixMilli = 0 }), next: with(next, func(t *Target) { t.StartUnixMilli = 0 }), ended: true},
 		"still in the store":        {old: old, next: next, notRemoved: true},
 		"another address":           {old: old, next: with(next, func(t *Target) { t.Address = "10.0.0.2:80" })},
-		"the other started before":  {old: old, next: with(next, func(t *Target) { t.Born = 500 })},
+		"the other started before":  {old: old, next: with(next, func(t *Target) { t.StartUnixMilli = 500 })},
 		"the other was seen first":  {old: old, next: next, otherSeenFirst: true},
 		"reported since":            {old: old, next: next, reportsLater: true},
 	} {
@@ -61,14 +61,14 @@
 // A target that reports again has not ended, and a departed one is dropped after a while.
 func TestDepartedTargetIsDroppedOnReturnOrAfterRetention(t *testing.T) {
 	d := New()
-	d.Put(at(0), Target{ID: "old", Born: 1000, Address: "x"})
+	d.Put(at(0), Target{ID: "old", StartUnixMilli: 1000, Address: "x"})
 	d.Remove(at(100), "old")
-	d.Put(at(200), Target{ID: "next", Born: 5000, Address: "x"})
+	d.Put(at(200), Target{ID: "next", StartUnixMilli: 5000, Address: "x"})
 	assert.Equal(t, len(d.Ended()), 1)
-	d.Put(at(300), Target{ID: "old", Born: 1000, Address: "y"})
+	d.Put(at(300), Target{ID: "old", StartUnixMilli: 1000, Address: "y"})
 	assert.Equal(t, len(d.Ended()), 0)
 	d.Remove(at(400), "old")
-	d.Put(at(500), Target{ID: "another", Born: 1})
+	d.Put(at(500), Target{ID: "another", StartUnixMilli: 1})
 	d.Remove(at(400+2*int(departedRetention.Milliseconds())), "another")
 	assert.Equal(t, len(d.departed), 1)
 }
--- a/core/directory/directory.go
+++ b/core/directory/directory.go
@@ -20,12 +20,12 @@
 type Target struct {
 	// ID is unique to each target. A target may keep it over a restart.
 	ID string
-	// Born is the start time of the instance in Unix milliseconds, or zero if the target
+	// StartUnixMilli is the start time of the instance in Unix milliseconds, or zero if the target
 	// doesn't report it.
-	Born       int64
-	Address    string
-	Service    string
-	DataCentre string
+	StartUnixMilli int64
+	Address        string
+	Service        string
+	DataCentre     string
 	// Slots is how many requests the target works on at the same time.
 	Slots int
 	// Draining targets take no new work.
@@ -40,7 +40,7 @@
 
 // Holder returns the name of this target instance in the key table.
 func (t *Target) Holder() keyspace.Holder {
-	return keyspace.Holder{Target: t.ID, Born: t.Born}
+	return keyspace.Holder{Target: t.ID, StartUnixMilli: t.StartUnixMilli}
 }
 
 // entry is a target with this router's state for it.
@@ -74,7 +74,7 @@
 // sequence number and cold time.
 func (d *Directory) Put(now time.Time, t Target) bool {
 	old, known := d.entries[t.ID]
-	if known && t.Born < old.target.Born {
+	if known && t.StartUnixMilli < old.target.StartUnixMilli {
 		// The report of an earlier instance arrived late.
 		return false
 	}
@@ -92,7 +92,7 @@
 // nextEntry returns the entry after report t. old is the entry before it, or nil.
 func nextEntry(old *entry, now time.Time, t Target) *entry {
 	e := &entry{target: t, firstSeen: now, lastReport: now}
-	if old == nil || old.target.Born != t.Born || old.target.Address != t.Address {
+	if old == nil || old.target.StartUnixMilli != t.StartUnixMilli || old.target.Address != t.Address {
 		return e
 	}
 	e.firstSeen = old.firstSeen
@@ -146,7 +146,7 @@
 	var current []Target
 	for _, t := range listed {
 		switch old, known := d.entries[t.ID]; {
-		case known && t.Born == old.target.Born && t.Seq < old.target.Seq:
+		case known && t.StartUnixMilli == old.target.StartUnixMilli && t.Seq < old.target.Seq:
 			current = append(current, old.target)
 		case known || len(d.entries) == 0:
 			current = append(current, t)
@@ -181,11 +181,11 @@
 	return changed
 }
 
-// StoreAway records that the store is unreachable.
-func (d *Directory) StoreAway() { d.storeUnreachable = true }
+// StoreUnreachable records that the store is unreachable.
+func (d *Directory) StoreUnreachable() { d.storeUnreachable = true }
 
-// StoreBack records that the store is reachable again.
-func (d *Directory) StoreBack(now time.Time) {
+// StoreReachable records that the store is reachable again.
+func (d *Directory) StoreReachable(now time.Time) {
 	if !d.storeUnreachable {
 		return
 	}
--- a/core/directory/directory_test.go
+++ b/core/directory/directory_test.go
@@ -41,8 +41,8 @@
 	d := New()
 	d.Put(at(0), Target{ID: "a"})
 	d.Put(at(0), Target{ID: "b"})
-	d.StoreAway()
-	d.StoreBack(at(5000))
+	d.StoreUnreachable()
+	d.StoreReachable(at(5000))
 	assert.Assert(t, !d.Replace(at(5000), nil))
 	assert.DeepEqual(t, targetIDs(d), []string{"a", "b"})
 	d.Put(at(6500), Target{ID: "a", Seq: 9})
@@ -55,10 +55,10 @@
 func TestNoTargetIsRemovedWhileTheStoreIsUnreachable(t *testing.T) {
 	d := New()
 	d.Put(at(0), Target{ID: "a"})
-	d.StoreAway()
+	d.StoreUnreachable()
 	d.Remove(at(10), "a")
 	assert.Assert(t, !d.Tick(at(60_000)))
-	d.StoreBack(at(60_000))
+	d.StoreReachable(at(60_000))
 	assert.Assert(t, !d.Tick(at(60_000)))
 	assert.Assert(t, d.Tick(at(60_000).Add(ReturnGrace)))
 }
@@ -67,9 +67,9 @@
 // instance are ignored.
 func TestReportsOfAnEarlierInstanceAreIgnored(t *testing.T) {
 	d := New()
-	d.Put(at(0), Target{ID: "a", Born: 5, Seq: 40})
-	assert.Assert(t, d.Put(at(10), Target{ID: "a", Born: 9, Seq: 1}))
-	assert.Assert(t, !d.Put(at(20), Target{ID: "a", Born: 5, Seq: 41, Draining: true}))
+	d.Put(at(0), Target{ID: "a", StartUnixMilli: 5, Seq: 40})
+	assert.Assert(t, d.Put(at(10), Target{ID: "a", StartUnixMilli: 9, Seq: 1}))
+	assert.Assert(t, !d.Put(at(20), Target{ID: "a", StartUnixMilli: 5, Seq: 41, Draining: true}))
 	assert.Assert(t, !d.Targets()[0].Draining)
 }
 
@@ -82,8 +82,8 @@
 	d := New()
 	d.Put(at(0), Target{ID: "a"})
 	d.Put(at(0), Target{ID: "b"})
-	d.StoreAway()
-	d.StoreBack(at(9000))
+	d.StoreUnreachable()
+	d.StoreReachable(at(9000))
 	d.Replace(at(9000), []Target{{ID: "b", Seq: 7}})
 	assert.DeepEqual(t, targetIDs(d), []string{"a", "b"})
 	assert.Assert(t, d.Adopt(at(9100), true, []Target{{ID: "b", Seq: 8}}, nil))
--- a/core/directory/restore_test.go
+++ b/core/directory/restore_test.go
@@ -12,8 +12,8 @@
 	d := New()
 	d.Put(at(0), Target{ID: "known", Seq: 5, Draining: true})
 	d.Put(at(0), Target{ID: "missing", Seq: 5})
-	d.StoreAway()
-	d.StoreBack(at(1000))
+	d.StoreUnreachable()
+	d.StoreReachable(at(1000))
 	d.Restore(at(1000), []Target{{ID: "known", Seq: 2}, {ID: "left", Seq: 9}})
 	assert.DeepEqual(t, targetIDs(d), []string{"known", "missing"})
 	assert.Assert(t, d.Targets()[0].Draining, "an older report must not replace a newer one")
@@ -26,8 +26,8 @@
 // A router that starts after a restore knows no target, and accepts the listing as it is.
 func TestNewRouterAcceptsTheRestoredListing(t *testing.T) {
 	d := New()
-	d.StoreAway()
-	d.StoreBack(at(0))
+	d.StoreUnreachable()
+	d.StoreReachable(at(0))
 	assert.Assert(t, d.Restore(at(0), []Target{{ID: "a"}, {ID: "b"}}))
 	assert.DeepEqual(t, targetIDs(d), []string{"a", "b"})
 }
--- a/core/dispatch/dispatch_test.go
+++ b/core/dispatch/dispatch_test.go
@@ -204,7 +204,7 @@
 	assert.Equal(t, s.Offer(start, r).Verdict, Wait)
 	decided := s.Poll(start.Add(maxHandoverWait + time.Millisecond))
 	assert.Equal(t, decided[1].Fault, fault.Moving)
-	s.table.Segments[0].Lost = true
+	s.table.Segments[0].HolderUnreachable = true
 	r.ID = 2
 	d := s.Offer(start, r)
 	assert.Equal(t, d.Verdict, Refuse)
@@ -246,7 +246,7 @@
 	s := newService(target("a", "here"))
 	s.targetByID["a"].inFlight = 2
 	restarted := target("a", "here")
-	restarted.Born = 7
+	restarted.StartUnixMilli = 7
 	s.SetTargets([]directory.Target{restarted})
 	assert.Equal(t, s.targetByID["a"].inFlight, 0)
 }
--- a/core/dispatch/service.go
+++ b/core/dispatch/service.go
@@ -138,7 +138,7 @@
 	s.targetList, s.localTargets = s.targetList[:0], 0
 	for _, t := range targets {
 		state, known := s.targetByID[t.ID]
-		if !known || state.Born != t.Born {
+		if !known || state.StartUnixMilli != t.StartUnixMilli {
 			state = newTargetState(t)
 		}
 		state.Target = t
@@ -368,7 +368,7 @@
 	}
 	segment := s.table.Find(*r.Key)
 	if segment.Moving {
-		if segment.Lost {
+		if segment.HolderUnreachable {
 			return nil, &block{kind: fault.NoOwner, detail: "the grant of " + segment.Target + " has to lapse", wait: -1, retryAfter: grantExpiryRetryAfter}
 		}
 		return nil, &block{kind: fault.Moving, detail: "from " + segment.Target, maxWait: maxHandoverWait, retryAfter: minRetryAfter}
--- a/core/keyspace/table.go
+++ b/core/keyspace/table.go
@@ -17,10 +17,10 @@
 // Holder is one instance of a target.
 type Holder struct {
 	Target string `json:"t,omitempty"`
-	// Born is the start time of the instance in Unix milliseconds, or zero if the target
+	// StartUnixMilli is the start time of the instance in Unix milliseconds, or zero if the target
 	// doesn't report it. It tells instances of a target that restarts under the same name
 	// apart.
-	Born int64 `json:"b,omitempty"`
+	StartUnixMilli int64 `json:"b,omitempty"`
 }
 
 // Segment is a range of keys with one holder and token.
@@ -36,9 +36,9 @@
 	// Moving reports whether the holder is to give the keys up. Routers hold requests for them
 	// back meanwhile.
 	Moving bool `json:"m,omitempty"`
-	// Lost reports whether the holder of a moving segment is unreachable, so that its grant
+	// HolderUnreachable reports whether the holder of a moving segment is unreachable, so that its grant
 	// must expire first. That takes seconds, too long for a request to wait.
-	Lost bool `json:"x,omitempty"`
+	HolderUnreachable bool `json:"x,omitempty"`
 }
 
 // Len returns the number of keys in the range.
@@ -86,9 +86,9 @@
 	t.Segments[i], t.Segments[i+1] = left, right
 }
 
-// Carve makes the keys from first to last a segment of their own and returns it. The keys must
+// SplitOut makes the keys from first to last a segment of their own and returns it. The keys must
 // lie in one segment.
-func (t *Table) Carve(first, last Key) *Segment {
+func (t *Table) SplitOut(first, last Key) *Segment {
 	t.Split(first)
 	if last < LastKey {
 		t.Split(last + 1)
@@ -101,7 +101,7 @@
 	kept := t.Segments[:1]
 	for _, s := range t.Segments[1:] {
 		last := &kept[len(kept)-1]
-		if last.Holder == s.Holder && last.Token == s.Token && last.Moving == s.Moving && last.Lost == s.Lost {
+		if last.Holder == s.Holder && last.Token == s.Token && last.Moving == s.Moving && last.HolderUnreachable == s.HolderUnreachable {
 			last.To = s.To
 			continue
 		}
--- a/core/keyspace/table_test.go
+++ b/core/keyspace/table_test.go
@@ -16,7 +16,7 @@
 			first := Key(rapid.IntRange(0, int(LastKey)).Draw(t, "first"))
 			s := table.Find(first)
 			last := Key(rapid.IntRange(int(first), int(s.To)).Draw(t, "last"))
-			s = table.Carve(first, last)
+			s = table.SplitOut(first, last)
 			assert.Equal(t, s.From, first)
 			assert.Equal(t, s.To, last)
 			s.Holder = Holder{Target: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "holder")}
--- a/gateway/clusterstate.go
+++ b/gateway/clusterstate.go
@@ -102,7 +102,7 @@
 func (cs *clusterState) handleChange(m *prefixMessage) {
 	if outage, ok := m.message.(*storeUnreachable); ok {
 		if m.prefix == cs.g.opts.Adapter.TargetPrefix {
-			cs.directory.StoreAway()
+			cs.directory.StoreUnreachable()
 		}
 		cs.g.leader.duty.Tell(outage)
 		return
@@ -173,9 +173,9 @@
 	a := &cs.g.opts.Adapter
 	restored := c.listed && cs.g.restoredSince(c.at.Add(-directory.ReturnGrace))
 	if c.unreachableFor >= minOutage || restored {
-		cs.directory.StoreAway()
+		cs.directory.StoreUnreachable()
 	}
-	cs.directory.StoreBack(c.at)
+	cs.directory.StoreReachable(c.at)
 	if restored {
 		cs.publishTargets(cs.directory.Restore(c.at, cs.readTargets(c.records)))
 		return
--- a/gateway/leaderstep.go
+++ b/gateway/leaderstep.go
@@ -49,7 +49,7 @@
 		if assignment.assigner == nil {
 			continue
 		}
-		assignment.assigner.SetStoreAway(suspected)
+		assignment.assigner.SetStoreUnreachable(suspected)
 		actions := assignment.assigner.Step(now)
 		l.carryOut(t, name, assignment, actions, now)
 		if assignment.unpublished && !now.Before(assignment.publishDue) {
@@ -110,12 +110,12 @@
 		delete(m.term.services, m.service)
 		return
 	}
-	cfg := assign.Config{LongHold: min(outageGrantTTL, l.g.opts.HoldMax), OldLeader: orderLimitWithQuorum, WriteInterval: tableWriteInterval}
+	cfg := assign.Config{OutageGrantTTL: min(outageGrantTTL, l.g.opts.HoldMax), OldLeaderBound: orderLimitWithQuorum, WriteInterval: tableWriteInterval}
 	table := l.newestTable(m, &cfg)
 	assigner := assign.TakeOver(time.Now(), cfg, m.service, table)
 	l.targets.apply(assigner)
 	if m.term.oldLeaderDeadlines != nil {
-		assigner.OldLeaderStops(m.term.oldLeaderDeadlines.normal, m.term.oldLeaderDeadlines.outage)
+		assigner.BoundOldLeaderGrants(m.term.oldLeaderDeadlines.normal, m.term.oldLeaderDeadlines.outage)
 	}
 	m.term.services[m.service] = &serviceAssignment{assigner: assigner, revision: m.revision}
 	l.g.log.Info("assigns keys", "service", m.service, "table_revision", m.revision)
@@ -211,7 +211,7 @@
 	}
 	for _, assignment := range t.services {
 		if assignment.assigner != nil {
-			assignment.assigner.OldLeaderStops(t.oldLeaderDeadlines.normal, t.oldLeaderDeadlines.outage)
+			assignment.assigner.BoundOldLeaderGrants(t.oldLeaderDeadlines.normal, t.oldLeaderDeadlines.outage)
 		}
 	}
 }
@@ -231,20 +231,20 @@
 // already: the old lease has expired, so its last renewal is older than the bound assumes by more
 // than that delay.
 func oldLeaderDeadlinesAt(now time.Time, promised time.Duration) *grantDeadlines {
-	return &grantDeadlines{normal: now.Add(max(orderLimitWithoutQuorum, promised)), outage: now.Add(promised + assign.WireDelay)}
+	return &grantDeadlines{normal: now.Add(max(orderLimitWithoutQuorum, promised)), outage: now.Add(promised + assign.LateArrivalBound)}
 }
 
 func (l *leader) handleOrderDone(m *orderDone) {
 	o := &m.order
 	if m.outcome != assign.Accepted || o.Kind == assign.Release || o.First {
 		l.g.log.Info("order", "kind", o.Kind, "service", m.service, "target", o.Holder.Target, "from", o.From, "to", o.To,
-			"token", o.Token, "hold", o.Hold, "outcome", m.outcome, "handover", m.handover != "", "took", m.took, "err", errText(m.err))
+			"token", o.Token, "hold", o.TTL, "outcome", m.outcome, "handover", m.handover != "", "took", m.took, "err", errText(m.err))
 	}
 	if m.term != l.term {
 		return
 	}
 	if assignment := m.term.services[m.service]; assignment != nil && assignment.assigner != nil {
-		assignment.assigner.Done(time.Now(), o.ID, m.outcome, m.handover)
+		assignment.assigner.OrderDone(time.Now(), o.ID, m.outcome, m.handover)
 		if o.First && m.outcome == assign.Accepted && assignment.stored != nil {
 			assignment.unpublished = true
 		}
@@ -256,7 +256,7 @@
 func (l *leader) publishTable(assignment *serviceAssignment, now time.Time) {
 	assignment.published++
 	assignment.unpublished, assignment.publishDue = false, now.Add(publishInterval)
-	l.g.state.duty.Tell(&feed.Table{Revision: uint64(assignment.revision), Sequence: assignment.published, Table: assignment.assigner.Overlay(assignment.stored)})
+	l.g.state.duty.Tell(&feed.Table{Revision: uint64(assignment.revision), Sequence: assignment.published, Table: assignment.assigner.MarkUnconfirmed(assignment.stored)})
 }
 
 func errText(err error) string {
@@ -294,7 +294,7 @@
 	if m.err == nil && m.revision.Era() != m.term.revision().Era() {
 		m.err = errors.Wrap(kv.ErrUnknown, "the store was restored meanwhile")
 	}
-	assignment.assigner.Written(m.generation, m.err == nil)
+	assignment.assigner.WriteDone(m.generation, m.err == nil)
 	if m.err == nil {
 		assignment.revision, assignment.writeNotBefore = m.revision, time.Time{}
 		assignment.stored, assignment.unpublished = m.table, true
@@ -334,7 +334,7 @@
 			assignment.assigner.Load().Add(now, k, 1)
 		}
 		for _, move := range assignment.assigner.Rebalance(now, s.serviceTime, l.g.subscription.reportScale()) {
-			if assignment.assigner.Begin(now, move) {
+			if assignment.assigner.StartMove(now, move) {
 				l.logMove(name, move)
 			}
 		}
--- a/gateway/pools.go
+++ b/gateway/pools.go
@@ -49,7 +49,7 @@
 
 // poolKey returns the key of a pool: one instance of a target at one address.
 func poolKey(t *directory.Target) directory.Target {
-	return directory.Target{ID: t.ID, Born: t.Born, Address: t.Address, Service: t.Service}
+	return directory.Target{ID: t.ID, StartUnixMilli: t.StartUnixMilli, Address: t.Address, Service: t.Service}
 }
 
 // get returns the target's pool; maxConns bounds the connections of this router to it.
--- a/gateway/quorum_test.go
+++ b/gateway/quorum_test.go
@@ -93,15 +93,15 @@
 	now := time.Unix(1000, 0)
 	for _, promised := range []time.Duration{-time.Second, 0, 300 * time.Millisecond, 3 * time.Second} {
 		a := takeOverTable(now)
-		a.OldLeaderStops(oldLeaderDeadlinesAt(now, promised).normal, oldLeaderDeadlinesAt(now, promised).outage)
-		assertHolderUntil(t, a, now, now.Add(promised+assign.WireDelay+outageGrantTTL))
+		a.BoundOldLeaderGrants(oldLeaderDeadlinesAt(now, promised).normal, oldLeaderDeadlinesAt(now, promised).outage)
+		assertHolderUntil(t, a, now, now.Add(promised+assign.LateArrivalBound+outageGrantTTL))
 	}
 }
 
 func takeOverTable(now time.Time) *assign.Assigner {
 	table := keyspace.New("s")
 	table.Segments[0].Holder = keyspace.Holder{Target: "a"}
-	return assign.TakeOver(now, assign.Config{LongHold: outageGrantTTL, OldLeader: orderLimitWithQuorum}, "s", table)
+	return assign.TakeOver(now, assign.Config{OutageGrantTTL: outageGrantTTL, OldLeaderBound: orderLimitWithQuorum}, "s", table)
 }
 
 func assertHolderUntil(t *testing.T, a *assign.Assigner, now, until time.Time) {
@@ -118,9 +118,9 @@
 	now := time.Unix(1000, 0)
 	a := takeOverTable(now)
 	deadlines := oldLeaderDeadlinesAt(now, -time.Minute)
-	a.OldLeaderStops(deadlines.normal, deadlines.outage)
-	assertHolderUntil(t, a, now, now.Add(orderLimitWithoutQuorum+assign.DefaultHold))
-	a.Step(now.Add(orderLimitWithoutQuorum + assign.DefaultHold + 200*time.Millisecond))
+	a.BoundOldLeaderGrants(deadlines.normal, deadlines.outage)
+	assertHolderUntil(t, a, now, now.Add(orderLimitWithoutQuorum+assign.DefaultGrantTTL))
+	a.Step(now.Add(orderLimitWithoutQuorum + assign.DefaultGrantTTL + 200*time.Millisecond))
 	assert.Equal(t, a.Table().Find(0).Target, "")
 }
 
--- a/gateway/restore.go
+++ b/gateway/restore.go
@@ -175,7 +175,7 @@
 			continue
 		}
 		assignment.revision = m.tables[name]
-		assignment.assigner.Restored(uint32(m.leadership.revision.Era()))
+		assignment.assigner.StoreRestored(uint32(m.leadership.revision.Era()))
 	}
 	l.g.log.Info("leadership kept in the restored store", "revision", m.leadership.revision, "era", m.leadership.revision.Era(),
 		"before", m.leadership.previous.revision, "services", len(l.term.services))
@@ -193,8 +193,8 @@
 			newest, source = received.Table, "feed"
 		}
 	}
-	cfg.Outdated = newest != nil && newest.Era < uint32(era) || newest == nil && l.g.restoredSince(l.g.subscription.started)
-	if cfg.Outdated {
+	cfg.TableOutdated = newest != nil && newest.Era < uint32(era) || newest == nil && l.g.restoredSince(l.g.subscription.started)
+	if cfg.TableOutdated {
 		l.g.log.Warn("key table may lack its last changes", "service", m.service, "from", source, "era", era)
 	}
 	return newest
--- a/gateway/tablerecord_test.go
+++ b/gateway/tablerecord_test.go
@@ -10,8 +10,8 @@
 
 func TestTableRecordRoundTrip(t *testing.T) {
 	table := keyspace.New("s")
-	s := table.Carve(100, 200)
-	s.Holder, s.Moving, s.Lost = keyspace.Holder{Target: "a", Born: 7}, true, true
+	s := table.SplitOut(100, 200)
+	s.Holder, s.Moving, s.HolderUnreachable = keyspace.Holder{Target: "a", StartUnixMilli: 7}, true, true
 	s.Token = table.TakeToken()
 	data, err := encodeTable(table)
 	assert.NilError(t, err)
--- a/peer/feed/feed.go
+++ b/peer/feed/feed.go
@@ -104,14 +104,14 @@
 func encodeTarget(t *directory.Target, now time.Time) *feedpb.Target {
 	coldFor := max(t.ColdUntil.Sub(now), 0)
 	return &feedpb.Target{
-		Id: t.ID, Born: t.Born, Address: t.Address, Service: t.Service, DataCentre: t.DataCentre,
+		Id: t.ID, Born: t.StartUnixMilli, Address: t.Address, Service: t.Service, DataCentre: t.DataCentre,
 		Slots: int32(t.Slots), Draining: t.Draining, ColdMs: coldFor.Milliseconds(),
 	}
 }
 
 func decodeTarget(t *feedpb.Target) directory.Target {
 	return directory.Target{
-		ID: t.GetId(), Born: t.GetBorn(), Address: t.GetAddress(), Service: t.GetService(), DataCentre: t.GetDataCentre(),
+		ID: t.GetId(), StartUnixMilli: t.GetBorn(), Address: t.GetAddress(), Service: t.GetService(), DataCentre: t.GetDataCentre(),
 		Slots: int(t.GetSlots()), Draining: t.GetDraining(), ColdFor: time.Duration(t.GetColdMs()) * time.Millisecond,
 	}
 }
@@ -170,13 +170,13 @@
 }
 
 func encodeSegment(s *keyspace.Segment) *feedpb.Segment {
-	return &feedpb.Segment{Last: uint32(s.To), Target: s.Target, Born: s.Born, Token: s.Token, Moving: s.Moving, Lost: s.Lost}
+	return &feedpb.Segment{Last: uint32(s.To), Target: s.Target, Born: s.StartUnixMilli, Token: s.Token, Moving: s.Moving, Lost: s.HolderUnreachable}
 }
 
 func decodeSegment(from int, s *feedpb.Segment) keyspace.Segment {
 	return keyspace.Segment{
-		From: keyspace.Key(from), To: keyspace.Key(s.GetLast()), Holder: keyspace.Holder{Target: s.GetTarget(), Born: s.GetBorn()},
-		Token: s.GetToken(), Moving: s.GetMoving(), Lost: s.GetLost(),
+		From: keyspace.Key(from), To: keyspace.Key(s.GetLast()), Holder: keyspace.Holder{Target: s.GetTarget(), StartUnixMilli: s.GetBorn()},
+		Token: s.GetToken(), Moving: s.GetMoving(), HolderUnreachable: s.GetLost(),
 	}
 }
 
--- a/peer/feed/feed_test.go
+++ b/peer/feed/feed_test.go
@@ -30,8 +30,8 @@
 	next := table.Clone()
 	for range rapid.IntRange(0, 5).Draw(t, "changes") {
 		first := keyspace.Key(rapid.IntRange(0, int(keyspace.LastKey)).Draw(t, "first"))
-		s := next.Carve(first, min(next.Find(first).To, keyspace.Key(min(int(first)+rapid.IntRange(0, 5000).Draw(t, "length"), int(keyspace.LastKey)))))
-		s.Holder = keyspace.Holder{Target: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "holder"), Born: 1}
+		s := next.SplitOut(first, min(next.Find(first).To, keyspace.Key(min(int(first)+rapid.IntRange(0, 5000).Draw(t, "length"), int(keyspace.LastKey)))))
+		s.Holder = keyspace.Holder{Target: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "holder"), StartUnixMilli: 1}
 		s.Token, s.Moving = next.TakeToken(), rapid.Bool().Draw(t, "moving")
 	}
 	next.Join()
@@ -93,11 +93,11 @@
 func TestPatchHasOnlyChangedSegments(t *testing.T) {
 	before := keyspace.New("s")
 	for k := keyspace.Key(100); k < 60000; k += 100 {
-		before.Carve(k, k+99).Holder = keyspace.Holder{Target: "a", Born: int64(k)}
+		before.SplitOut(k, k+99).Holder = keyspace.Holder{Target: "a", StartUnixMilli: int64(k)}
 	}
 	after := before.Clone()
 	for _, k := range []keyspace.Key{150, 30010, 59910} {
-		after.Carve(k, k+5).Moving = true
+		after.SplitOut(k, k+5).Moving = true
 	}
 	patch := encodePatch(Table{Table: before}, Table{Table: after})
 	assert.Assert(t, len(patch.Segments) <= 9, "%d segments", len(patch.Segments))
@@ -170,7 +170,7 @@
 
 func TestFollowerReceivesUpdatesAndReports(t *testing.T) {
 	leader := newTestLeader(t)
-	target := directory.Target{ID: "a", Born: 3, Address: "h:1", Service: "s", DataCentre: "hall", Slots: 6}
+	target := directory.Target{ID: "a", StartUnixMilli: 3, Address: "h:1", Service: "s", DataCentre: "hall", Slots: 6}
 	leader.source.SetTargets([]directory.Target{target})
 	leader.source.SetConfig(9, nil)
 	updates := make(chan *Update, 64)
@@ -303,9 +303,9 @@
 	for i := range targets {
 		id := fmt.Sprintf("i-%010x", uint64(i)*2654435761)
 		targets[i] = directory.Target{
-			ID: id, Born: 3, Address: fmt.Sprintf("10.%d.64.%d:8568", i%5, i%250), Service: "s", DataCentre: "hall", Slots: 6,
+			ID: id, StartUnixMilli: 3, Address: fmt.Sprintf("10.%d.64.%d:8568", i%5, i%250), Service: "s", DataCentre: "hall", Slots: 6,
 		}
-		table.Carve(keyspace.Key(i*width), keyspace.Key((i+1)*width-1)).Holder = keyspace.Holder{Target: id, Born: 3}
+		table.SplitOut(keyspace.Key(i*width), keyspace.Key((i+1)*width-1)).Holder = keyspace.Holder{Target: id, StartUnixMilli: 3}
 	}
 	source.SetTargets(targets)
 	source.SetTable(Table{Revision: 2, Table: table})
