--- a/caller/exchange.go
+++ b/caller/exchange.go
@@ -195,7 +195,7 @@
 		return nil
 	}
 	if x.status != 0 {
-		return f.Given(fault.Evidence{Written: true, Began: true})
+		return f.WithEvidence(fault.Evidence{Written: true, Began: true})
 	}
 	return x.attributeToCaller(f)
 }
--- a/core/dispatch/dispatch_test.go
+++ b/core/dispatch/dispatch_test.go
@@ -102,7 +102,7 @@
 		d := s.Offer(now, Request{ID: uint64(i), Deadline: now.Add(time.Second)})
 		assert.Equal(t, d.Verdict, Send)
 		used[d.Target.ID] = true
-		s.Done(now.Add(100*time.Millisecond), d.Target.ID, Answered, 100*time.Millisecond, d.Turns)
+		s.Done(now.Add(100*time.Millisecond), d.Target.ID, Answered, 100*time.Millisecond, d.ServiceMultiple)
 	}
 	assert.Assert(t, len(used) <= 2, "%v", used)
 	// More simultaneous requests than these targets have slots are spread over others.
@@ -162,7 +162,7 @@
 func TestQueueOrder(t *testing.T) {
 	q := queue{}
 	add := func(id uint64, rank, arrivedAt, due int) {
-		q.add(&Request{ID: id, Rank: rank, arrivedAt: at(arrivedAt), Due: at(due)})
+		q.add(&Request{ID: id, Priority: rank, arrivedAt: at(arrivedAt), Due: at(due)})
 	}
 	add(1, 1, 0, 50)
 	add(2, 1, 20, 500)
@@ -218,11 +218,11 @@
 	r := newRequest(1)
 	r.Key = key
 	assert.Equal(t, s.Offer(start, r).Verdict, Send)
-	s.Done(start, "a", Unreached, 0, 1)
+	s.Done(start, "a", Unreachable, 0, 1)
 	r.ID = 2
 	assert.Equal(t, s.Offer(start, r).Verdict, Refuse)
 	assert.Equal(t, s.Offer(start.Add(minConnectBackoff), r).Verdict, Send)
-	s.Done(start.Add(minConnectBackoff), "a", Unreached, 0, 1)
+	s.Done(start.Add(minConnectBackoff), "a", Unreachable, 0, 1)
 	assert.Equal(t, s.Offer(start.Add(2*minConnectBackoff), r).Verdict, Refuse)
 	s.Done(start.Add(3*minConnectBackoff), "a", Answered, time.Millisecond, 1)
 	assert.Equal(t, s.Offer(start.Add(3*minConnectBackoff), r).Verdict, Send)
@@ -282,7 +282,7 @@
 			startsAt = sent[n-2].endsAt
 		}
 		endsAt := startsAt.Add(service)
-		sent = append(sent, sentRequest{now, endsAt, d.Turns})
+		sent = append(sent, sentRequest{now, endsAt, d.ServiceMultiple})
 		if endsAt.After(r.Due) {
 			late++
 		} else {
--- a/core/dispatch/limits_test.go
+++ b/core/dispatch/limits_test.go
@@ -154,7 +154,7 @@
 	offer := func(now time.Time, r dispatch.Request) dispatch.Verdict {
 		d := s.Offer(now, r)
 		if d.Verdict == dispatch.Send {
-			s.Done(now, d.Target.ID, dispatch.Left, 0, 1)
+			s.Done(now, d.Target.ID, dispatch.Abandoned, 0, 1)
 		}
 		if d.Verdict == dispatch.Refuse {
 			assert.Assert(t, d.RetryAfter >= 700*time.Millisecond && d.RetryAfter <= 5*time.Second, "%v", d.RetryAfter)
--- a/core/dispatch/queue.go
+++ b/core/dispatch/queue.go
@@ -45,8 +45,8 @@
 	sorted := append([]*Request(nil), q.all...)
 	sort.SliceStable(sorted, func(i, j int) bool {
 		a, b := sorted[i], sorted[j]
-		if a.Rank != b.Rank {
-			return a.Rank < b.Rank
+		if a.Priority != b.Priority {
+			return a.Priority < b.Priority
 		}
 		if late := a.late(now); late != b.late(now) {
 			return !late
--- a/core/dispatch/service.go
+++ b/core/dispatch/service.go
@@ -32,8 +32,8 @@
 	ID uint64
 	// Key is set if the service divides its work by key.
 	Key *keyspace.Key
-	// Rank is the priority; zero is the most urgent.
-	Rank int
+	// Priority is the priority; zero is the most urgent.
+	Priority int
 	// Due is the time of the objective, after which the answer loses most of its value, and
 	// Deadline is when the answer must have begun; the zero time means none.
 	Due, Deadline time.Time
@@ -69,8 +69,8 @@
 	// the age of its last load report; negative means that there was none.
 	Work      float64
 	ReportAge time.Duration
-	// Turns is how many service times the request is expected to stay at the target.
-	Turns float64
+	// ServiceMultiple is how many service times the request is expected to stay at the target.
+	ServiceMultiple float64
 	// Fault is the kind of error of a refused request, RetryAfter the advised wait, and Detail
 	// the text for the caller.
 	Fault      fault.Kind
@@ -93,11 +93,11 @@
 	Misplaced
 	// TimedOut requests were sent and had no answer by their deadline.
 	TimedOut
-	// Unreached requests were not sent, because no connection could be opened.
-	Unreached
-	// Left requests ended without an answer because the caller closed the connection or the
+	// Unreachable requests were not sent, because no connection could be opened.
+	Unreachable
+	// Abandoned requests ended without an answer because the caller closed the connection or the
 	// deadline passed before they were sent; they say nothing about the target.
-	Left
+	Abandoned
 )
 
 // Service makes the decisions of one router for all requests of one service. It is not safe for
@@ -245,10 +245,10 @@
 		t.recordOutcome(now, shedFailure)
 		t.cutQueueLimit()
 		s.recordOverload(now, t, 0, 1)
-	case Unreached:
+	case Unreachable:
 		t.recordOutcome(now, 1)
 		t.recordUnreachable(now)
-	case Misplaced, Left:
+	case Misplaced, Abandoned:
 	}
 }
 
@@ -288,7 +288,7 @@
 	if t.inFlight > 0 && !s.worthQueueing(now, r, t) {
 		return Decision{}, s.tooLate(now, t)
 	}
-	d := Decision{Verdict: Send, Target: t.Target, Work: t.totalWork(now), ReportAge: -1, Turns: t.serviceMultiple(now)}
+	d := Decision{Verdict: Send, Target: t.Target, Work: t.totalWork(now), ReportAge: -1, ServiceMultiple: t.serviceMultiple(now)}
 	if !t.lastReport.IsZero() {
 		d.ReportAge = now.Sub(t.lastReport)
 	}
--- a/core/dispatch/target.go
+++ b/core/dispatch/target.go
@@ -48,9 +48,9 @@
 	// answer raises the limit again.
 	queueLimitCut  = 0.5
 	queueLimitGain = 0.05
-	// RestTime is how long an idle connection is kept. It is shorter than the ten seconds
+	// IdleConnTimeout is how long an idle connection is kept. It is shorter than the ten seconds
 	// after which targets close idle connections.
-	RestTime = 8 * time.Second
+	IdleConnTimeout = 8 * time.Second
 	// minConnectBackoff and maxConnectBackoff bound for how long a target to which no
 	// connection could be opened gets no requests. The maximum is about as long as it takes
 	// to notice a broken network path anyway.
@@ -166,7 +166,7 @@
 
 // hasNoConns reports whether all connections to the target have been closed as idle.
 func (t *targetState) hasNoConns(now time.Time) bool {
-	return t.inFlight == 0 && now.Sub(t.usedAt) >= RestTime
+	return t.inFlight == 0 && now.Sub(t.usedAt) >= IdleConnTimeout
 }
 
 // needsNewConn reports whether a request that is sent now needs a new connection.
--- a/core/dispatch/targetstats.go
+++ b/core/dispatch/targetstats.go
@@ -70,21 +70,21 @@
 	stats.Failed += failed
 }
 
-// Pressed reports whether a target was overloaded recently: it had at least as many waiting
+// Overloaded reports whether a target was overloaded recently: it had at least as many waiting
 // requests as slots, or refused or failed requests. If other routers report their answers by
 // LearnServiceTimes, these count too.
-func (s *Service) Pressed(now time.Time, id string) bool {
+func (s *Service) Overloaded(now time.Time, id string) bool {
 	t := s.targetByID[id]
 	return t != nil && !t.overloadedAt.IsZero() && now.Sub(t.overloadedAt) < overloadedFor
 }
 
-// DrainServiceTimes returns the statistics of targets since the last call, for the router that
+// DrainStats returns the statistics of targets since the last call, for the router that
 // assigns the keys.
 //
 // Routers together notice sooner that a target is slower than the others: one of nine routers
 // gets an answer from it every two seconds, and knows after twenty seconds what all of them
 // together know after two.
-func (s *Service) DrainServiceTimes(now time.Time) []TargetStats {
+func (s *Service) DrainStats(now time.Time) []TargetStats {
 	s.recordStalls(now)
 	var all []TargetStats
 	for id, stats := range s.pendingStats {
@@ -123,8 +123,8 @@
 	}
 }
 
-// LearnServiceTimes merges statistics that another router has drained.
-func (s *Service) LearnServiceTimes(now time.Time, all []TargetStats) {
+// MergeStats merges statistics that another router has drained.
+func (s *Service) MergeStats(now time.Time, all []TargetStats) {
 	for _, stats := range all {
 		t := s.targetByID[stats.Target]
 		if t == nil {
--- a/core/dispatch/targetstats_test.go
+++ b/core/dispatch/targetstats_test.go
@@ -34,7 +34,7 @@
 		follower, _ := newKeyedService("slow", target("slow", "here"), target("fast", "here"))
 		recordAnswers(follower, "slow", 2, slow)
 		recordAnswers(follower, "fast", 2, fast)
-		leader.LearnServiceTimes(start, follower.DrainServiceTimes(start))
+		leader.MergeStats(start, follower.DrainStats(start))
 	}
 	together := leader.ServiceTime("slow") / leader.ServiceTime("fast")
 	assert.Assert(t, together > 1.6, "%v of %v", together, slow.Seconds()/fast.Seconds())
@@ -43,7 +43,7 @@
 	newcomer.SetServiceTimes(leader.ChangedServiceTimes())
 	assert.Assert(t, newcomer.ServiceTime("slow") > 1.6*newcomer.ServiceTime("fast"))
 	assert.Equal(t, len(leader.ChangedServiceTimes()), 0, "an unchanged service time was returned again")
-	assert.Equal(t, len(newcomer.DrainServiceTimes(start)), 0, "service times from the leader were returned as answers")
+	assert.Equal(t, len(newcomer.DrainStats(start)), 0, "service times from the leader were returned as answers")
 }
 
 // The statistics of removed targets are dropped, so that they don't accumulate when many targets
@@ -53,7 +53,7 @@
 	recordAnswers(s, "a", 1, time.Second)
 	recordAnswers(s, "b", 1, time.Second)
 	s.SetTargets([]directory.Target{target("b", "here")})
-	serviceTimes := s.DrainServiceTimes(start)
+	serviceTimes := s.DrainStats(start)
 	assert.Equal(t, len(serviceTimes), 1)
 	assert.Equal(t, serviceTimes[0].Target, "b")
 }
@@ -84,7 +84,7 @@
 		d := s.Offer(now, Request{ID: uint64(i), Key: new(keyspace.Key)})
 		assert.Equal(t, d.Verdict, Send)
 		s.Report(now.Add(3*service), "busy", Report{Running: 2, Waiting: 4, Slots: 2})
-		s.Done(now.Add(3*service), "busy", Answered, 3*service, d.Turns)
+		s.Done(now.Add(3*service), "busy", Answered, 3*service, d.ServiceMultiple)
 	}
 	assert.Assert(t, s.ServiceTime("busy") < 1.3*service.Seconds(), "%v", s.ServiceTime("busy"))
 }
@@ -102,19 +102,19 @@
 	for i := range 20 {
 		r, key := newKeyedService("a", target("a", "here"), target("b", "here"))
 		recordAnswers(r, "a", 40, usual)
-		r.DrainServiceTimes(start)
+		r.DrainStats(start)
 		assert.Equal(t, r.Offer(at(50*i), Request{ID: 1, Key: key}).Verdict, Send)
 		routers = append(routers, r)
 	}
 	for now := 200; now <= 3000; now += 200 {
 		for _, r := range routers {
-			leader.LearnServiceTimes(at(now), r.DrainServiceTimes(at(now)))
+			leader.MergeStats(at(now), r.DrainStats(at(now)))
 		}
 	}
 	assert.Assert(t, leader.ServiceTime("a") > 2*before, "%v of %v", leader.ServiceTime("a"), before)
 	assert.Assert(t, leader.ServiceTime("b") < 1.1*before)
 	for range 12 {
-		leader.LearnServiceTimes(at(9000), []TargetStats{{Target: "a", Answers: 1, Mean: usual}})
+		leader.MergeStats(at(9000), []TargetStats{{Target: "a", Answers: 1, Mean: usual}})
 	}
 	assert.Assert(t, leader.ServiceTime("a") < 2*before, "%v of %v", leader.ServiceTime("a"), before)
 }
--- a/core/fault/evidence.go
+++ b/core/fault/evidence.go
@@ -24,11 +24,11 @@
 	}
 }
 
-// Given returns the fault with its Ran limited to what the evidence supports. A NotRun
+// WithEvidence returns the fault with its Ran limited to what the evidence supports. A NotRun
 // that the evidence does not support would let a caller repeat a request that took effect,
 // so it is replaced; a RanUnknown where the evidence would support NotRun is kept. The
 // receiver is not changed.
-func (f *Fault) Given(e Evidence) *Fault {
+func (f *Fault) WithEvidence(e Evidence) *Fault {
 	supported := e.Ran()
 	if f.Ran == supported || f.Ran == RanUnknown && !e.Began {
 		return f
--- a/core/fault/fault_test.go
+++ b/core/fault/fault_test.go
@@ -49,7 +49,7 @@
 		claim := New(rapid.SampledFrom(Kinds()).Draw(t, "kind"), "")
 		claim.Ran = rapid.SampledFrom([]Ran{RanUnknown, NotRun, RanFully}).Draw(t, "ran")
 		before := *claim
-		limited := claim.Given(evidence)
+		limited := claim.WithEvidence(evidence)
 		notRunProved := !evidence.Began && (evidence.Refused || !evidence.Written)
 		assert.Assert(t, limited.Ran != NotRun || notRunProved)
 		assert.Assert(t, limited.Ran != RanFully || evidence.Began)
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -4,37 +4,37 @@
 
 // Defaults of BudgetConfig.
 const (
-	DefaultShare        = 0.1
-	DefaultBurst        = 20
-	DefaultMinPerSecond = 1
+	DefaultRetriesPerSuccess = 0.1
+	DefaultBurst             = 20
+	DefaultMinPerSecond      = 1
 )
 
 // BudgetConfig bounds the retries of one service across all routers. The zero value
 // of a field means its default.
 type BudgetConfig struct {
-	// Share is the number of retry tokens that each success adds; a negative share
+	// RetriesPerSuccess is the number of retry tokens that each success adds; a negative share
 	// allows no retries at all.
-	Share float64
+	RetriesPerSuccess float64
 	// Burst is the capacity of a router's token bucket, in retries. It also bounds the
 	// tokens that all routers together can hold without any success, except that each
 	// router can always hold one.
 	Burst float64
-	// Shared also divides the capacity for tokens from successes among the routers, so
+	// DivideBurst also divides the capacity for tokens from successes among the routers, so
 	// that Burst bounds the tokens of all routers together, whatever their number (each
 	// can still hold one). Without it each router can save up to Burst tokens, and all of
 	// them spend these at the same moment when a target fails.
-	Shared bool
+	DivideBurst bool
 	// MinPerSecond is the rate at which all routers together receive tokens without any
 	// success, so that a service with little load can retry too.
 	MinPerSecond float64
 }
 
 func (c BudgetConfig) withDefaults() BudgetConfig {
-	if c.Share < 0 {
+	if c.RetriesPerSuccess < 0 {
 		return BudgetConfig{}
 	}
-	if c.Share == 0 {
-		c.Share = DefaultShare
+	if c.RetriesPerSuccess == 0 {
+		c.RetriesPerSuccess = DefaultRetriesPerSuccess
 	}
 	if c.Burst <= 0 {
 		c.Burst = DefaultBurst
@@ -92,10 +92,10 @@
 // Success adds the tokens of one request that was answered.
 func (b *Budget) Success() {
 	capacity := b.cfg.Burst
-	if b.cfg.Shared {
+	if b.cfg.DivideBurst {
 		capacity = b.maxTimeTokens()
 	}
-	b.successTokens = max(min(b.successTokens+b.cfg.Share, capacity-b.timeTokens), b.successTokens)
+	b.successTokens = max(min(b.successTokens+b.cfg.RetriesPerSuccess, capacity-b.timeTokens), b.successTokens)
 }
 
 // Take removes the token for one retry and reports whether there was one.
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -113,7 +113,7 @@
 // minutes, because retries were bounded for each request but not in total.
 func TestRetryStormIsBoundedByShareOfSuccess(t *testing.T) {
 	policy, random := NewPolicy(Config{}), newRandom()
-	budget := NewBudget(BudgetConfig{Share: 0.1, Burst: 20, MinPerSecond: 1}, 1)
+	budget := NewBudget(BudgetConfig{RetriesPerSuccess: 0.1, Burst: 20, MinPerSecond: 1}, 1)
 	failed := Attempt{Number: 1, Fault: &fault.Fault{Kind: fault.TargetUnreachable, Ran: fault.NotRun}}
 	retries := func(from time.Time, seconds int, outage bool) int {
 		n := 0
@@ -140,7 +140,7 @@
 // own, which added up.
 func TestRetriesOfAllRoutersTogetherAreBounded(t *testing.T) {
 	const requests, seconds = 20, 60
-	cfg := BudgetConfig{Share: 0.1, Burst: 20, MinPerSecond: 1}
+	cfg := BudgetConfig{RetriesPerSuccess: 0.1, Burst: 20, MinPerSecond: 1}
 	for _, routers := range []int{1, 12, 40} {
 		budgets := make([]*Budget, routers)
 		for i := range budgets {
@@ -178,7 +178,7 @@
 }
 
 func TestNegativeShareAllowsNoRetry(t *testing.T) {
-	b := NewBudget(BudgetConfig{Share: -1}, 1)
+	b := NewBudget(BudgetConfig{RetriesPerSuccess: -1}, 1)
 	for i := range 100 {
 		b.Success()
 		assert.Assert(t, !b.Take(epoch.Add(time.Duration(i)*time.Second)))
@@ -191,7 +191,7 @@
 func TestSharedSavingsKeepEachWindowWithinItsBound(t *testing.T) {
 	const routers, perSecond, window = 10, 200, 10
 	const share, free = 0.2, 60.0
-	cfg := BudgetConfig{Share: 0.9 * share, Burst: 0.45 * free, MinPerSecond: 0.45 * free / window, Shared: true}
+	cfg := BudgetConfig{RetriesPerSuccess: 0.9 * share, Burst: 0.45 * free, MinPerSecond: 0.45 * free / window, DivideBurst: true}
 	budgets := make([]*Budget, routers)
 	for i := range budgets {
 		budgets[i] = NewBudget(cfg, routers)
--- a/core/routes/routes.go
+++ b/core/routes/routes.go
@@ -35,8 +35,8 @@
 	Timeout time.Duration
 	// Objective is the latency within which an answer has its full value; zero means none.
 	Objective time.Duration
-	// Rank is the priority; zero is the most urgent.
-	Rank int
+	// Priority is the priority; zero is the most urgent.
+	Priority int
 	// MaxTargets is the largest number of targets to which one request may be sent.
 	MaxTargets int
 	Shares     []Share
--- a/gateway/clusterstate.go
+++ b/gateway/clusterstate.go
@@ -76,7 +76,7 @@
 	if len(u.ConfigValue) > 0 {
 		cs.handleConfig(&change{records: []kv.Record{{Key: cs.g.opts.Adapter.ConfigKey, Value: u.ConfigValue}}})
 	}
-	changed := cs.directory.Adopt(time.Now(), u.Whole, u.Targets, u.Gone)
+	changed := cs.directory.Adopt(time.Now(), u.TargetsComplete, u.Targets, u.RemovedTargets)
 	cs.publishTargets(changed)
 	for _, t := range u.Tables {
 		cs.useNewerTable(&t)
@@ -94,7 +94,7 @@
 	cs.knownPrefixes[prefix] = true
 	a := &cs.g.opts.Adapter
 	if prefix == a.TargetPrefix {
-		cs.g.subscription.source.SetKnown()
+		cs.g.subscription.source.SetTargetsComplete()
 	}
 	cs.g.setSynced(cs.config != nil && cs.knownPrefixes[a.TargetPrefix])
 }
@@ -359,7 +359,7 @@
 func (g *Gateway) newBudget() *retry.Budget {
 	minRetries := g.opts.RetryMin * budgetUsableShare / 2
 	return retry.NewBudget(retry.BudgetConfig{
-		Share: g.opts.RetryShare * budgetUsableShare, Burst: max(minRetries, 1), Shared: true, MinPerSecond: minRetries / g.opts.RetryWindow.Seconds(),
+		RetriesPerSuccess: g.opts.RetryShare * budgetUsableShare, Burst: max(minRetries, 1), DivideBurst: true, MinPerSecond: minRetries / g.opts.RetryWindow.Seconds(),
 	}, g.routerCount())
 }
 
--- a/gateway/feedserver.go
+++ b/gateway/feedserver.go
@@ -17,12 +17,12 @@
 // serveFollowers serves the feed to the routers that follow this one.
 func (g *Gateway) serveFollowers() {
 	server := &feed.Server{
-		Log: g.log, Fresh: g.subscription.targetsFresh, Lead: g.subscription.feedSource,
-		Reported: g.handleReport, Clock: g.opts.Clock,
-		Joined: func(router string, term uint64, promised time.Duration) {
+		Log: g.log, StoreReachable: g.subscription.targetsFresh, LeaderSource: g.subscription.feedSource,
+		OnReport: g.handleReport, Clock: g.opts.Clock,
+		OnJoin: func(router string, term uint64, promised time.Duration) {
 			g.leader.duty.Tell(&followerJoined{router, kv.Revision(term), promised})
 		},
-		Backed: g.subscription.recordFollowerPromise,
+		OnBacked: g.subscription.recordFollowerPromise,
 	}
 	if err := server.Serve(g.lifetime, g.peerListener); err != nil {
 		g.log.Error("feed server failed", "err", err)
--- a/gateway/feedupdates.go
+++ b/gateway/feedupdates.go
@@ -23,10 +23,10 @@
 		sub.stopWatching()
 		sub.g.membership.renewNow()
 	}
-	sub.checkConfigVersion(u.Config)
+	sub.checkConfigVersion(u.ConfigVersion)
 	sub.g.setServiceTimes(u.ServiceTimes)
 	sub.g.setLimits(u.Limits)
-	if u.Whole || len(u.Targets)+len(u.Gone)+len(u.Tables)+len(u.ConfigValue) > 0 || u.Routers > 0 && u.Routers != sub.g.routerCount() {
+	if u.TargetsComplete || len(u.Targets)+len(u.RemovedTargets)+len(u.Tables)+len(u.ConfigValue) > 0 || u.Routers > 0 && u.Routers != sub.g.routerCount() {
 		sub.g.state.duty.Tell(u)
 	}
 }
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -137,7 +137,7 @@
 // dispatchRequest describes the request for placement.
 func (x *exchange) dispatchRequest() dispatch.Request {
 	q := dispatch.Request{
-		Key: x.key, Rank: x.route.Rank, Deadline: x.meta.Deadline, Avoid: x.avoid, Admitted: x.sends > 0,
+		Key: x.key, Priority: x.route.Priority, Deadline: x.meta.Deadline, Avoid: x.avoid, Admitted: x.sends > 0,
 		Bytes: x.g.sizes.expect(x.route.Name, x.r) + headerOverhead,
 	}
 	if x.route.Objective > 0 {
@@ -150,7 +150,7 @@
 func (x *exchange) send(d *dispatch.Decision) *fault.Fault {
 	began := time.Now()
 	result := dispatch.Failed
-	defer func() { x.service.done(d.Target.ID, result, time.Since(began), d.Turns) }()
+	defer func() { x.service.done(d.Target.ID, result, time.Since(began), d.ServiceMultiple) }()
 	pool, err := x.g.pools.get(&d.Target, x.g.connLimit(x.service.name))
 	if err != nil {
 		return fault.Wrap(fault.TargetUnreachable, err, "")
@@ -214,11 +214,11 @@
 func resultOf(f *fault.Fault) dispatch.Result {
 	switch {
 	case f.Kind == fault.CallerGone, f.Kind == fault.DeadlineUnmeetable:
-		return dispatch.Left
+		return dispatch.Abandoned
 	case f.Kind == fault.DeadlineExceeded:
 		return dispatch.TimedOut
 	case f.Kind == fault.TargetUnreachable:
-		return dispatch.Unreached
+		return dispatch.Unreachable
 	case f.Kind == fault.StaleRoute:
 		return dispatch.Misplaced
 	case f.Kind == fault.TargetRefused:
--- a/gateway/pools.go
+++ b/gateway/pools.go
@@ -20,7 +20,7 @@
 	// deadlines are shorter, so it only ends requests without a deadline.
 	progressTimeout = 60 * time.Second
 	// maxIdle is how long a connection may be idle; most targets would close it later.
-	maxIdle = dispatch.RestTime
+	maxIdle = dispatch.IdleConnTimeout
 	// connShare is the share of a target's connections that is divided among the routers. The rest
 	// is for grants, health checks, and changes of the number of routers.
 	connShare = 0.8
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -106,7 +106,7 @@
 	if s.dispatcher.Cancel(id) {
 		delete(s.waiting, id)
 	} else if d := <-answer; d.Verdict == dispatch.Send {
-		s.dispatcher.Done(time.Now(), d.Target.ID, dispatch.Left, 0, 1)
+		s.dispatcher.Done(time.Now(), d.Target.ID, dispatch.Abandoned, 0, 1)
 	}
 	return dispatch.Decision{}, endedWhileWaiting(ctx)
 }
@@ -193,14 +193,14 @@
 func (s *service) drainServiceTimes() []dispatch.TargetStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.dispatcher.DrainServiceTimes(time.Now())
+	return s.dispatcher.DrainStats(time.Now())
 }
 
 // learnServiceTimes adds service times that another router has measured.
 func (s *service) learnServiceTimes(serviceTimes []dispatch.TargetStats) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dispatcher.LearnServiceTimes(time.Now(), serviceTimes)
+	s.dispatcher.MergeStats(time.Now(), serviceTimes)
 }
 
 // changedServiceTimes returns the targets' service times that have changed since the last call.
@@ -221,7 +221,7 @@
 func (s *service) overloaded(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.dispatcher.Pressed(time.Now(), id)
+	return s.dispatcher.Overloaded(time.Now(), id)
 }
 
 // setLimits sets the keys of which only a part of the requests is served.
--- a/gateway/subscription.go
+++ b/gateway/subscription.go
@@ -217,8 +217,8 @@
 	follower := &feed.Follower{
 		Router: sub.g.opts.Name, Address: leader.address, Term: uint64(leader.revision), Reports: sub.reports,
 		Promised: sub.promisedToOther(leader), Backs: sub.g.gate.isShut,
-		Backed: func(until time.Time) { sub.recordPromise(leader, until) },
-		Update: handler.handle,
+		OnBacked: func(until time.Time) { sub.recordPromise(leader, until) },
+		OnUpdate: handler.handle,
 	}
 	return follower.Run(ctx)
 }
--- a/lab/policy/choice.go
+++ b/lab/policy/choice.go
@@ -122,7 +122,7 @@
 	}
 	budget := retry.BudgetConfig{}
 	if c.way == withoutLimit {
-		budget = retry.BudgetConfig{Share: 1e6, Burst: 1e9, MinPerSecond: 1e9}
+		budget = retry.BudgetConfig{RetriesPerSuccess: 1e6, Burst: 1e9, MinPerSecond: 1e9}
 	}
 	v.budget, v.hedges = retry.NewBudget(budget, routers), newHedgeBudget()
 	return v
--- a/lab/policy/hedge.go
+++ b/lab/policy/hedge.go
@@ -11,7 +11,7 @@
 const hedgeFactor = 3
 
 func newHedgeBudget() *retry.Budget {
-	return retry.NewBudget(retry.BudgetConfig{Share: 0.1, Burst: 1, MinPerSecond: 0.01}, routers)
+	return retry.NewBudget(retry.BudgetConfig{RetriesPerSuccess: 0.1, Burst: 1, MinPerSecond: 0.01}, routers)
 }
 
 // hedge sends a second copy of a request that takes long.
--- a/peer/feed/client.go
+++ b/peer/feed/client.go
@@ -24,14 +24,14 @@
 	Term    uint64
 	// Promised is for how long this router is still bound by having backed another leader.
 	Promised time.Duration
-	// Update is called with each update from the leader, heartbeats included.
-	Update func(u *Update)
+	// OnUpdate is called with each update from the leader, heartbeats included.
+	OnUpdate func(u *Update)
 	// Reports returns what has to be reported since the last call.
 	Reports func() []Report
 	// Backs says whether this router can't reach the store, so that it backs the leader;
 	// Backed is called with the time until which it does.
-	Backs  func() bool
-	Backed func(until time.Time)
+	Backs    func() bool
+	OnBacked func(until time.Time)
 
 	// mu guards the number of the last heartbeat and when it arrived.
 	mu          sync.Mutex
@@ -80,7 +80,7 @@
 		if err != nil {
 			return err
 		}
-		f.Update(u)
+		f.OnUpdate(u)
 	}
 }
 
@@ -136,5 +136,5 @@
 		return
 	}
 	p.Backs, p.Beat = true, heartbeat
-	f.Backed(at.Add(BackedFor))
+	f.OnBacked(at.Add(BackedFor))
 }
--- a/peer/feed/feed.go
+++ b/peer/feed/feed.go
@@ -58,14 +58,14 @@
 
 // Update is what has changed since the previous update on the connection.
 type Update struct {
-	// Whole says that Targets is the complete list and not only what has changed.
-	Whole   bool
-	Targets []directory.Target
-	// Gone are the IDs of targets that don't exist any more.
-	Gone   []string
-	Tables []Table
-	// Config is the version of the configuration that the leader has in force.
-	Config uint64
+	// TargetsComplete says that Targets is the complete list and not only what has changed.
+	TargetsComplete bool
+	Targets         []directory.Target
+	// RemovedTargets are the IDs of targets that don't exist any more.
+	RemovedTargets []string
+	Tables         []Table
+	// ConfigVersion is the version of the configuration that the leader has in force.
+	ConfigVersion uint64
 	// ConfigValue is that configuration as it is stored; nil if it has not changed or is too
 	// large for the feed.
 	ConfigValue []byte
@@ -245,7 +245,7 @@
 // decodeUpdate decodes an update. tables has the last table of each service received on the
 // connection; decodeUpdate replaces those that the update has.
 func decodeUpdate(p *feedpb.Update, tables map[string]*keyspace.Table) (*Update, error) {
-	u := &Update{Whole: p.GetWhole(), Gone: p.GetGone(), Config: p.GetConfig(), Stale: p.GetStale(), Routers: int(p.GetRouters())}
+	u := &Update{TargetsComplete: p.GetWhole(), RemovedTargets: p.GetGone(), ConfigVersion: p.GetConfig(), Stale: p.GetStale(), Routers: int(p.GetRouters())}
 	if len(p.GetConfigValue()) > 0 {
 		value, err := decompressConfig(p.GetConfigValue())
 		if err != nil {
--- a/peer/feed/feed_test.go
+++ b/peer/feed/feed_test.go
@@ -62,7 +62,7 @@
 func TestFollowersReachTheLeadersTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source := NewSource()
-		source.SetKnown()
+		source.SetTargetsComplete()
 		tables, state := map[string]*keyspace.Table{}, sentState{}
 		table := keyspace.New("s")
 		for i := range rapid.IntRange(1, 30).Draw(t, "steps") {
@@ -124,22 +124,22 @@
 
 func newTestLeader(t *testing.T) *testLeader {
 	leader := &testLeader{source: NewSource(), reports: make(chan Report, 16), joined: make(chan time.Duration, 16), backed: make(chan time.Duration, 256)}
-	leader.source.SetKnown()
+	leader.source.SetTargetsComplete()
 	leader.fresh.Store(true)
 	leader.termCtx, leader.endTerm = context.WithCancel(t.Context())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	leader.addr = l.Addr().String()
 	server := &Server{
-		Lead: func(term uint64) (context.Context, *Source) {
+		LeaderSource: func(term uint64) (context.Context, *Source) {
 			if term != 7 {
 				return nil, nil
 			}
 			return leader.termCtx, leader.source
 		},
-		Joined: func(router string, term uint64, promised time.Duration) { leader.joined <- promised },
-		Backed: func(router string, term uint64, until time.Duration) { leader.backed <- until - clock.Boot{}.Now() },
-		Fresh:  leader.fresh.Load, Reported: func(r Report) { leader.reports <- r }, Clock: clock.Boot{}, Log: slog.New(slog.DiscardHandler),
+		OnJoin:         func(router string, term uint64, promised time.Duration) { leader.joined <- promised },
+		OnBacked:       func(router string, term uint64, until time.Duration) { leader.backed <- until - clock.Boot{}.Now() },
+		StoreReachable: leader.fresh.Load, OnReport: func(r Report) { leader.reports <- r }, Clock: clock.Boot{}, Log: slog.New(slog.DiscardHandler),
 	}
 	go func() { assert.Check(t, server.Serve(t.Context(), l)) }()
 	return leader
@@ -154,8 +154,8 @@
 	reported := false
 	f := &Follower{
 		Router: "r", Address: leader.addr, Term: term,
-		Update: func(u *Update) { updates <- u }, Promised: 30 * time.Millisecond,
-		Backs: leader.followerCutOff.Load, Backed: func(time.Time) {},
+		OnUpdate: func(u *Update) { updates <- u }, Promised: 30 * time.Millisecond,
+		Backs: leader.followerCutOff.Load, OnBacked: func(time.Time) {},
 		Reports: func() []Report {
 			if reported {
 				return nil
@@ -176,8 +176,8 @@
 	updates := make(chan *Update, 64)
 	leader.follow(t, 7, updates)
 	u := <-updates
-	assert.Assert(t, u.Whole)
-	assert.Equal(t, u.Config, uint64(9))
+	assert.Assert(t, u.TargetsComplete)
+	assert.Equal(t, u.ConfigVersion, uint64(9))
 	assert.DeepEqual(t, u.Targets, []directory.Target{target})
 	assert.DeepEqual(t, <-leader.reports, Report{Service: "s", Keys: []keyspace.Key{1, 1, 65535}})
 	assert.DeepEqual(t, <-leader.reports, Report{Service: "s", ServiceTimes: sampleStats})
@@ -187,7 +187,7 @@
 		return len(times) == 1 && times[0].Service == "s" && len(times[0].Targets) == 1 && times[0].Targets[0] == sampleStats[0]
 	})
 	leader.source.SetTargets(nil)
-	waittest.Until(t, "the removed target is sent", func() bool { return len((<-updates).Gone) == 1 })
+	waittest.Until(t, "the removed target is sent", func() bool { return len((<-updates).RemovedTargets) == 1 })
 }
 
 // Guards against followers that send requests to targets that have left: a leader that alone
@@ -207,12 +207,12 @@
 	tables := 0
 	for range 4 {
 		u := <-updates
-		assert.Assert(t, u.Stale && u.Config == 0 && len(u.Targets) == 0, "%+v", u)
+		assert.Assert(t, u.Stale && u.ConfigVersion == 0 && len(u.Targets) == 0, "%+v", u)
 		tables += len(u.Tables)
 	}
 	assert.Equal(t, tables, 1, "the leader writes the tables itself, so it has to send them")
 	leader.fresh.Store(true)
-	waittest.Until(t, "updates have the new configuration after the store is reached again", func() bool { return (<-updates).Config == 2 })
+	waittest.Until(t, "updates have the new configuration after the store is reached again", func() bool { return (<-updates).ConfigVersion == 2 })
 }
 
 // A router that can't reach the store backs its leader, counted from when the heartbeat that it
@@ -238,7 +238,7 @@
 	u, state := receive(t, source, sentState{}, false)
 	assert.Assert(t, u.Stale && !u.Whole)
 	source.SetTargets([]directory.Target{{ID: "a"}})
-	source.SetKnown()
+	source.SetTargetsComplete()
 	u, _ = receive(t, source, state, false)
 	assert.Assert(t, u.Whole && len(u.Targets) == 1)
 }
@@ -257,7 +257,7 @@
 // Guards against a follower that has no configuration, or only a part of one.
 func TestConfigurationIsSentOnceAndCompletely(t *testing.T) {
 	source := NewSource()
-	source.SetKnown()
+	source.SetTargetsComplete()
 	value := bytes.Repeat([]byte(`{"name":"a","prefix":"/a/"},`), 4000)
 	source.SetConfig(9, value)
 	decode := func(state sentState) (*Update, sentState) {
@@ -267,16 +267,16 @@
 		return u, after
 	}
 	u, state := decode(sentState{})
-	assert.Equal(t, u.Config, uint64(9))
+	assert.Equal(t, u.ConfigVersion, uint64(9))
 	assert.Assert(t, bytes.Equal(u.ConfigValue, value))
 	u, _ = decode(state)
-	assert.Equal(t, u.Config, uint64(9))
+	assert.Equal(t, u.ConfigVersion, uint64(9))
 	assert.Equal(t, len(u.ConfigValue), 0)
 	random := make([]byte, 2*maxCompressedConfig)
 	rand.NewChaCha8([32]byte{1}).Read(random)
 	source.SetConfig(10, random)
 	u, _ = decode(state)
-	assert.Equal(t, u.Config, uint64(10))
+	assert.Equal(t, u.ConfigVersion, uint64(10))
 	assert.Equal(t, len(u.ConfigValue), 0, "the configuration is too large for a feed")
 }
 
@@ -309,7 +309,7 @@
 	}
 	source.SetTargets(targets)
 	source.SetTable(Table{Revision: 2, Table: table})
-	source.SetKnown()
+	source.SetTargetsComplete()
 	return source
 }
 
--- a/peer/feed/server.go
+++ b/peer/feed/server.go
@@ -19,20 +19,20 @@
 
 // Server streams this router's state to its followers while it is the leader.
 type Server struct {
-	// Lead returns what this router publishes as the leader of the term, and a context that
+	// LeaderSource returns what this router publishes as the leader of the term, and a context that
 	// ends with the term; nil if it is not the leader of that term.
-	Lead func(term uint64) (context.Context, *Source)
-	// Fresh says whether the store has answered this router recently. If it has not, updates
+	LeaderSource func(term uint64) (context.Context, *Source)
+	// StoreReachable says whether the store has answered this router recently. If it has not, updates
 	// are marked as stale, and followers read the store themselves.
-	Fresh func() bool
-	// Joined is called when a router begins to follow, with the time for which that router is
+	StoreReachable func() bool
+	// OnJoin is called when a router begins to follow, with the time for which that router is
 	// still bound by having backed another leader.
-	Joined func(router string, term uint64, promised time.Duration)
-	// Backed is called when a router backs this leader, with the time of Clock until which it
+	OnJoin func(router string, term uint64, promised time.Duration)
+	// OnBacked is called when a router backs this leader, with the time of Clock until which it
 	// follows no other.
-	Backed func(router string, term uint64, until time.Duration)
-	// Reported is called with each report of a follower.
-	Reported func(r Report)
+	OnBacked func(router string, term uint64, until time.Duration)
+	// OnReport is called with each report of a follower.
+	OnReport func(r Report)
 	Clock    clock.Clock
 	Log      *slog.Logger
 }
@@ -79,14 +79,14 @@
 		return
 	}
 	term := f.hello.GetTerm()
-	termCtx, source := s.Lead(term)
+	termCtx, source := s.LeaderSource(term)
 	if source == nil {
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(termCtx, cancel)()
-	s.Joined(f.hello.GetRouter(), term, time.Duration(f.hello.GetPromisedMs())*time.Millisecond)
+	s.OnJoin(f.hello.GetRouter(), term, time.Duration(f.hello.GetPromisedMs())*time.Millisecond)
 	go func() {
 		defer cancel()
 		f.receiveReports()
@@ -102,7 +102,7 @@
 	defer heartbeat.Stop()
 	var state sentState
 	for {
-		frame, changed, err := source.frameSince(state, f.hello.GetUnpacks(), !f.server.Fresh())
+		frame, changed, err := source.frameSince(state, f.hello.GetUnpacks(), !f.server.StoreReachable())
 		if err != nil {
 			return err
 		}
@@ -144,11 +144,11 @@
 			for _, k := range h.GetKeys() {
 				r.Keys = append(r.Keys, keyspace.Key(k))
 			}
-			f.server.Reported(r)
+			f.server.OnReport(r)
 		}
 		for _, serviceTimes := range p.GetServiceTimes() {
 			decoded := decodeServiceTimes(serviceTimes)
-			f.server.Reported(Report{Service: decoded.Service, ServiceTimes: decoded.Targets})
+			f.server.OnReport(Report{Service: decoded.Service, ServiceTimes: decoded.Targets})
 		}
 		if p.GetBacks() {
 			f.recordBacking(p.GetBeat())
@@ -164,7 +164,7 @@
 	heartbeatSentAt := f.heartbeatSentAt[heartbeat%keptHeartbeats]
 	f.mu.Unlock()
 	if known {
-		f.server.Backed(f.hello.GetRouter(), f.hello.GetTerm(), heartbeatSentAt+BackedFor)
+		f.server.OnBacked(f.hello.GetRouter(), f.hello.GetTerm(), heartbeatSentAt+BackedFor)
 	}
 }
 
--- a/peer/feed/source.go
+++ b/peer/feed/source.go
@@ -115,10 +115,10 @@
 	}
 }
 
-// SetKnown records that all targets have been read from the store. Until then updates are
+// SetTargetsComplete records that all targets have been read from the store. Until then updates are
 // stale: a follower would take those read so far for the complete list, and the others for
 // gone.
-func (s *Source) SetKnown() {
+func (s *Source) SetTargetsComplete() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.targetsComplete {
--- a/router/retrier.go
+++ b/router/retrier.go
@@ -26,7 +26,7 @@
 	}
 	return &retrier{
 		policy: retry.NewPolicy(retry.Config{}),
-		budget: retry.NewBudget(retry.BudgetConfig{Share: share}, routers),
+		budget: retry.NewBudget(retry.BudgetConfig{RetriesPerSuccess: share}, routers),
 		random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 }
