--- a/cmd/tarragongw/serve.go
+++ b/cmd/tarragongw/serve.go
@@ -110,7 +110,7 @@
 		Name: s.Name, DataCentre: s.DataCentre,
 		CallerAddress: s.CallerAddress, ReadyAddress: s.ReadyAddress, MetricsAddress: s.MetricsAddress, PeerAddress: s.PeerAddress,
 		Store:    platform.NewStore(s.StoreAddress),
-		LeaseMin: s.LeaseMin, StoreHistory: s.History, KnownWithin: min(s.Drain, s.ConfigApply), HoldMax: s.HoldMax, Grace: s.Grace, CPUShare: s.CPUShare,
+		LeaseMin: s.LeaseMin, StoreHistory: s.History, PropagationLimit: min(s.Drain, s.ConfigApply), MaxGrantTTL: s.HoldMax, Grace: s.Grace, CPUShare: s.CPUShare,
 		RetryShare: s.RetryShare, RetryMin: s.RetryMin, RetryWindow: s.RetryWindow,
 		Logger: logger, Telemetry: metrics,
 		Adapter: gateway.Adapter{
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -178,7 +178,7 @@
 	f.links[name] = &storeLink{Ledger: platform.NewStore(f.store.Address()), slowPrefix: f.slowPrefix, slowDelay: slowListing}
 	g, err := New(Options{
 		Name: name, DataCentre: "hall", CallerAddress: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0", PeerAddress: "127.0.0.1:0",
-		Store: f.links[name], LeaseMin: time.Second, KnownWithin: f.knownWithin, HoldMax: 10 * time.Second, Grace: 3 * time.Second,
+		Store: f.links[name], LeaseMin: time.Second, PropagationLimit: f.knownWithin, MaxGrantTTL: 10 * time.Second, Grace: 3 * time.Second,
 		RetryShare: 0.2, RetryMin: 60, RetryWindow: 10 * time.Second,
 		Logger: slog.New(slog.NewTextHandler(&f.log, nil)).With("router", name),
 		Adapter: Adapter{
--- a/gateway/options.go
+++ b/gateway/options.go
@@ -59,11 +59,11 @@
 	LeaseMin time.Duration
 	// StoreHistory is for how long the store keeps changes for watches; zero if unknown.
 	StoreHistory time.Duration
-	// KnownWithin is the time within which a change in the store must be in force on all routers;
+	// PropagationLimit is the time within which a change in the store must be in force on all routers;
 	// zero if unknown.
-	KnownWithin time.Duration
-	// HoldMax is the longest TTL of a grant that targets accept.
-	HoldMax time.Duration
+	PropagationLimit time.Duration
+	// MaxGrantTTL is the longest TTL of a grant that targets accept.
+	MaxGrantTTL time.Duration
 	// CPUShare is the share of a core that this process gets; zero if unknown.
 	CPUShare float64
 	// Grace is the time from the request to stop until the platform kills the process.
--- a/gateway/storewatches.go
+++ b/gateway/storewatches.go
@@ -56,7 +56,7 @@
 // fallbackDelay returns how long this router waits for a feed before it reads the state from the
 // store.
 func (sub *subscription) fallbackDelay() time.Duration {
-	delay := min(max(sub.g.opts.KnownWithin-fallbackReserve, minFallbackDelay), maxFallbackDelay)
+	delay := min(max(sub.g.opts.PropagationLimit-fallbackReserve, minFallbackDelay), maxFallbackDelay)
 	return delay + rand.N(fallbackJitter)
 }
 
@@ -136,7 +136,7 @@
 
 // postponeFallback postpones a pending fallback, because a leader was found; the caller holds the lock.
 func (sub *subscription) postponeFallback() {
-	if sub.fallbackPending && sub.g.opts.KnownWithin >= fallbackReserve+maxFallbackDelay {
+	if sub.fallbackPending && sub.g.opts.PropagationLimit >= fallbackReserve+maxFallbackDelay {
 		earliest := time.Now().Add(newLeaderGrace)
 		if sub.fallbackDue.Before(earliest) {
 			sub.fallbackDue = earliest
--- a/gateway/subscription_test.go
+++ b/gateway/subscription_test.go
@@ -177,7 +177,7 @@
 func TestFallbackWaitsForTheFeedOfANewLeader(t *testing.T) {
 	g, store := idleGateway(t)
 	g.membership = newMembership(g)
-	g.opts.KnownWithin = 3 * time.Second
+	g.opts.PropagationLimit = 3 * time.Second
 	sub := newSubscription(g)
 	sub.scheduleFallback(newLeaderGrace / 10)
 	sub.setLeader(leaderStatus{name: "a", address: "a:1", revision: 2, present: true})
@@ -190,7 +190,7 @@
 // Guards against a change that comes into force too late if Options.KnownWithin is short.
 func TestFallbackDoesNotWaitForANewLeaderIfTimeIsShort(t *testing.T) {
 	g, _ := idleGateway(t)
-	g.opts.KnownWithin = 2 * time.Second
+	g.opts.PropagationLimit = 2 * time.Second
 	sub := newSubscription(g)
 	sub.scheduleFallback(time.Minute)
 	due := sub.fallbackDue
