--- a/caller/answer.go
+++ b/caller/answer.go
@@ -46,7 +46,7 @@
 		fraction := rand.Float64()
 		answer.RetryAfterMillis = jitter(roundUp(wait, time.Millisecond), fraction)
 		h.Set("Retry-After", strconv.FormatInt(jitter(roundUp(wait, time.Second), fraction), 10))
-		if cfg.FractionalWaits {
+		if cfg.FractionalRetryAfter {
 			seconds := float64(answer.RetryAfterMillis) / millisPerSecond
 			h.Set("Retry-After", strconv.FormatFloat(seconds, 'f', -1, 64))
 		}
@@ -72,7 +72,7 @@
 // caller whose upload stalled would be answered 408, take the request as not run and send it
 // again, although the target had received enough of it to run it.
 func (c *Config) statusOf(status int, ran fault.Ran) int {
-	if !c.Promises || ran == fault.NotRun {
+	if !c.StatusImpliesNotRun || ran == fault.NotRun {
 		return status
 	}
 	switch status {
--- a/caller/config.go
+++ b/caller/config.go
@@ -50,28 +50,28 @@
 	// RequestIDHeader is the header that carries the request ID chosen by the caller, in
 	// canonical form. Default X-Request-Id.
 	RequestIDHeader string
-	// Untraced turns off the headers Traceparent and X-Forwarded-For, which the router
+	// OmitAddedHeaders turns off the headers Traceparent and X-Forwarded-For, which the router
 	// otherwise adds to a forwarded request.
-	Untraced bool
-	// FractionalWaits makes Retry-After a decimal fraction of seconds, for callers that accept
+	OmitAddedHeaders bool
+	// FractionalRetryAfter makes Retry-After a decimal fraction of seconds, for callers that accept
 	// it; whole seconds are too coarse where a delay of 100 ms is enough.
-	FractionalWaits bool
-	// Promises means that callers take the statuses 408, 421, 429 and 503 as a guarantee that
+	FractionalRetryAfter bool
+	// StatusImpliesNotRun means that callers take the statuses 408, 421, 429 and 503 as a guarantee that
 	// the request did not run. A fault with one of these statuses and without that proof is
 	// answered with 502 instead.
-	Promises bool
-	// ClosesAfter reports whether the caller's connection is to be closed after the current
+	StatusImpliesNotRun bool
+	// CloseAfterAnswer reports whether the caller's connection is to be closed after the current
 	// answer, which then announces it. Nil keeps all connections open.
-	ClosesAfter func() bool
-	// AnswerBefore is how long before the caller's deadline a request times out at the router.
+	CloseAfterAnswer func() bool
+	// DeadlineMargin is how long before the caller's deadline a request times out at the router.
 	// A caller that gives up at its deadline closes the connection and so cancels the requests
 	// it pipelined behind the late one. It does not apply to a request with less than twice
 	// this time left.
-	AnswerBefore time.Duration
-	// LookAhead is the number of pipelined requests of one clear-text connection that are
+	DeadlineMargin time.Duration
+	// MaxPipelined is the number of pipelined requests of one clear-text connection that are
 	// served before their turn, see pipeline. Zero serves the requests of a connection one
 	// after the other.
-	LookAhead int
+	MaxPipelined int
 	// Admit returns a fault if the router itself refuses requests of the class, for example
 	// under overload. It must not block. Nil admits all.
 	Admit func(class request.Class) *fault.Fault
@@ -94,7 +94,7 @@
 )
 
 // closing reports whether callers' connections are to be closed after their current answers.
-func (c *Config) closing() bool { return c.ClosesAfter != nil && c.ClosesAfter() }
+func (c *Config) closing() bool { return c.CloseAfterAnswer != nil && c.CloseAfterAnswer() }
 
 func (c Config) withDefaults() Config {
 	orDefault(&c.ReadHeaderTimeout, 10*time.Second)
--- a/caller/exchange.go
+++ b/caller/exchange.go
@@ -86,7 +86,7 @@
 	}
 	x.firstByte = time.Since(x.began)
 	if x.ctx != nil {
-		x.ctx.Begin()
+		x.ctx.AnswerBegan()
 	}
 }
 
--- a/caller/handler.go
+++ b/caller/handler.go
@@ -127,7 +127,7 @@
 	if f != nil {
 		return nil, f
 	}
-	if margin := x.handler.cfg.AnswerBefore; left > 2*margin {
+	if margin := x.handler.cfg.DeadlineMargin; left > 2*margin {
 		left -= margin
 	}
 	if left > 0 {
@@ -135,7 +135,7 @@
 	}
 	x.attachContext()
 	if left > 0 {
-		x.ctx.Limit(x.meta.Deadline, left)
+		x.ctx.SetAnswerDeadline(x.meta.Deadline, left)
 	}
 	out := r.WithContext(x.ctx)
 	// Whether the caller closes its own connection must not reach the target: forwarded, it
@@ -195,7 +195,7 @@
 	dropUnforwarded(header)
 	cfg := &x.handler.cfg
 	header[cfg.RequestIDHeader] = x.idValue[:]
-	if cfg.Untraced {
+	if cfg.OmitAddedHeaders {
 		return
 	}
 	if len(header[headerTraceparent]) == 0 {
@@ -297,7 +297,7 @@
 func (h *Handler) observe(x *exchange, f *fault.Fault, aborted bool) {
 	x.outcome = Outcome{
 		Meta: &x.meta, Method: x.r.Method, Status: x.status, Fault: f, Aborted: aborted,
-		Began: x.began, Duration: time.Since(x.began), Nth: x.requestNumber, BytesOut: x.written,
+		Began: x.began, Duration: time.Since(x.began), RequestNumber: x.requestNumber, BytesOut: x.written,
 	}
 	o := &x.outcome
 	if f == nil || f.Ran == fault.RanFully {
--- a/caller/notrun_test.go
+++ b/caller/notrun_test.go
@@ -17,7 +17,7 @@
 // with proof that the request did not run.
 func TestNotRunStatusNeedsProof(t *testing.T) {
 	for _, promises := range []bool{false, true} {
-		cfg := Config{Promises: promises}
+		cfg := Config{StatusImpliesNotRun: promises}
 		for _, kind := range fault.Kinds() {
 			f := fault.New(kind, "")
 			f.Ran = fault.RanUnknown
@@ -39,7 +39,7 @@
 	f := fault.New(fault.QueueFull, "")
 	f.RetryAfter = 120 * time.Millisecond
 	w := httptest.NewRecorder()
-	writeFaultAnswer(w, http.MethodGet, "id", f, &Config{FractionalWaits: true})
+	writeFaultAnswer(w, http.MethodGet, "id", f, &Config{FractionalRetryAfter: true})
 	seconds, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
 	assert.NilError(t, err)
 	assert.Assert(t, seconds >= 0.12 && seconds <= 0.25, "%v", seconds)
--- a/caller/observer.go
+++ b/caller/observer.go
@@ -33,9 +33,9 @@
 	Began     time.Time
 	Duration  time.Duration
 	FirstByte time.Duration
-	// Nth is the number of the request on its connection, from 1, among those that were served
+	// RequestNumber is the number of the request on its connection, from 1, among those that were served
 	// in their turn. It is zero for a request that was served before its turn.
-	Nth int64
+	RequestNumber int64
 	// BytesIn and BytesOut are the sizes of the request body and of the answer body.
 	BytesIn  int64
 	BytesOut int64
--- a/caller/pipeline_test.go
+++ b/caller/pipeline_test.go
@@ -102,7 +102,7 @@
 }
 
 func startPipelining(t *testing.T, f *gatedForwarder) *pipeliningClient {
-	return dialPipelining(t, startServer(t, Config{LookAhead: 3}, f.forward))
+	return dialPipelining(t, startServer(t, Config{MaxPipelined: 3}, f.forward))
 }
 
 // Guards against fast reads that take as long as the slowest read that their caller sent
@@ -198,7 +198,7 @@
 func TestClosedConnectionUnblocksBufferedAnswer(t *testing.T) {
 	ended := make(chan struct{})
 	full := make(chan struct{})
-	s := startServer(t, Config{LookAhead: 3}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+	s := startServer(t, Config{MaxPipelined: 3}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		if strings.HasSuffix(r.URL.Path, "a") {
 			<-r.Context().Done()
 			return fault.New(fault.CallerGone, "")
@@ -229,7 +229,7 @@
 // deadline.
 func TestTimeoutIsAnsweredBeforeTheCallersDeadline(t *testing.T) {
 	const deadline = 400 * time.Millisecond
-	s := startServer(t, Config{LookAhead: 3, AnswerBefore: deadline / 4}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+	s := startServer(t, Config{MaxPipelined: 3, DeadlineMargin: deadline / 4}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		if strings.HasSuffix(r.URL.Path, "a") {
 			<-r.Context().Done()
 			return fault.New(fault.DeadlineExceeded, "")
@@ -254,7 +254,7 @@
 func TestShutdownAnswersStartedPipelinedRequests(t *testing.T) {
 	f := newGatedForwarder()
 	stopping := make(chan struct{})
-	s := startServer(t, Config{LookAhead: 3, ClosesAfter: func() bool {
+	s := startServer(t, Config{MaxPipelined: 3, CloseAfterAnswer: func() bool {
 		select {
 		case <-stopping:
 			return true
@@ -289,7 +289,7 @@
 	gate := make(chan struct{})
 	var mu sync.Mutex
 	tries := map[string]int{}
-	s := startServer(t, Config{LookAhead: 3}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
+	s := startServer(t, Config{MaxPipelined: 3}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
 		mu.Lock()
 		tries[m.ID]++
 		first := tries[m.ID] == 1
@@ -324,7 +324,7 @@
 // or not, and an answer larger than the buffer must arrive complete.
 func TestPipelinedAnswersStayComplete(t *testing.T) {
 	large := strings.Repeat("0123456789abcdef", 3*maxPipelinedBytes/16)
-	s := startServer(t, Config{LookAhead: 3}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+	s := startServer(t, Config{MaxPipelined: 3}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		switch {
 		case strings.HasSuffix(r.URL.Path, "a"):
 			time.Sleep(30 * time.Millisecond)
@@ -367,7 +367,7 @@
 	for _, broken := range []string{"a", "b"} {
 		t.Run(broken, func(t *testing.T) {
 			f := newGatedForwarder()
-			s := startServer(t, Config{LookAhead: 3}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
+			s := startServer(t, Config{MaxPipelined: 3}, func(w http.ResponseWriter, r *http.Request, m *request.Meta) *fault.Fault {
 				if !strings.HasSuffix(r.URL.Path, broken) {
 					return f.forward(w, r, m)
 				}
@@ -397,7 +397,7 @@
 // An answer that is held back and takes longer than its deadline is answered with a timeout in
 // time, and the requests behind it are answered.
 func TestHeldAnswerTimesOut(t *testing.T) {
-	s := startServer(t, Config{LookAhead: 3}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
+	s := startServer(t, Config{MaxPipelined: 3}, func(w http.ResponseWriter, r *http.Request, _ *request.Meta) *fault.Fault {
 		if !strings.HasSuffix(r.URL.Path, "a") {
 			_, _ = io.WriteString(w, "whole")
 			return nil
--- a/caller/shutdown_test.go
+++ b/caller/shutdown_test.go
@@ -18,7 +18,7 @@
 // flag makes the server announce the end of its callers' connections.
 func startClosable(t *testing.T, f *gatedForwarder) (*testServer, *atomic.Bool) {
 	closing := &atomic.Bool{}
-	return startServer(t, Config{LookAhead: 3, ClosesAfter: closing.Load}, f.forward), closing
+	return startServer(t, Config{MaxPipelined: 3, CloseAfterAnswer: closing.Load}, f.forward), closing
 }
 
 // Guards against a planned stop in which callers get a 504 from the router for requests that
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -88,9 +88,9 @@
 // nil if unknown.
 func (g *Gateway) callerConfig(limits *routes.CallerLimits) caller.Config {
 	c := caller.Config{
-		RequestIDHeader: http.CanonicalHeaderKey(g.opts.Adapter.Headers.RequestID),
-		Untraced:        true, FractionalWaits: true, Promises: true, ClosesAfter: g.stopping.Load, Logger: g.log,
-		LookAhead: lookAhead, AnswerBefore: answerMargin,
+		RequestIDHeader:  http.CanonicalHeaderKey(g.opts.Adapter.Headers.RequestID),
+		OmitAddedHeaders: true, FractionalRetryAfter: true, StatusImpliesNotRun: true, CloseAfterAnswer: g.stopping.Load, Logger: g.log,
+		MaxPipelined: lookAhead, DeadlineMargin: answerMargin,
 	}
 	if limits != nil {
 		c.ReadHeaderTimeout, c.IdleTimeout, c.MaxHeaderBytes = limits.HeaderTimeout, limits.IdleTimeout, limits.HeaderBytes
--- a/gateway/observe.go
+++ b/gateway/observe.go
@@ -24,7 +24,7 @@
 	o.g.log.Info("request", "id", out.Meta.ID, "route", out.Meta.Service, "method", out.Method, "status", out.Status,
 		"code", code, "ran", ran, "failed_attempts", len(out.Meta.Attempts), "took", out.Duration,
 		"first_byte", out.FirstByte, "bytes_in", out.BytesIn, "bytes_out", out.BytesOut, "aborted", out.Aborted,
-		"nth", out.Nth)
+		"nth", out.RequestNumber)
 }
 
 // logPlaced logs the target at which a request was placed, and the data behind that decision.
--- a/reqctx/reqctx.go
+++ b/reqctx/reqctx.go
@@ -66,9 +66,9 @@
 	c.cancel(c.parent.Err())
 }
 
-// Limit sets the answer deadline, at which the context ends with context.DeadlineExceeded
+// SetAnswerDeadline sets the answer deadline, at which the context ends with context.DeadlineExceeded
 // unless Begin is called before; left is the time until then. It may be called once.
-func (c *Context) Limit(deadline time.Time, left time.Duration) {
+func (c *Context) SetAnswerDeadline(deadline time.Time, left time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.answerBegan || c.err != nil {
@@ -88,8 +88,8 @@
 	}
 }
 
-// Begin removes the answer deadline because the answer began.
-func (c *Context) Begin() {
+// AnswerBegan removes the answer deadline because the answer began.
+func (c *Context) AnswerBegan() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.answerBegan = true
--- a/reqctx/reqctx_test.go
+++ b/reqctx/reqctx_test.go
@@ -11,7 +11,7 @@
 func newWithDeadline(left time.Duration) (*Context, time.Time) {
 	c := New(context.Background())
 	deadline := time.Now().Add(left)
-	c.Limit(deadline, left)
+	c.SetAnswerDeadline(deadline, left)
 	return c, deadline
 }
 
@@ -44,7 +44,7 @@
 func TestAnswerDeadlineIsRemovedOnceTheAnswerBegan(t *testing.T) {
 	c, _ := newWithDeadline(time.Hour)
 	defer c.End()
-	c.Begin()
+	c.AnswerBegan()
 	c.Expire()
 	assert.NilError(t, c.Err())
 	_, ok := c.Deadline()
--- a/router/serve.go
+++ b/router/serve.go
@@ -77,7 +77,7 @@
 	}
 	job.flight.body.answered()
 	if job.bound != nil {
-		job.bound.Begin()
+		job.bound.AnswerBegan()
 	}
 	job.status = resp.StatusCode
 	u.direct.answered(resp.StatusCode, time.Since(began))
@@ -221,7 +221,7 @@
 	if e.DeadlineMillis > 0 {
 		left := time.Duration(e.DeadlineMillis) * time.Millisecond
 		meta.Deadline = time.Now().Add(left)
-		bound.Limit(meta.Deadline, left)
+		bound.SetAnswerDeadline(meta.Deadline, left)
 	}
 	return r.serve(w, req, u, &work{
 		meta:   meta,
