--- a/cmd/tarragongw/serve.go
+++ b/cmd/tarragongw/serve.go
@@ -119,7 +119,7 @@
 				Expect: platform.HeaderExpect, Key: platform.HeaderKey,
 			},
 			Dialect: target.Dialect{
-				NotRun: platform.HeaderNotRun, Misplaced: []int{http.StatusMisdirectedRequest},
+				NotRun: platform.HeaderNotRun, NotRunStatuses: []int{http.StatusMisdirectedRequest},
 				RequestID: platform.HeaderRequestID, Signature: platform.HeaderStamp,
 			},
 			ReadyPath: platform.ReadyPath, ConfigPrefix: platform.ConfigPrefix, ConfigKey: platform.ConfigKey,
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -158,7 +158,7 @@
 	x.sends++
 	x.targets[d.Target.ID] = true
 	x.avoid = d.Target.ID
-	resp, f := pool.AttemptOn(x.r.Context(), x.r, target.Terms{Allowed: func() *fault.Fault { return x.setHeaders(d) }})
+	resp, f := pool.AttemptWithOptions(x.r.Context(), x.r, target.AttemptOptions{BeforeRequest: func() *fault.Fault { return x.setHeaders(d) }})
 	if f != nil {
 		result = resultOf(f)
 		x.recordFailure(began, d, f)
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -186,7 +186,7 @@
 				RequestID: platform.HeaderRequestID, Deadline: platform.HeaderDeadline, Expect: platform.HeaderExpect, Key: platform.HeaderKey,
 			},
 			Dialect: target.Dialect{
-				NotRun: platform.HeaderNotRun, Misplaced: []int{http.StatusMisdirectedRequest},
+				NotRun: platform.HeaderNotRun, NotRunStatuses: []int{http.StatusMisdirectedRequest},
 				RequestID: platform.HeaderRequestID, Signature: platform.HeaderStamp,
 			},
 			ReadyPath: platform.ReadyPath, ConfigPrefix: platform.ConfigPrefix, ConfigKey: platform.ConfigKey, TargetPrefix: platform.TargetPrefix,
--- a/gateway/pools.go
+++ b/gateway/pools.go
@@ -65,7 +65,7 @@
 	pool, err := target.New(target.PoolConfig{
 		Address: t.Address, MaxConns: max(maxConns, minConns), ControlConns: -1, MaxIdle: maxIdle,
 		DialTimeout: dialTimeout, ProgressTimeout: progressTimeout, Dialect: dialect, Wait: -1,
-		Opening: func(cause target.OpenCause) { p.connOpening(id.Service, cause) },
+		OnDial: func(cause target.OpenCause) { p.connOpening(id.Service, cause) },
 	})
 	if err != nil {
 		return nil, errors.Wrapf(err, "connections to target %s", t.ID)
--- a/leasewrite/leasewrite.go
+++ b/leasewrite/leasewrite.go
@@ -32,9 +32,11 @@
 	ErrUnsupported = errors.New("leasewrite: no restartable sequences")
 )
 
-// GaveUp reports whether err means that Write stopped because it could not guarantee that
+// IsLeaseError reports whether err means that Write stopped because it could not guarantee that
 // the lease was still valid.
-func GaveUp(err error) bool { return errors.Is(err, ErrExpired) || errors.Is(err, ErrInterrupted) }
+func IsLeaseError(err error) bool {
+	return errors.Is(err, ErrExpired) || errors.Is(err, ErrInterrupted)
+}
 
 // Write writes b to a non-blocking stream socket while clock.Boot is before expiry. When the
 // socket's send buffer is full, it waits for space until the socket's write deadline. It
--- a/leasewrite/leasewrite_test.go
+++ b/leasewrite/leasewrite_test.go
@@ -39,7 +39,7 @@
 	near, far, sock := tcpPair(t)
 	n, err := Write(sock, []byte("late"), fromNow(0))
 	assert.Equal(t, n, 0)
-	assert.Assert(t, errors.Is(err, ErrExpired) && GaveUp(err), "%v", err)
+	assert.Assert(t, errors.Is(err, ErrExpired) && IsLeaseError(err), "%v", err)
 	near.Close()
 	got, err := io.ReadAll(far)
 	assert.NilError(t, err)
--- a/router/flights.go
+++ b/router/flights.go
@@ -10,7 +10,7 @@
 // flight is one request on its way to or at work at a target.
 type flight struct {
 	unit routing.Unit
-	cut  target.Cut
+	cut  target.Aborter
 	// body is the request's where its arrival is followed, else nil.
 	body *pacedBody
 	// forwarded says that another router sent it.
@@ -137,7 +137,7 @@
 func (f *flights) cutUnits(units map[routing.Unit]bool) {
 	for fl := f.first; fl != nil; fl = fl.next {
 		if units[fl.unit] {
-			fl.cut.Now()
+			fl.cut.Abort()
 		}
 	}
 }
--- a/router/pacing.go
+++ b/router/pacing.go
@@ -162,6 +162,6 @@
 		}
 	}
 	for _, place := range choose(behind) {
-		followed[place].cut.For(reason)
+		followed[place].cut.AbortWith(reason)
 	}
 }
--- a/router/serve.go
+++ b/router/serve.go
@@ -61,11 +61,11 @@
 	job.flight.forwarded = job.bound != nil
 	u.flights.enter(&job.flight, job.unit)
 	defer u.flights.leave(&job.flight)
-	resp, f := u.pool.AttemptOn(req.Context(), r.outgoing(req, u, job), target.Terms{
-		Allowed: func() *fault.Fault { return r.maySend(u, job) },
-		Still:   func(begun bool) *fault.Fault { return r.stillSends(u, job, begun) },
-		Until:   func(begun bool) time.Duration { return r.sendsUntil(u, begun) },
-		Cut:     &job.flight.cut,
+	resp, f := u.pool.AttemptWithOptions(req.Context(), r.outgoing(req, u, job), target.AttemptOptions{
+		BeforeRequest: func() *fault.Fault { return r.maySend(u, job) },
+		BeforeWrite:   func(begun bool) *fault.Fault { return r.stillSends(u, job, begun) },
+		LeaseExpiry:   func(begun bool) time.Duration { return r.sendsUntil(u, begun) },
+		Aborter:       &job.flight.cut,
 	})
 	if f != nil {
 		outcome = outcomeOf(f)
@@ -141,14 +141,14 @@
 			req.Body = job.flight.body
 		}
 	}
-	order := target.Order{
+	order := target.RequestHeaders{
 		RequestID: job.meta.ID,
 		Unit:      job.name,
 		Token:     job.token,
 		Term:      r.gate.Load().Term(u.spec.Name),
 	}
 	if !job.meta.Deadline.IsZero() {
-		order.Left = time.Until(job.meta.Deadline)
+		order.TimeLeft = time.Until(job.meta.Deadline)
 	}
 	order.Set(req.Header)
 	return req
--- a/target/abort.go
+++ b/target/abort.go
@@ -6,24 +6,24 @@
 	"tarragongw/core/fault"
 )
 
-// Cut lets the router abort an attempt, independently of the caller, when the holder of the
+// Aborter lets the router abort an attempt, independently of the caller, when the holder of the
 // request's key changes. A separate context for each attempt would cost about twice as much,
 // and could not be distinguished from a caller that went away. The zero value is ready to use.
-// A Cut must be used for one attempt only.
-type Cut struct {
+// A Aborter must be used for one attempt only.
+type Aborter struct {
 	mu      sync.Mutex
 	aborted bool
 	reason  *fault.Fault
 	abort   func()
 }
 
-// Now aborts the attempt. While the attempt is still waiting for its connection, nothing is
+// Abort aborts the attempt. While the attempt is still waiting for its connection, nothing is
 // interrupted; the check before the request is written must then refuse the attempt.
-func (c *Cut) Now() { c.For(nil) }
+func (c *Aborter) Abort() { c.AbortWith(nil) }
 
-// For aborts the attempt too, and sets the fault that it returns if its response has not begun.
+// AbortWith aborts the attempt too, and sets the fault that it returns if its response has not begun.
 // The fault's Ran is replaced by what is known about the execution.
-func (c *Cut) For(reason *fault.Fault) {
+func (c *Aborter) AbortWith(reason *fault.Fault) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.aborted {
@@ -38,7 +38,7 @@
 
 // bind sets the function that aborts the attempt, and calls it if the attempt has been aborted
 // already.
-func (c *Cut) bind(abort func()) {
+func (c *Aborter) bind(abort func()) {
 	if c == nil {
 		return
 	}
@@ -51,7 +51,7 @@
 }
 
 // unbind removes the abort function. It reports whether the attempt has not been aborted.
-func (c *Cut) unbind() bool {
+func (c *Aborter) unbind() bool {
 	if c == nil {
 		return true
 	}
@@ -62,7 +62,7 @@
 }
 
 // isAborted reports whether the attempt was aborted.
-func (c *Cut) isAborted() bool {
+func (c *Aborter) isAborted() bool {
 	if c == nil {
 		return false
 	}
@@ -75,7 +75,7 @@
 const abortDetail = "the router cut the attempt off, because the key's owner changes"
 
 // fault returns the fault of an attempt that was aborted before its response began.
-func (c *Cut) fault(ran fault.Ran) *fault.Fault {
+func (c *Aborter) fault(ran fault.Ran) *fault.Fault {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.reason != nil {
--- a/target/abort_test.go
+++ b/target/abort_test.go
@@ -18,21 +18,21 @@
 // taken for a caller that went away, which gets no response.
 func TestAbortIsNotReportedAsCallerGone(t *testing.T) {
 	t.Run("while the target is working", func(t *testing.T) {
-		var cut Cut
+		var cut Aborter
 		s := startTarget(t, func(_ net.Conn, br *bufio.Reader) {
 			_, _ = http.ReadRequest(br)
-			cut.Now()
+			cut.Abort()
 		})
 		p := newPool(t, s.addr(), nil)
-		_, f := p.AttemptOn(background, newRequest(t, "GET", nil), Terms{Cut: &cut})
+		_, f := p.AttemptWithOptions(background, newRequest(t, "GET", nil), AttemptOptions{Aborter: &cut})
 		faulttest.Is(t, f, fault.TargetLost, fault.RanUnknown)
 	})
 	t.Run("before a byte was written", func(t *testing.T) {
-		var cut Cut
+		var cut Aborter
 		s := startTarget(t, respondAlways(okResponse))
 		p := newPool(t, s.addr(), nil)
-		cut.Now()
-		_, f := p.AttemptOn(background, newRequest(t, "GET", nil), Terms{Cut: &cut})
+		cut.Abort()
+		_, f := p.AttemptWithOptions(background, newRequest(t, "GET", nil), AttemptOptions{Aborter: &cut})
 		faulttest.Is(t, f, fault.StaleRoute, fault.NotRun)
 	})
 }
@@ -40,15 +40,15 @@
 // Guards against aborting another caller's request. An exchange ends and its connection carries
 // the next one; then the first exchange is aborted, and its aborter still refers to the connection.
 func TestAbortAfterTheEndDoesNotAffectTheNextExchange(t *testing.T) {
-	var cut Cut
+	var cut Aborter
 	s := startTarget(t, respondAlways(okResponse))
 	p := newPool(t, s.addr(), nil)
-	resp, f := p.AttemptOn(background, newRequest(t, "GET", nil), Terms{Cut: &cut})
+	resp, f := p.AttemptWithOptions(background, newRequest(t, "GET", nil), AttemptOptions{Aborter: &cut})
 	assert.Assert(t, f == nil)
 	_, err := io.ReadAll(resp.Body)
 	assert.NilError(t, err)
 	second := attempt(t, p, background, newRequest(t, "GET", nil))
-	cut.Now()
+	cut.Abort()
 	_, err = io.ReadAll(second.Body)
 	assert.NilError(t, err)
 	assert.Equal(t, p.Stats().Dials, uint64(1))
--- a/target/acquire.go
+++ b/target/acquire.go
@@ -33,8 +33,8 @@
 			p.open++
 			p.inUse++
 			p.mu.Unlock()
-			if p.cfg.Opening != nil {
-				p.cfg.Opening(cause)
+			if p.cfg.OnDial != nil {
+				p.cfg.OnDial(cause)
 			}
 			return p.dial(ctx)
 		}
--- a/target/attempt.go
+++ b/target/attempt.go
@@ -31,7 +31,7 @@
 	conn             *conn
 	ctx              context.Context
 	stopContextWatch func() bool
-	aborter          *Cut
+	aborter          *Aborter
 	upload           *upload
 	body             io.ReadCloser
 
@@ -65,20 +65,20 @@
 // the response body to its end or close it. Informational responses are reported to the
 // context's httptrace.ClientTrace.
 func (p *Pool) Attempt(ctx context.Context, r *http.Request) (*http.Response, *fault.Fault) {
-	return p.AttemptOn(ctx, r, Terms{})
+	return p.AttemptWithOptions(ctx, r, AttemptOptions{})
 }
 
-// Terms are the options of an attempt. All fields are optional.
-type Terms struct {
-	// Allowed is called when the connection is ready, right before the request is written. If
+// AttemptOptions are the options of an attempt. All fields are optional.
+type AttemptOptions struct {
+	// BeforeRequest is called when the connection is ready, right before the request is written. If
 	// it returns a fault, nothing is written, the attempt returns that fault, and the connection
 	// is released for reuse.
 	//
 	// If sending requires a lease, a check before the attempt is not enough: the lease may
 	// expire while the attempt waits for a connection or opens one, and the target would get
 	// work from a router that may no longer send it.
-	Allowed func() *fault.Fault
-	// Still is called right before each write of request bytes to the kernel; started is true if
+	BeforeRequest func() *fault.Fault
+	// BeforeWrite is called right before each write of request bytes to the kernel; started is true if
 	// bytes of the request have been written before. If it returns a fault, nothing more is
 	// sent, the connection is closed, and the attempt ends with that fault or, if started, with
 	// TargetLost.
@@ -88,17 +88,17 @@
 	// scheduled first, and the body is sent in a write of its own. A process that is suspended
 	// in between would resume and write after its lease has expired, and the request would run
 	// at the key's former holder.
-	Still func(started bool) *fault.Fault
-	// Until returns when the lease to send expires, by clock.Boot. It is called after the check
+	BeforeWrite func(started bool) *fault.Fault
+	// LeaseExpiry returns when the lease to send expires, by clock.Boot. It is called after the check
 	// above, right before each write. No byte is handed to the kernel after that time, even if
 	// the process is suspended between the two. Nil means that there is no such time.
-	Until func(started bool) time.Duration
-	// Cut aborts the attempt from outside.
-	Cut *Cut
+	LeaseExpiry func(started bool) time.Duration
+	// Aborter aborts the attempt from outside.
+	Aborter *Aborter
 }
 
-// AttemptOn is Attempt with options.
-func (p *Pool) AttemptOn(ctx context.Context, r *http.Request, opts Terms) (*http.Response, *fault.Fault) {
+// AttemptWithOptions is Attempt with options.
+func (p *Pool) AttemptWithOptions(ctx context.Context, r *http.Request, opts AttemptOptions) (*http.Response, *fault.Fault) {
 	if ctx.Err() != nil {
 		return nil, contextFault(ctx, fault.NotRun)
 	}
@@ -106,15 +106,15 @@
 	if f != nil {
 		return nil, f
 	}
-	if opts.Allowed != nil {
-		if f := opts.Allowed(); f != nil {
+	if opts.BeforeRequest != nil {
+		if f := opts.BeforeRequest(); f != nil {
 			p.release(c)
 			return nil, f
 		}
 	}
 	c.attachBuffers()
 	c.setOptions(opts)
-	x := &exchange{pool: p, conn: c, ctx: ctx, aborter: opts.Cut, sentBefore: c.sent.Load()}
+	x := &exchange{pool: p, conn: c, ctx: ctx, aborter: opts.Aborter, sentBefore: c.sent.Load()}
 	x.watch()
 	resp, err := x.roundTrip(r)
 	if err != nil {
--- a/target/config.go
+++ b/target/config.go
@@ -63,8 +63,8 @@
 	Dialect Dialect
 	// Dial opens raw connections; nil means a net.Dialer.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Opening, if not nil, is called before each connection is opened, with the reason.
-	Opening func(cause OpenCause)
+	// OnDial, if not nil, is called before each connection is opened, with the reason.
+	OnDial func(cause OpenCause)
 	// Now returns the current time; nil means time.Now. It is used only for the age and idle
 	// time of connections and for the expiry of certificates.
 	Now func() time.Time
--- a/target/conn.go
+++ b/target/conn.go
@@ -67,7 +67,7 @@
 	writesClosed bool
 	// opts are those of the current exchange; started is set once bytes of its request have
 	// been written; writeFault is why no more may be written. All are guarded by writeMu.
-	opts       Terms
+	opts       AttemptOptions
 	started    bool
 	writeFault *fault.Fault
 	// abort closes the raw connection.
@@ -144,7 +144,7 @@
 		if err == nil {
 			return total, nil
 		}
-		if leasewrite.GaveUp(err) {
+		if leasewrite.IsLeaseError(err) {
 			c.stopWrites(fault.Wrap(fault.StaleRoute, err, "the right to send has lapsed"))
 			return total, errLeaseExpired
 		}
@@ -163,14 +163,14 @@
 
 // writeRaw writes to the raw connection, under the exchange's lease if it has one.
 func (c *conn) writeRaw(b []byte) (int, error) {
-	if c.opts.Until == nil || c.sock == nil {
+	if c.opts.LeaseExpiry == nil || c.sock == nil {
 		return c.raw.Write(b)
 	}
-	return leasewrite.Write(c.sock, b, c.opts.Until(c.started))
+	return leasewrite.Write(c.sock, b, c.opts.LeaseExpiry(c.started))
 }
 
 // setOptions sets the options of the next exchange.
-func (c *conn) setOptions(opts Terms) {
+func (c *conn) setOptions(opts AttemptOptions) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
 	c.opts, c.started = opts, false
@@ -179,10 +179,10 @@
 // checkWrite reports whether the exchange may still write; if not, it stops all writes. The
 // caller holds writeMu.
 func (c *conn) checkWrite() bool {
-	if c.opts.Still == nil {
+	if c.opts.BeforeWrite == nil {
 		return true
 	}
-	if f := c.opts.Still(c.started); f != nil {
+	if f := c.opts.BeforeWrite(c.started); f != nil {
 		c.stopWrites(f)
 		return false
 	}
--- a/target/control_test.go
+++ b/target/control_test.go
@@ -76,18 +76,18 @@
 
 func TestRequestHeadersRoundTrip(t *testing.T) {
 	h := http.Header{HeaderDeadline: {"1"}, HeaderUnit: {"forged"}}
-	sent := Order{RequestID: "a", Unit: "faq/1", Token: 1 << 63, Term: 7}
+	sent := RequestHeaders{RequestID: "a", Unit: "faq/1", Token: 1 << 63, Term: 7}
 	sent.Set(h)
-	got, err := ParseOrder(h)
+	got, err := ParseRequestHeaders(h)
 	assert.NilError(t, err)
 	assert.Equal(t, got, sent)
-	sent.Left = 1500 * time.Microsecond
+	sent.TimeLeft = 1500 * time.Microsecond
 	sent.Set(h)
-	got, err = ParseOrder(h)
+	got, err = ParseRequestHeaders(h)
 	assert.NilError(t, err)
-	assert.Equal(t, got.Left, 2*time.Millisecond)
+	assert.Equal(t, got.TimeLeft, 2*time.Millisecond)
 	h.Set(HeaderToken, "-1")
-	_, err = ParseOrder(h)
+	_, err = ParseRequestHeaders(h)
 	assert.ErrorContains(t, err, HeaderToken)
 }
 
--- a/target/dialect.go
+++ b/target/dialect.go
@@ -17,9 +17,9 @@
 	// NotRun is the response header field that states that the request was not run. Empty
 	// means HeaderNotRun, which counts only with status 503 or 409.
 	NotRun string
-	// Misplaced lists the statuses that alone state that the request was not run because it
+	// NotRunStatuses lists the statuses that alone state that the request was not run because it
 	// was sent to the wrong target. They are checked only if NotRun is set.
-	Misplaced []int
+	NotRunStatuses []int
 	// RequestID is the header field in which responses echo the request's id; empty means
 	// that they don't. A response with a different id belongs to an earlier request.
 	RequestID string
@@ -66,7 +66,7 @@
 	if d.NotRun == "" {
 		return refusal(resp)
 	}
-	if slices.Contains(d.Misplaced, resp.StatusCode) {
+	if slices.Contains(d.NotRunStatuses, resp.StatusCode) {
 		return notRun(fault.StaleRoute, nil, "the target holds another place or key")
 	}
 	if len(resp.Header[d.NotRun]) == 0 {
--- a/target/fuzz_test.go
+++ b/target/fuzz_test.go
@@ -20,14 +20,14 @@
 		h := http.Header{
 			HeaderRequestID: {id}, HeaderUnit: {unit}, HeaderToken: {token}, HeaderTerm: {term}, HeaderDeadline: {deadline},
 		}
-		o, err := ParseOrder(h)
+		o, err := ParseRequestHeaders(h)
 		if err != nil {
 			return
 		}
-		assert.Assert(t, o.Left >= 0, "%v", o.Left)
+		assert.Assert(t, o.TimeLeft >= 0, "%v", o.TimeLeft)
 		header := make(http.Header)
 		o.Set(header)
-		parsed, err := ParseOrder(header)
+		parsed, err := ParseRequestHeaders(header)
 		assert.NilError(t, err)
 		assert.Equal(t, parsed, o)
 	})
--- a/target/limits_test.go
+++ b/target/limits_test.go
@@ -232,11 +232,11 @@
 		}
 		return nil
 	}
-	_, f := p.AttemptOn(background, newRequest(t, "GET", nil), Terms{Allowed: checkLease})
+	_, f := p.AttemptWithOptions(background, newRequest(t, "GET", nil), AttemptOptions{BeforeRequest: checkLease})
 	assert.Equal(t, f.Kind, fault.StaleRoute)
 	assert.Equal(t, p.Stats().Idle, 1)
 	expired = false
-	resp, f := p.AttemptOn(background, newRequest(t, "GET", nil), Terms{Allowed: checkLease})
+	resp, f := p.AttemptWithOptions(background, newRequest(t, "GET", nil), AttemptOptions{BeforeRequest: checkLease})
 	assert.Assert(t, f == nil)
 	io.ReadAll(resp.Body)
 	assert.Equal(t, p.Stats().Dials, uint64(1))
@@ -281,12 +281,12 @@
 			if c.method == "POST" {
 				r.ContentLength = 1
 			}
-			_, f := p.AttemptOn(background, r, Terms{Allowed: checkLease, Still: func(bool) *fault.Fault { return checkLease() }})
+			_, f := p.AttemptWithOptions(background, r, AttemptOptions{BeforeRequest: checkLease, BeforeWrite: func(bool) *fault.Fault { return checkLease() }})
 			assert.Assert(t, f != nil, "the request was sent")
 			assert.Equal(t, f.Kind, c.kind)
 			assert.Equal(t, f.Ran, c.ran)
 			assert.Equal(t, p.Stats().Open, 0)
-			resp, f := p.AttemptOn(background, newRequest(t, c.method, body()), Terms{})
+			resp, f := p.AttemptWithOptions(background, newRequest(t, c.method, body()), AttemptOptions{})
 			assert.Assert(t, f == nil)
 			_, err := io.ReadAll(resp.Body)
 			assert.NilError(t, err)
--- a/target/pool_test.go
+++ b/target/pool_test.go
@@ -80,7 +80,7 @@
 	defer server.Close()
 	var causes []OpenCause
 	p := newPool(t, server.Listener.Addr().String(), func(c *PoolConfig) {
-		c.Opening = func(cause OpenCause) { causes = append(causes, cause) }
+		c.OnDial = func(cause OpenCause) { causes = append(causes, cause) }
 	})
 	send := func(then string) *http.Response {
 		r := newRequest(t, "GET", nil)
--- a/target/request_headers.go
+++ b/target/request_headers.go
@@ -8,16 +8,16 @@
 	"github.com/pkg/errors"
 )
 
-// Order holds the header fields that the router adds to each request to a target.
-type Order struct {
+// RequestHeaders holds the header fields that the router adds to each request to a target.
+type RequestHeaders struct {
 	// RequestID identifies the request in logs; an id is never used for two different requests.
 	RequestID string
 	// Unit, Token and Term identify the grant under which the request is sent.
 	Unit  string
 	Token uint64
 	Term  uint64
-	// Left is the time until the caller's deadline; zero means no deadline.
-	Left time.Duration
+	// TimeLeft is the time until the caller's deadline; zero means no deadline.
+	TimeLeft time.Duration
 }
 
 // maxNumberLength is the length of the longest number in a header field.
@@ -27,15 +27,15 @@
 // caller sent are replaced or removed. To need only two allocations per request, the names
 // are constants in canonical form, all values share one array, and all numbers share one
 // string.
-func (o *Order) Set(h http.Header) {
+func (o *RequestHeaders) Set(h http.Header) {
 	var buf [3 * maxNumberLength]byte
 	text := strconv.AppendUint(buf[:0], o.Token, 10)
 	tokenEnd := len(text)
 	text = strconv.AppendUint(text, o.Term, 10)
 	termEnd := len(text)
-	if o.Left > 0 {
+	if o.TimeLeft > 0 {
 		// Rounded up, so that the target does not time out before the router does.
-		text = strconv.AppendInt(text, int64((o.Left+time.Millisecond-1)/time.Millisecond), 10)
+		text = strconv.AppendInt(text, int64((o.TimeLeft+time.Millisecond-1)/time.Millisecond), 10)
 	}
 	numbers := string(text)
 	values := &[...]string{
@@ -47,16 +47,16 @@
 	if o.RequestID != "" {
 		h[HeaderRequestID] = values[3:4:4]
 	}
-	if o.Left <= 0 {
+	if o.TimeLeft <= 0 {
 		delete(h, HeaderDeadline)
 		return
 	}
 	h[HeaderDeadline] = values[4:5:5]
 }
 
-// ParseOrder reads the fields from the header of a request. An absent field is zero.
-func ParseOrder(h http.Header) (Order, error) {
-	o := Order{RequestID: h.Get(HeaderRequestID), Unit: h.Get(HeaderUnit)}
+// ParseRequestHeaders reads the fields from the header of a request. An absent field is zero.
+func ParseRequestHeaders(h http.Header) (RequestHeaders, error) {
+	o := RequestHeaders{RequestID: h.Get(HeaderRequestID), Unit: h.Get(HeaderUnit)}
 	var err error
 	if o.Token, err = parseUint(h, HeaderToken); err != nil {
 		return o, err
@@ -65,7 +65,7 @@
 		return o, err
 	}
 	millis, err := parseUint(h, HeaderDeadline)
-	o.Left = time.Duration(min(millis, maxDeadlineMillis)) * time.Millisecond
+	o.TimeLeft = time.Duration(min(millis, maxDeadlineMillis)) * time.Millisecond
 	return o, err
 }
 
--- a/target/sample/server_test.go
+++ b/target/sample/server_test.go
@@ -42,7 +42,7 @@
 	return s
 }
 
-func (s *side) do(t *testing.T, ctx context.Context, method, key, body string, order target.Order) (*sample.Result, *fault.Fault) {
+func (s *side) do(t *testing.T, ctx context.Context, method, key, body string, order target.RequestHeaders) (*sample.Result, *fault.Fault) {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+s.Addr()+"/stall/"+key, strings.NewReader(body))
 	assert.NilError(t, err)
@@ -71,7 +71,7 @@
 func TestWriteThenReadUnderAGrant(t *testing.T) {
 	s := start(t, sample.Config{Name: "t1", Grants: both, Slots: 3})
 	ctx := context.Background()
-	order := target.Order{RequestID: "a", Unit: "faq/1", Token: 1, Term: 1}
+	order := target.RequestHeaders{RequestID: "a", Unit: "faq/1", Token: 1, Term: 1}
 
 	_, f := s.do(t, ctx, "PUT", "k", "v", order)
 	faulttest.Is(t, f, fault.StaleRoute, fault.NotRun)
@@ -128,11 +128,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	first := make(chan *fault.Fault)
 	go func() {
-		_, f := s.do(t, ctx, "POST", "k", "v", target.Order{RequestID: "a"})
+		_, f := s.do(t, ctx, "POST", "k", "v", target.RequestHeaders{RequestID: "a"})
 		first <- f
 	}()
 	s.waitForLoad(t, 1)
-	_, f := s.do(t, context.Background(), "POST", "k", "v", target.Order{RequestID: "b"})
+	_, f := s.do(t, context.Background(), "POST", "k", "v", target.RequestHeaders{RequestID: "b"})
 	assert.Equal(t, f.Kind, fault.TargetRefused)
 	assert.Equal(t, f.Detail, sample.CauseOverload)
 	cancel()
@@ -153,7 +153,7 @@
 		t.Run(fmt.Sprint(c.cut), func(t *testing.T) {
 			s := start(t, sample.Config{})
 			s.Faults.CutNext(c.cut)
-			_, f := s.do(t, context.Background(), "POST", "k", "v", target.Order{RequestID: "a"})
+			_, f := s.do(t, context.Background(), "POST", "k", "v", target.RequestHeaders{RequestID: "a"})
 			assert.Equal(t, f.Kind, c.kind)
 			assert.Equal(t, s.Log().Runs("a"), c.runs)
 		})
@@ -171,7 +171,7 @@
 		s.waitForLoad(t, 1)
 		cancel()
 	}()
-	_, f := s.do(t, ctx, "POST", "k", "v", target.Order{RequestID: "a"})
+	_, f := s.do(t, ctx, "POST", "k", "v", target.RequestHeaders{RequestID: "a"})
 	faulttest.Is(t, f, fault.CallerGone, fault.RanUnknown)
 	s.waitForLoad(t, 0)
 	assert.Equal(t, s.Log().Runs("a"), 0)
@@ -188,7 +188,7 @@
 	s.Faults.IgnoreCancel(true)
 	s.Faults.Freeze()
 	// Without a body, of which the end may not have been sent when the caller gives up.
-	_, f := s.do(t, ctx, "POST", "k", "", target.Order{RequestID: "a"})
+	_, f := s.do(t, ctx, "POST", "k", "", target.RequestHeaders{RequestID: "a"})
 	faulttest.Is(t, f, fault.DeadlineExceeded, fault.RanUnknown)
 	assert.Equal(t, s.Log().Runs("a"), 0)
 	s.Faults.Unfreeze()
@@ -199,7 +199,7 @@
 
 func TestDeadlineThatWorkCannotMeetIsRefused(t *testing.T) {
 	s := start(t, sample.Config{Work: time.Hour})
-	_, f := s.do(t, context.Background(), "POST", "k", "v", target.Order{RequestID: "a", Left: time.Second})
+	_, f := s.do(t, context.Background(), "POST", "k", "v", target.RequestHeaders{RequestID: "a", TimeLeft: time.Second})
 	assert.Equal(t, f.Ran, fault.NotRun)
 	assert.Equal(t, f.Detail, sample.CauseDeadline)
 	assert.Equal(t, s.Log().Runs("a"), 0)
@@ -237,7 +237,7 @@
 	log := sample.NewLog(100)
 	run := func(name, id string, token uint64) {
 		s := start(t, sample.Config{Name: name, Log: log})
-		_, f := s.do(t, context.Background(), "POST", "k", "v", target.Order{RequestID: id, Unit: "faq/1", Token: token})
+		_, f := s.do(t, context.Background(), "POST", "k", "v", target.RequestHeaders{RequestID: id, Unit: "faq/1", Token: token})
 		assert.Assert(t, f == nil)
 	}
 	run("t1", "a", 1)
@@ -254,7 +254,7 @@
 func TestRepeatedReadsAreNoRepeatedWrites(t *testing.T) {
 	s := start(t, sample.Config{Name: "t1"})
 	for range 2 {
-		_, f := s.do(t, context.Background(), "GET", "k", "", target.Order{RequestID: "a"})
+		_, f := s.do(t, context.Background(), "GET", "k", "", target.RequestHeaders{RequestID: "a"})
 		assert.Assert(t, f == nil)
 	}
 	assert.DeepEqual(t, s.Log().Repeated(), []string{"a"})
--- a/target/sample/work.go
+++ b/target/sample/work.go
@@ -33,7 +33,7 @@
 
 // job is one request at work.
 type job struct {
-	order    target.Order
+	order    target.RequestHeaders
 	method   string
 	key      string
 	body     string
@@ -58,7 +58,7 @@
 		s.cfg.Seen(r)
 	}
 	s.Faults.gate(s.stopped)
-	order, err := target.ParseOrder(r.Header)
+	order, err := target.ParseRequestHeaders(r.Header)
 	if err != nil {
 		refuse(w, CauseRequest)
 		return
@@ -145,7 +145,7 @@
 		delay += s.cfg.ColdWork
 	}
 	if delay > 0 {
-		if j.order.Left > 0 && delay > j.order.Left {
+		if j.order.TimeLeft > 0 && delay > j.order.TimeLeft {
 			return CauseDeadline
 		}
 		timer := time.NewTimer(delay)
--- a/target/suspend_test.go
+++ b/target/suspend_test.go
@@ -54,7 +54,7 @@
 			p := newPool(t, s.addr(), nil)
 			r := newRequest(t, http.MethodPost, io.NopCloser(strings.NewReader("x")))
 			r.ContentLength = 1
-			_, f := p.AttemptOn(background, r, Terms{Until: func(started bool) time.Duration {
+			_, f := p.AttemptWithOptions(background, r, AttemptOptions{LeaseExpiry: func(started bool) time.Duration {
 				if started == c.started {
 					return 0
 				}
@@ -93,12 +93,12 @@
 			panic(err)
 		}
 		r.Header.Set(headerLeaseEnd, strconv.FormatInt(int64(expiry), 10))
-		resp, f := p.AttemptOn(context.Background(), r, Terms{Still: func(bool) *fault.Fault {
+		resp, f := p.AttemptWithOptions(context.Background(), r, AttemptOptions{BeforeWrite: func(bool) *fault.Fault {
 			if (clock.Boot{}).Now() >= expiry {
 				return fault.New(fault.StaleRoute, "expired")
 			}
 			return nil
-		}, Until: func(bool) time.Duration { return expiry }})
+		}, LeaseExpiry: func(bool) time.Duration { return expiry }})
 		if f == nil {
 			_, _ = io.Copy(io.Discard, resp.Body)
 			resp.Body.Close()
