--- a/cmd/tarragongw/serve.go
+++ b/cmd/tarragongw/serve.go
@@ -105,12 +105,12 @@
 }
 
 func gatewayOptions(s *platform.Settings, logger *slog.Logger, metrics *telemetry.Telemetry) gateway.Options {
-	orders := platform.NewOrders()
+	orders := platform.NewOrderClient()
 	return gateway.Options{
 		Name: s.Name, DataCentre: s.DataCentre,
 		CallerAddress: s.CallerAddress, ReadyAddress: s.ReadyAddress, MetricsAddress: s.MetricsAddress, PeerAddress: s.PeerAddress,
 		Store:    platform.NewStore(s.StoreAddress),
-		LeaseMin: s.LeaseMin, StoreHistory: s.History, PropagationLimit: min(s.Drain, s.ConfigApply), MaxGrantTTL: s.HoldMax, Grace: s.Grace, CPUShare: s.CPUShare,
+		LeaseMin: s.LeaseMin, StoreHistory: s.History, PropagationLimit: min(s.Drain, s.ConfigApply), MaxGrantTTL: s.MaxGrantTTL, Grace: s.Grace, CPUShare: s.CPUShare,
 		RetryShare: s.RetryShare, RetryMin: s.RetryMin, RetryWindow: s.RetryWindow,
 		Logger: logger, Telemetry: metrics,
 		Adapter: gateway.Adapter{
--- a/confstore/editor.go
+++ b/confstore/editor.go
@@ -225,7 +225,7 @@
 	if err != nil {
 		return err
 	}
-	settler := kv.Settler{Store: e.Store, Ops: opsOf}
+	settler := kv.WriteResolver{Store: e.Store, Ops: opsOf}
 	settled, err := settler.Write(ctx, kv.Write{Key: Key, OpID: opID, Expect: state.Stored, Value: value})
 	if err != nil {
 		return err
--- a/gateway/callerleaves_test.go
+++ b/gateway/callerleaves_test.go
@@ -35,7 +35,7 @@
 func newBusyFleet(t *testing.T, work time.Duration) (*fleet, *Gateway) {
 	f := newFleet(t, 1, longTimeoutConfig, plainTarget("a"))
 	g, target := f.gateways[0], f.targets["a"]
-	target.Answer(func(w http.ResponseWriter, r *http.Request) bool {
+	target.SetHandler(func(w http.ResponseWriter, r *http.Request) bool {
 		if r.Method != http.MethodGet {
 			return false
 		}
--- a/gateway/fleet_test.go
+++ b/gateway/fleet_test.go
@@ -115,7 +115,7 @@
 func TestRestartedTargetIsGrantedItsKeysAgain(t *testing.T) {
 	f := newFleet(t, 1, keyedConfig, keyedTarget("a"))
 	f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
-	f.targets["a"].Reborn(f.store)
+	f.targets["a"].Restart(f.store)
 	f.sendUntilServed(f.gateways[0], call{method: "GET", path: "/read/1", key: 100})
 }
 
@@ -160,7 +160,7 @@
 func TestChangeMissedByWatchesIsFoundAfterCompaction(t *testing.T) {
 	f := newFleet(t, 3, plainConfig, plainTarget("a"))
 	time.Sleep(300 * time.Millisecond)
-	f.store.Deafen()
+	f.store.SuppressEvents()
 	f.configure(plainConfig)
 	time.Sleep(100 * time.Millisecond)
 	f.store.Compact()
@@ -198,7 +198,7 @@
 func TestPlannedStopCutsOffNoRequests(t *testing.T) {
 	f := newFleet(t, 1, plainConfig, plainTarget("a"))
 	g := f.gateways[0]
-	f.targets["a"].SetWork(700 * time.Millisecond)
+	f.targets["a"].SetServiceTime(700 * time.Millisecond)
 	inFlight := make(chan answer, 1)
 	go func() { inFlight <- f.sendAs(g, call{method: "POST", path: "/pay/1", key: -1, body: "x"}, "under-way") }()
 	waittest.Until(t, "the request runs", func() bool { return len(f.targets["a"].Runs()) == 1 })
@@ -222,7 +222,7 @@
 func TestRequestsThatOutlastTheGraceAreAnswered(t *testing.T) {
 	f := newFleet(t, 1, strings.ReplaceAll(plainConfig, `"timeout":"1000ms"`, `"timeout":"60000ms"`), plainTarget("a"))
 	g := f.gateways[0]
-	f.targets["a"].SetWork(5 * time.Second)
+	f.targets["a"].SetServiceTime(5 * time.Second)
 	answers := make(chan answer, 2)
 	for _, c := range []call{{method: "GET", path: "/read/1", key: -1}, {method: "POST", path: "/pay/1", key: -1, body: "x"}} {
 		c.left = time.Minute
@@ -336,4 +336,4 @@
 	assert.Assert(t, after["kv-lease"]-before["kv-lease"] <= 12, "%v", after)
 }
 
-var _ kv.Ledger = (*platform.Store)(nil)
+var _ kv.TxnStore = (*platform.Store)(nil)
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -48,7 +48,7 @@
 
 // storeLink is a gateway's connection to the store, which can be cut.
 type storeLink struct {
-	kv.Ledger
+	kv.TxnStore
 	cut atomic.Bool
 	// slowDelay is the delay of listings of slowPrefix.
 	slowPrefix string
@@ -67,7 +67,7 @@
 	if err := w.errIfCut(); err != nil {
 		return kv.Record{}, err
 	}
-	return w.Ledger.Get(ctx, key)
+	return w.TxnStore.Get(ctx, key)
 }
 
 // List implements kv.Ledger.
@@ -78,24 +78,24 @@
 	if prefix == w.slowPrefix {
 		time.Sleep(w.slowDelay)
 	}
-	return w.Ledger.List(ctx, prefix)
+	return w.TxnStore.List(ctx, prefix)
 }
 
 // Watch implements kv.Ledger. If the connection is cut during the watch, its result is lost.
 func (w *storeLink) Watch(ctx context.Context, prefix string, since kv.Revision, wait time.Duration) ([]kv.Record, kv.Revision, error) {
-	records, at, err := w.Ledger.Watch(ctx, prefix, since, wait)
+	records, at, err := w.TxnStore.Watch(ctx, prefix, since, wait)
 	if cutErr := w.errIfCut(); cutErr != nil {
 		return nil, 0, cutErr
 	}
 	return records, at, err
 }
 
-// KeepLease implements kv.Ledger.
-func (w *storeLink) KeepLease(ctx context.Context, id kv.LeaseID) error {
+// RenewLease implements kv.Ledger.
+func (w *storeLink) RenewLease(ctx context.Context, id kv.LeaseID) error {
 	if err := w.errIfCut(); err != nil {
 		return err
 	}
-	return w.Ledger.KeepLease(ctx, id)
+	return w.TxnStore.RenewLease(ctx, id)
 }
 
 const host = "h.example"
@@ -174,8 +174,8 @@
 
 func (f *fleet) start(name string) *Gateway {
 	f.t.Helper()
-	orders := platform.NewOrders()
-	f.links[name] = &storeLink{Ledger: platform.NewStore(f.store.Address()), slowPrefix: f.slowPrefix, slowDelay: slowListing}
+	orders := platform.NewOrderClient()
+	f.links[name] = &storeLink{TxnStore: platform.NewStore(f.store.Address()), slowPrefix: f.slowPrefix, slowDelay: slowListing}
 	g, err := New(Options{
 		Name: name, DataCentre: "hall", CallerAddress: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0", PeerAddress: "127.0.0.1:0",
 		Store: f.links[name], LeaseMin: time.Second, PropagationLimit: f.knownWithin, MaxGrantTTL: 10 * time.Second, Grace: 3 * time.Second,
--- a/gateway/leader.go
+++ b/gateway/leader.go
@@ -444,7 +444,7 @@
 func (l *leader) renewLease(t *term) {
 	for duty.Sleep(t.ctx, leaderRenewInterval) {
 		sent := l.g.opts.Clock.Now()
-		err := l.g.storeFor(purposeLead).KeepLease(t.ctx, t.leadership.Load().lease)
+		err := l.g.storeFor(purposeLead).RenewLease(t.ctx, t.leadership.Load().lease)
 		l.duty.Tell(&renewalDone{t, sent, err})
 	}
 }
--- a/gateway/membership.go
+++ b/gateway/membership.go
@@ -118,7 +118,7 @@
 		return nil
 	}
 	if m.lease != (kv.LeaseID{}) {
-		err := m.g.storeFor(purposeOwnRecord).KeepLease(ctx, m.lease)
+		err := m.g.storeFor(purposeOwnRecord).RenewLease(ctx, m.lease)
 		if !errors.Is(err, kv.ErrLeaseLost) {
 			return err
 		}
--- a/gateway/options.go
+++ b/gateway/options.go
@@ -53,7 +53,7 @@
 	// Without a MetricsAddress, no metrics are served. PeerAddress is the one at which the other
 	// routers reach this one.
 	CallerAddress, ReadyAddress, MetricsAddress, PeerAddress string
-	Store                                                    kv.Ledger
+	Store                                                    kv.TxnStore
 	Adapter                                                  Adapter
 	// LeaseMin is the shortest TTL of a lease that the store grants.
 	LeaseMin time.Duration
--- a/gateway/randomrestores_test.go
+++ b/gateway/randomrestores_test.go
@@ -52,7 +52,7 @@
 	case 0:
 		f.store.Snapshot()
 	case 1, 2:
-		restore := platformtest.Restored{RewriteAfter: time.Duration(random.IntN(500)) * time.Millisecond, KeepLeases: random.IntN(2) == 0}
+		restore := platformtest.RestoreOptions{RewriteAfter: time.Duration(random.IntN(500)) * time.Millisecond, KeepLeases: random.IntN(2) == 0}
 		f.t.Logf("restore, %+v", restore)
 		f.store.Restore(restore)
 	case 3:
@@ -78,6 +78,6 @@
 	}
 	f.targets[holder].Drain(f.store)
 	time.Sleep(time.Duration(random.IntN(600)) * time.Millisecond)
-	f.targets[holder].Return(f.store)
+	f.targets[holder].CancelDrain(f.store)
 	waittest.Until(f.t, "a router leads", func() bool { return f.leader() != nil })
 }
--- a/gateway/request_test.go
+++ b/gateway/request_test.go
@@ -38,7 +38,7 @@
 func TestCallersWithoutKeepAliveShareTargetConnections(t *testing.T) {
 	f := newFleet(t, 1, plainConfig, plainTarget("a"))
 	from := map[string]bool{}
-	f.targets["a"].Answer(func(_ http.ResponseWriter, r *http.Request) bool {
+	f.targets["a"].SetHandler(func(_ http.ResponseWriter, r *http.Request) bool {
 		from[r.RemoteAddr] = true
 		return false
 	})
@@ -66,7 +66,7 @@
 	f := newFleet(t, 1, plainConfig, plainTarget("a"), plainTarget("b"))
 	for _, target := range f.targets {
 		broken := false
-		target.Answer(func(w http.ResponseWriter, r *http.Request) bool {
+		target.SetHandler(func(w http.ResponseWriter, r *http.Request) bool {
 			if broken || strings.HasPrefix(r.URL.Path, "/read/") && r.Header.Get(platform.HeaderRequestID) == "id-again" {
 				return false
 			}
@@ -98,13 +98,13 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return true
 	}
-	f.targets["a"].Answer(refuse)
+	f.targets["a"].SetHandler(refuse)
 	for range 5 {
 		got := f.send(f.gateways[0], call{method: "POST", path: "/pay/1", key: -1, body: "body"})
 		assert.Equal(t, got.status, http.StatusOK)
 		assert.Equal(t, got.body, "b ran "+got.id)
 	}
-	f.targets["b"].Answer(refuse)
+	f.targets["b"].SetHandler(refuse)
 	got := f.send(f.gateways[0], call{method: "POST", path: "/pay/2", key: -1, body: "body"})
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	seconds, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
@@ -118,7 +118,7 @@
 func TestSecondAnswerIsPassedOver(t *testing.T) {
 	f := newFleet(t, 1, plainConfig, plainTarget("a"))
 	first := true
-	f.targets["a"].Answer(func(w http.ResponseWriter, r *http.Request) bool {
+	f.targets["a"].SetHandler(func(w http.ResponseWriter, r *http.Request) bool {
 		if !first {
 			return false
 		}
@@ -150,7 +150,7 @@
 // A successful answer that lacks the target's signature is not passed on as a success.
 func TestUnsignedSuccessIsNoAnswer(t *testing.T) {
 	f := newFleet(t, 1, plainConfig, plainTarget("a"))
-	f.targets["a"].Answer(func(w http.ResponseWriter, _ *http.Request) bool {
+	f.targets["a"].SetHandler(func(w http.ResponseWriter, _ *http.Request) bool {
 		w.WriteHeader(http.StatusOK)
 		return true
 	})
@@ -162,7 +162,7 @@
 // a connection reset.
 func TestBrokenAnswerDoesNotLookWhole(t *testing.T) {
 	f := newFleet(t, 1, plainConfig, plainTarget("a"))
-	f.targets["a"].Answer(func(w http.ResponseWriter, r *http.Request) bool {
+	f.targets["a"].SetHandler(func(w http.ResponseWriter, r *http.Request) bool {
 		conn, rw, err := http.NewResponseController(w).Hijack()
 		assert.NilError(t, err)
 		fmt.Fprintf(rw, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: stamp\r\nConnection: close\r\n\r\npart",
@@ -180,7 +180,7 @@
 // A request that the target has not finished at the route's timeout is answered then.
 func TestTimeoutOfTheRouteIsKept(t *testing.T) {
 	f := newFleet(t, 1, plainConfig, plainTarget("a"))
-	f.targets["a"].SetWork(3 * time.Second)
+	f.targets["a"].SetServiceTime(3 * time.Second)
 	began := time.Now()
 	got := f.send(f.gateways[0], call{method: "GET", path: "/read/1", key: -1})
 	assert.Equal(t, got.status, http.StatusGatewayTimeout)
--- a/gateway/restore_test.go
+++ b/gateway/restore_test.go
@@ -22,14 +22,14 @@
 )
 
 // defaultRestore is how most tests restore the store.
-var defaultRestore = platformtest.Restored{RewriteAfter: 300 * time.Millisecond}
+var defaultRestore = platformtest.RestoreOptions{RewriteAfter: 300 * time.Millisecond}
 
 var restoreKeys = []int{100, 20000, 33000, 50000, 65000}
 
 // newRestoredFleet starts routers and three targets with a store that counts its eras.
 func newRestoredFleet(t *testing.T, routers int) *fleet {
 	f := newFleet(t, 0, "")
-	f.store.CountEras(firstEra)
+	f.store.ReportEra(firstEra)
 	f.configure(keyedConfig)
 	for _, id := range []string{"a", "b", "c"} {
 		f.add(keyedTarget(id))
@@ -63,7 +63,7 @@
 		now = f.holder(k)
 		return now != "" && now != old && !strings.Contains(now, "+")
 	})
-	f.targets[old].Return(f.store)
+	f.targets[old].CancelDrain(f.store)
 	return old, now
 }
 
@@ -130,11 +130,11 @@
 func TestRestoreThatUndoesAMoveLeavesOneHolder(t *testing.T) {
 	t.Run("leases have expired", func(t *testing.T) { undoMoveByRestore(t, defaultRestore) })
 	t.Run("leases are kept", func(t *testing.T) {
-		undoMoveByRestore(t, platformtest.Restored{RewriteAfter: defaultRestore.RewriteAfter, KeepLeases: true})
+		undoMoveByRestore(t, platformtest.RestoreOptions{RewriteAfter: defaultRestore.RewriteAfter, KeepLeases: true})
 	})
 }
 
-func undoMoveByRestore(t *testing.T, restore platformtest.Restored) {
+func undoMoveByRestore(t *testing.T, restore platformtest.RestoreOptions) {
 	f := newRestoredFleet(t, 3)
 	f.store.Snapshot()
 	_, holder := f.moveKey(100)
@@ -244,7 +244,7 @@
 	for _, g := range f.gateways {
 		f.sendUntilServed(g, newer)
 	}
-	f.store.Restore(platformtest.Restored{RewriteAfter: 2 * time.Second})
+	f.store.Restore(platformtest.RestoreOptions{RewriteAfter: 2 * time.Second})
 	f.start("late")
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); {
 		for _, g := range f.gateways {
@@ -267,7 +267,7 @@
 	for _, g := range f.gateways {
 		f.sendUntilServed(g, call{method: http.MethodGet, path: "/seek/1", key: 100})
 	}
-	f.store.Restore(platformtest.Restored{RewriteAfter: time.Minute})
+	f.store.Restore(platformtest.RestoreOptions{RewriteAfter: time.Minute})
 	f.configure(strings.ReplaceAll(keyedConfig, "/read/", "/look/"))
 	f.registerAll(40) // the store's revision is now above that before the restore
 	began := time.Now()
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -97,8 +97,8 @@
 		return false
 	}
 	for _, target := range f.targets {
-		target.SetWork(300 * time.Millisecond)
-		target.Answer(slow)
+		target.SetServiceTime(300 * time.Millisecond)
+		target.SetHandler(slow)
 	}
 	var mu sync.Mutex
 	var all []sentRequest
--- a/gateway/storecalls.go
+++ b/gateway/storecalls.go
@@ -18,7 +18,7 @@
 )
 
 // storeFor returns the store, with its calls counted under the purpose.
-func (g *Gateway) storeFor(purpose string) kv.Ledger {
+func (g *Gateway) storeFor(purpose string) kv.TxnStore {
 	if g.opts.Telemetry == nil {
 		return g.opts.Store
 	}
@@ -43,12 +43,12 @@
 
 // countedStore counts the calls to a store.
 type countedStore struct {
-	store    kv.Ledger
+	store    kv.TxnStore
 	observer kv.Observer
 	purpose  string
 }
 
-var _ kv.Ledger = (*countedStore)(nil)
+var _ kv.TxnStore = (*countedStore)(nil)
 
 func (s *countedStore) count(call string, began time.Time, err error) {
 	s.observer.StoreCall(call+"_"+s.purpose, kv.Code(err), time.Since(began))
@@ -97,10 +97,10 @@
 	return id, granted, err
 }
 
-// KeepLease implements kv.Ledger.
-func (s *countedStore) KeepLease(ctx context.Context, id kv.LeaseID) error {
+// RenewLease implements kv.Ledger.
+func (s *countedStore) RenewLease(ctx context.Context, id kv.LeaseID) error {
 	began := time.Now()
-	err := s.store.KeepLease(ctx, id)
+	err := s.store.RenewLease(ctx, id)
 	s.count("renew", began, err)
 	return err
 }
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -40,7 +40,7 @@
 
 // watcher follows the records under one prefix.
 type watcher struct {
-	store  kv.Ledger
+	store  kv.TxnStore
 	log    *slog.Logger
 	prefix string
 	// pause returns the pause between a change and the next watch. Targets write their entries
--- a/kv/budget.go
+++ b/kv/budget.go
@@ -106,7 +106,7 @@
 // is safe for concurrent use.
 type Budget struct {
 	store     Store
-	directory Directory
+	directory VMLister
 	cfg       BudgetConfig
 
 	mu     sync.Mutex
@@ -119,7 +119,7 @@
 }
 
 // NewBudget returns a budget for calls of the store and the list of VMs.
-func NewBudget(store Store, directory Directory, cfg BudgetConfig) *Budget {
+func NewBudget(store Store, directory VMLister, cfg BudgetConfig) *Budget {
 	cfg = cfg.withDefaults()
 	return &Budget{
 		store:     store,
--- a/kv/httpstore/contract_test.go
+++ b/kv/httpstore/contract_test.go
@@ -50,7 +50,7 @@
 // client is the interface that each implementation must provide.
 type client interface {
 	kv.Store
-	kv.Directory
+	kv.VMLister
 }
 
 // fixture is one implementation under test and the stand-in that it uses.
--- a/kv/httpstore/handler.go
+++ b/kv/httpstore/handler.go
@@ -13,7 +13,7 @@
 // Backend is the platform that the handler serves; standin.Client implements it.
 type Backend interface {
 	kv.Store
-	kv.Directory
+	kv.VMLister
 	// Poll is a Watch that ends after wait with no records and a revision to continue from.
 	Poll(ctx context.Context, prefix string, since kv.Revision, wait time.Duration) ([]kv.Record, kv.Revision, error)
 }
--- a/kv/platform.go
+++ b/kv/platform.go
@@ -86,8 +86,8 @@
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// Directory is the platform's list of VMs. The list lags behind: it is a hint that a VM
+// VMLister is the platform's list of VMs. The list lags behind: it is a hint that a VM
 // joins or leaves, not a proof that it runs or has stopped.
-type Directory interface {
+type VMLister interface {
 	VMs(ctx context.Context) ([]VM, error)
 }
--- a/kv/resolve.go
+++ b/kv/resolve.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// Settlement is the result of a write whose outcome has been determined as far as possible.
-type Settlement struct {
+// WriteResult is the result of a write whose outcome has been determined as far as possible.
+type WriteResult struct {
 	Outcome Outcome
 	// Revision is the revision of the write; zero if the write did not take effect, or if
 	// other writes followed before the record was read back.
@@ -61,8 +61,8 @@
 	Current Record
 }
 
-// Settler makes writes, and determines the outcome of those whose reply was lost.
-type Settler struct {
+// WriteResolver makes writes, and determines the outcome of those whose reply was lost.
+type WriteResolver struct {
 	Store Store
 	// Ops returns the ops that a record's value contains, in any order.
 	Ops func(value []byte) ([]Op, error)
@@ -83,14 +83,14 @@
 // This prevents a change from being applied twice, or from being reported as failed
 // although it took effect. Both happen if a lost reply is taken for a failure and the
 // change is applied again to the record's new value.
-func (s Settler) Write(ctx context.Context, w Write) (Settlement, error) {
+func (s WriteResolver) Write(ctx context.Context, w Write) (WriteResult, error) {
 	s = s.withDefaults()
 	revision, err := s.Store.CompareAndSwap(ctx, w.Key, w.Expect, w.Value)
 	if err == nil {
-		return Settlement{Outcome: Landed, Revision: revision}, nil
+		return WriteResult{Outcome: Landed, Revision: revision}, nil
 	}
 	if !errors.Is(err, ErrUnknown) && hasNoEffect(err) {
-		return Settlement{Outcome: NotLanded}, err
+		return WriteResult{Outcome: NotLanded}, err
 	}
 	return s.resolve(ctx, w, err)
 }
@@ -105,7 +105,7 @@
 	return false
 }
 
-func (s Settler) withDefaults() Settler {
+func (s WriteResolver) withDefaults() WriteResolver {
 	s.Backoff = s.Backoff.withDefaults()
 	if s.Sleep == nil {
 		s.Sleep = sleep
@@ -128,12 +128,12 @@
 }
 
 // resolve reads the record back until the outcome of the write is known.
-func (s Settler) resolve(ctx context.Context, w Write, cause error) (Settlement, error) {
+func (s WriteResolver) resolve(ctx context.Context, w Write, cause error) (WriteResult, error) {
 	var current Record
 	for attempt := 0; ; attempt++ {
 		err := s.Sleep(ctx, s.Backoff.Wait(attempt, s.Random()))
 		if err != nil || ctx.Err() != nil {
-			return Settlement{Current: current}, WithCause(ErrUnknown, cause)
+			return WriteResult{Current: current}, WithCause(ErrUnknown, cause)
 		}
 		record, err := s.Store.Get(ctx, w.Key)
 		if err != nil && !errors.Is(err, ErrNotFound) {
@@ -146,7 +146,7 @@
 		}
 		revision, err := s.resend(ctx, w)
 		if err == nil {
-			return Settlement{Outcome: Landed, Revision: revision}, nil
+			return WriteResult{Outcome: Landed, Revision: revision}, nil
 		}
 		cause = err
 	}
@@ -157,16 +157,16 @@
 // writes expect the same revision, so that at most one of them takes effect, and both
 // contain the op. If this one takes effect, the first one no longer can. A conflict means
 // that the record has changed; it is read back again.
-func (s Settler) resend(ctx context.Context, w Write) (Revision, error) {
+func (s WriteResolver) resend(ctx context.Context, w Write) (Revision, error) {
 	return s.Store.CompareAndSwap(ctx, w.Key, w.Expect, w.Value)
 }
 
 // decideByOps determines the outcome from the ops of a record that no longer has the expected
 // revision: exactly one write replaced that revision, and the record's ops show which.
-func (s Settler) decideByOps(w Write, record Record) (Settlement, error) {
+func (s WriteResolver) decideByOps(w Write, record Record) (WriteResult, error) {
 	ops, err := s.Ops(record.Value)
 	if err != nil {
-		return Settlement{Current: record}, WithCause(ErrUnknown, err)
+		return WriteResult{Current: record}, WithCause(ErrUnknown, err)
 	}
 	newest := Op{}
 	for _, op := range ops {
@@ -181,14 +181,14 @@
 	}
 	for _, op := range ops {
 		if op.Base == w.Expect {
-			return Settlement{Outcome: NotLanded, Current: record}, ErrConflict
+			return WriteResult{Outcome: NotLanded, Current: record}, ErrConflict
 		}
 	}
-	return Settlement{Current: record}, WithCause(ErrUnknown, errOpsEvicted)
+	return WriteResult{Current: record}, WithCause(ErrUnknown, errOpsEvicted)
 }
 
-func landedResult(record Record, newest bool) Settlement {
-	s := Settlement{Outcome: Landed, Current: record}
+func landedResult(record Record, newest bool) WriteResult {
+	s := WriteResult{Outcome: Landed, Current: record}
 	if newest {
 		s.Revision = record.Revision
 	}
--- a/kv/resolve_test.go
+++ b/kv/resolve_test.go
@@ -61,8 +61,8 @@
 	return kv.Write{Key: "counter", OpID: id, Expect: revision, Value: value}
 }
 
-func newResolver(s kv.Store) kv.Settler {
-	return kv.Settler{
+func newResolver(s kv.Store) kv.WriteResolver {
+	return kv.WriteResolver{
 		Store:  s,
 		Ops:    counterOps,
 		Sleep:  func(ctx context.Context, _ time.Duration) error { return ctx.Err() },
--- a/kv/txnstore.go
+++ b/kv/txnstore.go
@@ -25,13 +25,13 @@
 	Deletes    []string
 }
 
-// Ledger is a store with transactions and with leases that keys can be bound to. Its
+// TxnStore is a store with transactions and with leases that keys can be bound to. Its
 // errors are those of Store.
 //
 // If the store is restored during a call, the response proves nothing. A read then returns
 // ErrUnavailable, a watch ErrCompacted, a lease call ErrLeaseLost, and a transaction
 // ErrUnknown. A condition with a revision of an earlier era does not hold.
-type Ledger interface {
+type TxnStore interface {
 	// Era returns the latest era that a response has stated, and whether any has.
 	Era() (Era, bool)
 	Get(ctx context.Context, key string) (Record, error)
@@ -45,8 +45,8 @@
 	Commit(ctx context.Context, txn Txn) (Revision, []Record, error)
 	// NewLease returns a lease and its TTL, counted from when the store receives the last renewal.
 	NewLease(ctx context.Context, ttl time.Duration) (LeaseID, time.Duration, error)
-	// KeepLease renews the lease; ErrLeaseLost means that it has ended.
-	KeepLease(ctx context.Context, id LeaseID) error
+	// RenewLease renews the lease; ErrLeaseLost means that it has ended.
+	RenewLease(ctx context.Context, id LeaseID) error
 	// EndLease removes the lease and the keys that are bound to it.
 	EndLease(ctx context.Context, id LeaseID) error
 }
--- a/router/options.go
+++ b/router/options.go
@@ -25,7 +25,7 @@
 	Settings *config.Router
 	// Store and Directory reach the platform.
 	Store     kv.Store
-	Directory kv.Directory
+	Directory kv.VMLister
 	// Logger receives one key=value line for each event; nil discards them.
 	Logger *slog.Logger
 	// CallerTLS, OperatorTLS and PeerTLS take the place of the files that Settings.TLS
