--- a/config/model.go
+++ b/config/model.go
@@ -252,11 +252,11 @@
 	}
 	at, known := r.definedAt[p.Object]
 	if !known {
-		return Error{Text: text, Mend: p.Mend}
+		return Error{Text: text, Mend: p.Fix}
 	}
 	where := at.doc.find(join(at.path, p.Field))
 	if where.value.line == 0 {
 		where.value = where.key
 	}
-	return Error{File: at.doc.file, Line: where.value.line, Column: where.value.column, Text: text, Mend: p.Mend}
+	return Error{File: at.doc.file, Line: where.value.line, Column: where.value.column, Text: text, Mend: p.Fix}
 }
--- a/config/pieces.go
+++ b/config/pieces.go
@@ -86,7 +86,7 @@
 	first := 0
 	for i := range list {
 		last := i == len(list)-1
-		if last || endsPiece(i-first+1, p.model.Name(kind, i)) {
+		if last || endsPiece(i-first+1, p.model.ObjectName(kind, i)) {
 			addPiece(p, Piece{Kind: kind, Span: Span{From: first, To: i + 1}, Open: !last}, list[first:i+1])
 			first = i + 1
 		}
--- a/config/record.go
+++ b/config/record.go
@@ -84,8 +84,8 @@
 func Problems(problems []model.Problem) Errors {
 	errs := make(Errors, 0, len(problems))
 	for _, p := range problems {
-		mend := p.Mend
-		p.Mend = ""
+		mend := p.Fix
+		p.Fix = ""
 		errs = append(errs, Error{Text: p.Error(), Mend: mend})
 	}
 	return errs
--- a/confstore/pieces.go
+++ b/confstore/pieces.go
@@ -52,7 +52,7 @@
 	if before != nil {
 		for i := range before.parts {
 			old := &before.parts[i]
-			p.known[model.Ref{Kind: old.kind, Name: before.Model.Name(old.kind, old.span.From)}] = old
+			p.known[model.Ref{Kind: old.kind, Name: before.Model.ObjectName(old.kind, old.span.From)}] = old
 		}
 	}
 	pieces, err := config.EncodePieces(m, p.find)
@@ -83,7 +83,7 @@
 
 // at returns the part of the state before that begins with the piece's first object.
 func (p *packer) at(piece *config.Piece) *part {
-	return p.known[model.Ref{Kind: piece.Kind, Name: p.model.Name(piece.Kind, piece.Span.From)}]
+	return p.known[model.Ref{Kind: piece.Kind, Name: p.model.ObjectName(piece.Kind, piece.Span.From)}]
 }
 
 // find says whether the state before has a piece.
@@ -93,7 +93,7 @@
 	if old == nil || old.open != piece.Open || old.span.To-old.span.From != count {
 		return 0, false
 	}
-	return old.span.Size, model.SameRun(piece.Kind, p.before.Model, old.span.From, p.model, piece.Span.From, count)
+	return old.span.Size, model.SameObjects(piece.Kind, p.before.Model, old.span.From, p.model, piece.Span.From, count)
 }
 
 func packPiece(p *config.Piece, w *flate.Writer, body *bytes.Buffer) (string, error) {
--- a/core/model/change.go
+++ b/core/model/change.go
@@ -18,7 +18,7 @@
 		add := func(field, text string) {
 			problems = append(problems, Problem{
 				Object: Ref{KindService, s.Name}, Field: field, Text: text,
-				Mend: "create a service with another name and hand requests to it with to_service",
+				Fix: "create a service with another name and hand requests to it with to_service",
 			})
 		}
 		if s.Division != previous.Division {
--- a/core/model/difference.go
+++ b/core/model/difference.go
@@ -7,14 +7,14 @@
 
 // Difference holds the objects that differ between an old and a new model.
 type Difference struct {
-	// Services is the set of names of the services that differ themselves, or of which
+	// ChangedServices is the set of names of the services that differ themselves, or of which
 	// a target, key range or selector differs, in the old or in the new model.
-	Services map[string]bool
-	// Targets and Callers report whether any target or any caller differs.
-	Targets, Callers bool
-	// Gone reports whether the new model lacks a service of the old one. An object that
+	ChangedServices map[string]bool
+	// TargetsChanged and CallersChanged report whether any target or any caller differs.
+	TargetsChanged, CallersChanged bool
+	// ServiceRemoved reports whether the new model lacks a service of the old one. An object that
 	// refers to that service may have become invalid without having changed itself.
-	Gone bool
+	ServiceRemoved bool
 	// Before holds the objects of the old model that the new one lacks or has with other
 	// values; After holds those of the new model that the old one lacks or has with other
 	// values.
@@ -23,11 +23,11 @@
 
 // Compare returns the difference between two models, both of which must be sorted.
 func Compare(old, new *Model) *Difference {
-	d := &Difference{Services: map[string]bool{}}
+	d := &Difference{ChangedServices: map[string]bool{}}
 	b, a := &d.Before, &d.After
 	compare(old.Services, new.Services, serviceName, sameService, func(before, after *Service) {
 		recordChange(d, before, after, serviceName, &b.Services, &a.Services)
-		d.Gone = d.Gone || after == nil
+		d.ServiceRemoved = d.ServiceRemoved || after == nil
 	})
 	compare(old.Targets, new.Targets, targetName, sameTarget, func(before, after *Target) {
 		recordChange(d, before, after, func(t *Target) string { return t.Service }, &b.Targets, &a.Targets)
@@ -41,8 +41,8 @@
 	compare(old.Selectors, new.Selectors, selectorName, sameSelector, func(before, after *Selector) {
 		recordChange(d, before, after, func(s *Selector) string { return s.Service }, &b.Selectors, &a.Selectors)
 	})
-	d.Targets = len(b.Targets)+len(a.Targets) > 0
-	d.Callers = len(b.Callers)+len(a.Callers) > 0
+	d.TargetsChanged = len(b.Targets)+len(a.Targets) > 0
+	d.CallersChanged = len(b.Callers)+len(a.Callers) > 0
 	return d
 }
 
@@ -92,7 +92,7 @@
 	}
 	for _, object := range []*T{before, after} {
 		if object != nil && service != nil {
-			d.Services[service(object)] = true
+			d.ChangedServices[service(object)] = true
 		}
 	}
 }
@@ -150,9 +150,9 @@
 
 func sameLabels(a, b Labels) bool { return (a == nil) == (b == nil) && maps.Equal(a, b) }
 
-// SameRun reports whether the count objects of the kind that start at index aStart of a
+// SameObjects reports whether the count objects of the kind that start at index aStart of a
 // equal those that start at index bStart of b. Both models must have that many objects.
-func SameRun(kind ObjectKind, a *Model, aStart int, b *Model, bStart, count int) bool {
+func SameObjects(kind ObjectKind, a *Model, aStart int, b *Model, bStart, count int) bool {
 	switch kind {
 	case KindService:
 		return sameObjects(a.Services[aStart:aStart+count], b.Services[bStart:bStart+count], sameService)
--- a/core/model/lookup.go
+++ b/core/model/lookup.go
@@ -14,8 +14,8 @@
 	slices.SortStableFunc(m.Selectors, func(a, b Selector) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Name returns the name of the object of the kind at the given index.
-func (m *Model) Name(kind ObjectKind, index int) string {
+// ObjectName returns the name of the object of the kind at the given index.
+func (m *Model) ObjectName(kind ObjectKind, index int) string {
 	switch kind {
 	case KindService:
 		return m.Services[index].Name
--- a/core/model/problem.go
+++ b/core/model/problem.go
@@ -42,7 +42,7 @@
 	Others []Ref
 	// Text describes the problem and Mend how to fix it.
 	Text string
-	Mend string
+	Fix  string
 }
 
 // Error returns the object, the field, the description of the problem and how to fix it.
@@ -57,9 +57,9 @@
 		b.WriteString(": ")
 	}
 	b.WriteString(p.Text)
-	if p.Mend != "" {
+	if p.Fix != "" {
 		b.WriteString("; ")
-		b.WriteString(p.Mend)
+		b.WriteString(p.Fix)
 	}
 	return b.String()
 }
--- a/core/model/text.go
+++ b/core/model/text.go
@@ -54,8 +54,8 @@
 	return err
 }
 
-// Values returns the minimum and the maximum number of values that the operator takes.
-func (o Op) Values() (lower, upper int) {
+// ValueLimits returns the minimum and the maximum number of values that the operator takes.
+func (o Op) ValueLimits() (lower, upper int) {
 	switch o {
 	case Equals, NotEquals:
 		return 1, 1
--- a/core/model/validate.go
+++ b/core/model/validate.go
@@ -51,7 +51,7 @@
 }
 
 func (v *validator) addProblem(field, fix, format string, args ...any) {
-	v.problems = append(v.problems, Problem{Object: v.object, Field: field, Text: fmt.Sprintf(format, args...), Mend: fix})
+	v.problems = append(v.problems, Problem{Object: v.object, Field: field, Text: fmt.Sprintf(format, args...), Fix: fix})
 }
 
 func (v *validator) counts() {
@@ -168,7 +168,7 @@
 			v.addProblem(field, "use "+strings.Join(opNames, ", "), "the operator %d does not exist", r.Op)
 			continue
 		}
-		lower, upper := r.Op.Values()
+		lower, upper := r.Op.ValueLimits()
 		if len(r.Values) < lower || len(r.Values) > upper {
 			v.addProblem(field, fmt.Sprintf("give %s from %d to %d values", r.Op, lower, upper), "label %q has %d values", r.Label, len(r.Values))
 		}
--- a/core/selector/check.go
+++ b/core/selector/check.go
@@ -46,7 +46,7 @@
 		Field:  "from",
 		Others: []model.Ref{{Kind: model.KindRange, Name: a.Name}},
 		Text:   fmt.Sprintf("the keys from %q on also lie in range %q", b.From, a.Name),
-		Mend:   "make the ranges of a service disjoint",
+		Fix:    "make the ranges of a service disjoint",
 	}
 }
 
@@ -71,7 +71,7 @@
 func (x *index) checkSelector(s *model.Selector) []model.Problem {
 	var problems []model.Problem
 	add := func(field, text, mend string) {
-		problems = append(problems, model.Problem{Object: model.Ref{Kind: model.KindSelector, Name: s.Name}, Field: field, Text: text, Mend: mend})
+		problems = append(problems, model.Problem{Object: model.Ref{Kind: model.KindSelector, Name: s.Name}, Field: field, Text: text, Fix: mend})
 	}
 	const contradiction = "no labels can meet all requirements"
 	if !Satisfiable(s.Callers) {
@@ -117,7 +117,7 @@
 				Field:  "priority",
 				Others: []model.Ref{{Kind: model.KindSelector, Name: a.Name}},
 				Text:   fmt.Sprintf("selector %q has the same priority %d and matches some of the same requests", a.Name, a.Priority),
-				Mend:   "give them different priorities, or conditions that exclude each other",
+				Fix:    "give them different priorities, or conditions that exclude each other",
 			})
 		}
 	}
@@ -192,6 +192,6 @@
 		Field:  "to_service",
 		Others: others,
 		Text:   text,
-		Mend:   "remove one of the selectors with to_service",
+		Fix:    "remove one of the selectors with to_service",
 	})
 }
--- a/core/selector/recompile.go
+++ b/core/selector/recompile.go
@@ -11,21 +11,21 @@
 		return Compile(m)
 	}
 	d := model.Compare(old.model, m)
-	x := newIndex(m, d.Services)
-	if d.Gone || len(model.ValidateDifference(m, d)) > 0 || len(x.rangeProblems()) > 0 || len(x.selectorProblems()) > 0 {
+	x := newIndex(m, d.ChangedServices)
+	if d.ServiceRemoved || len(model.ValidateDifference(m, d)) > 0 || len(x.rangeProblems()) > 0 || len(x.selectorProblems()) > 0 {
 		return Compile(m)
 	}
 	c := &Compiled{model: m, services: make(map[string]*service, len(m.Services)), callers: old.callers, targets: old.targets}
-	if d.Callers {
+	if d.CallersChanged {
 		c.callers = callersOf(m)
 	}
-	if d.Targets {
+	if d.TargetsChanged {
 		c.targets = targetsByName(m)
 	}
 	for i := range m.Services {
 		name := m.Services[i].Name
 		c.services[name] = old.services[name]
-		if d.Services[name] {
+		if d.ChangedServices[name] {
 			c.services[name] = newService(x, &m.Services[i])
 		}
 	}
--- a/core/selector/satisfy_test.go
+++ b/core/selector/satisfy_test.go
@@ -31,7 +31,7 @@
 
 var drawRequirement = rapid.Custom(func(t *rapid.T) model.Requirement {
 	op := model.Op(rapid.IntRange(int(model.Equals), int(model.NotExists)).Draw(t, "op"))
-	least, most := op.Values()
+	least, most := op.ValueLimits()
 	return model.Requirement{
 		Label:  rapid.SampledFrom([]string{"a", "b"}).Draw(t, "label"),
 		Op:     op,
--- a/gateway/observe.go
+++ b/gateway/observe.go
@@ -19,7 +19,7 @@
 		code, ran = out.Fault.Kind.String(), out.Fault.Ran
 	}
 	if tel := o.g.opts.Telemetry; tel != nil {
-		tel.Request(out.Meta.Service, out.Meta.Caller, out.Meta.Class, code, ran, out.Duration)
+		tel.RecordRequest(out.Meta.Service, out.Meta.Caller, out.Meta.Class, code, ran, out.Duration)
 	}
 	o.g.log.Info("request", "id", out.Meta.ID, "route", out.Meta.Service, "method", out.Method, "status", out.Status,
 		"code", code, "ran", ran, "failed_attempts", len(out.Meta.Attempts), "took", out.Duration,
--- a/lab/measure/record.go
+++ b/lab/measure/record.go
@@ -24,7 +24,7 @@
 	var metrics, refused, metricAllocs, refusedAllocs []float64
 	for range recordRounds {
 		ns, allocs := timeCalls(func() {
-			tel.Request(serviceName, "counter", request.Interactive, telemetry.CodeOK, fault.RanFully, time.Millisecond)
+			tel.RecordRequest(serviceName, "counter", request.Interactive, telemetry.CodeOK, fault.RanFully, time.Millisecond)
 		})
 		metrics, metricAllocs = append(metrics, ns), append(metricAllocs, allocs)
 		ns, allocs = timeCalls(func() {
--- a/router/build.go
+++ b/router/build.go
@@ -22,7 +22,7 @@
 		TopCallers: s.Limits.MetricCallers,
 	})
 	r.admin = telemetry.NewAdmin(r.tel.Handler())
-	r.admin.AddReady("router", r.readiness)
+	r.admin.AddReadinessCheck("router", r.readiness)
 	r.journal = eventlog.New(eventlog.Config{Capacity: s.Limits.JournalEvents, Logger: r.log})
 }
 
--- a/router/forward.go
+++ b/router/forward.go
@@ -72,7 +72,7 @@
 		if !x.body.RewindInto(x.r) || !r.again(x, f) {
 			return f
 		}
-		r.tel.Retry(meta.Service, f.Kind.String())
+		r.tel.RecordRetry(meta.Service, f.Kind.String())
 	}
 }
 
--- a/router/observe.go
+++ b/router/observe.go
@@ -23,7 +23,7 @@
 	if out.Fault != nil {
 		code, ran = out.Fault.Kind.String(), out.Fault.Ran
 	}
-	o.r.tel.Request(out.Meta.Service, out.Meta.Caller, out.Meta.Class, code, ran, out.Duration)
+	o.r.tel.RecordRequest(out.Meta.Service, out.Meta.Caller, out.Meta.Class, code, ran, out.Duration)
 	if out.Fault == nil {
 		return
 	}
--- a/router/router.go
+++ b/router/router.go
@@ -252,7 +252,7 @@
 func (r *Router) DataCentre() string { return r.self.DataCentre }
 
 // Causes returns why the router is not ready; none where it is.
-func (r *Router) Causes() []string { return r.admin.Causes() }
+func (r *Router) Causes() []string { return r.admin.NotReadyCauses() }
 
 // Ready reports whether the router can serve: it has a configuration, and each
 // unit of keys has an owner with a grantor.
--- a/router/status.go
+++ b/router/status.go
@@ -16,7 +16,7 @@
 // Status implements operator.Backend.
 func (b *backend) Status(_ context.Context) (*operator.Status, error) {
 	v := b.r.view.Load()
-	causes := b.r.admin.Causes()
+	causes := b.r.admin.NotReadyCauses()
 	status := &operator.Status{
 		Router:     b.r.self.Name,
 		DataCentre: b.r.self.DataCentre,
--- a/telemetry/admin.go
+++ b/telemetry/admin.go
@@ -63,16 +63,16 @@
 // Handle adds a page that another package serves.
 func (a *Admin) Handle(pattern string, handler http.Handler) { a.mux.Handle(pattern, handler) }
 
-// AddLive adds a check to /livez. If it fails, the process should be restarted.
-func (a *Admin) AddLive(name string, check Check) {
+// AddLivenessCheck adds a check to /livez. If it fails, the process should be restarted.
+func (a *Admin) AddLivenessCheck(name string, check Check) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.live[name] = check
 }
 
-// AddReady adds a check to /readyz. If it fails, the load balancer should not send
+// AddReadinessCheck adds a check to /readyz. If it fails, the load balancer should not send
 // requests to this process.
-func (a *Admin) AddReady(name string, check Check) {
+func (a *Admin) AddReadinessCheck(name string, check Check) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ready[name] = check
@@ -85,8 +85,8 @@
 	a.status[name] = provider
 }
 
-// Causes returns the failed checks of /readyz, each as "name: cause", sorted by name.
-func (a *Admin) Causes() []string { return a.failedChecks(a.ready) }
+// NotReadyCauses returns the failed checks of /readyz, each as "name: cause", sorted by name.
+func (a *Admin) NotReadyCauses() []string { return a.failedChecks(a.ready) }
 
 // failedChecks runs the checks and returns those that fail. It does not hold the lock
 // meanwhile, so that a slow check does not block other calls.
--- a/telemetry/admin_test.go
+++ b/telemetry/admin_test.go
@@ -27,8 +27,8 @@
 	assert.Equal(t, body, "ok\n")
 
 	var noConfig, stopping error
-	a.AddReady("config", func() error { return noConfig })
-	a.AddReady("stop", func() error { return stopping })
+	a.AddReadinessCheck("config", func() error { return noConfig })
+	a.AddReadinessCheck("stop", func() error { return stopping })
 	noConfig, stopping = errors.New("no revision yet"), errors.New("stopping")
 	status, body = fetch(a, "/readyz")
 	assert.Equal(t, status, http.StatusServiceUnavailable)
@@ -39,7 +39,7 @@
 	noConfig, stopping = nil, nil
 	status, _ = fetch(a, "/readyz")
 	assert.Equal(t, status, http.StatusOK)
-	a.AddLive("loop", func() error { return errors.New("stuck") })
+	a.AddLivenessCheck("loop", func() error { return errors.New("stuck") })
 	status, body = fetch(a, "/livez")
 	assert.Equal(t, status, http.StatusServiceUnavailable)
 	assert.Equal(t, body, "loop: stuck\n")
--- a/telemetry/benchmark_test.go
+++ b/telemetry/benchmark_test.go
@@ -24,7 +24,7 @@
 	for s := range benchServices {
 		for c := range benchCallers {
 			for _, class := range classes {
-				m.Request(fmt.Sprintf("s%d", s), fmt.Sprintf("c%d", c), class, CodeOK, fault.RanFully, time.Millisecond)
+				m.RecordRequest(fmt.Sprintf("s%d", s), fmt.Sprintf("c%d", c), class, CodeOK, fault.RanFully, time.Millisecond)
 			}
 		}
 	}
--- a/telemetry/request.go
+++ b/telemetry/request.go
@@ -41,10 +41,10 @@
 	return names, index
 }
 
-// Request records one request and its latency as seen by the caller; code is CodeOK or the
+// RecordRequest records one request and its latency as seen by the caller; code is CodeOK or the
 // code of a fault. Once the combination of labels has been seen, it takes no lock and
 // allocates nothing.
-func (t *Telemetry) Request(service, caller string, class request.Class, code string, ran fault.Ran, d time.Duration) {
+func (t *Telemetry) RecordRequest(service, caller string, class request.Class, code string, ran fault.Ran, d time.Duration) {
 	s := t.service(service)
 	i := classIndex(class)
 	s.callerLatencies(t.cfg, caller)[i].RecordDuration(d)
@@ -52,8 +52,8 @@
 	t.totals.record(class, code, ran, d)
 }
 
-// Retry counts one retry of a request; code is the fault of the previous attempt.
-func (t *Telemetry) Retry(service, code string) {
+// RecordRetry counts one retry of a request; code is the fault of the previous attempt.
+func (t *Telemetry) RecordRetry(service, code string) {
 	s := t.service(service)
 	lazyCounter(&s.retries[codeIndex[code]], func() tally.Counter {
 		return s.scope.Tagged(map[string]string{"code": codeNames[codeIndex[code]]}).Counter("retries_total")
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -63,11 +63,11 @@
 func TestRequestIsCountedByItsLabels(t *testing.T) {
 	m := newForTest(Config{Tags: map[string]string{"router": "r1"}})
 	for range 3 {
-		m.Request("faq-viewer", "ramen-1", request.Interactive, CodeOK, fault.RanFully, 3*time.Millisecond)
+		m.RecordRequest("faq-viewer", "ramen-1", request.Interactive, CodeOK, fault.RanFully, 3*time.Millisecond)
 	}
-	m.Request("faq-viewer", "ramen-1", request.Batch, fault.QueueFull.String(), fault.NotRun, time.Second)
-	m.Request("faq-viewer", "ramen-1", request.Batch, "invented", fault.RanUnknown, time.Second)
-	m.Retry("faq-viewer", fault.TargetLost.String())
+	m.RecordRequest("faq-viewer", "ramen-1", request.Batch, fault.QueueFull.String(), fault.NotRun, time.Second)
+	m.RecordRequest("faq-viewer", "ramen-1", request.Batch, "invented", fault.RanUnknown, time.Second)
+	m.RecordRetry("faq-viewer", fault.TargetLost.String())
 	scraped := scrape(t, m)
 	assertHasLine(t, scraped, `tarragongw_requests_total{class="interactive",code="ok",ran="ran",router="r1",service="faq-viewer"} 3`)
 	assertHasLine(t, scraped, `tarragongw_requests_total{class="batch",code="queue_full",ran="not-run",router="r1",service="faq-viewer"} 1`)
@@ -99,8 +99,8 @@
 	const callers, services = 10, 4
 	m := newForTest(Config{TopCallers: callers, MaxServices: services, Sample: sampleAll})
 	for i := range 5000 {
-		m.Request("s0", fmt.Sprintf("caller-%d", i), request.Interactive, CodeOK, fault.RanFully, time.Millisecond)
-		m.Request(fmt.Sprintf("s%d", i%100), "a", request.Interactive, CodeOK, fault.RanFully, time.Millisecond)
+		m.RecordRequest("s0", fmt.Sprintf("caller-%d", i), request.Interactive, CodeOK, fault.RanFully, time.Millisecond)
+		m.RecordRequest(fmt.Sprintf("s%d", i%100), "a", request.Interactive, CodeOK, fault.RanFully, time.Millisecond)
 		m.StoreCall(fmt.Sprint(i), "ok", 0)
 	}
 	s, _ := m.services.get("s0")
@@ -122,9 +122,9 @@
 	m := newForTest(Config{TopCallers: callers, Sample: sampleAll})
 	defer m.Close()
 	for i := range 20000 {
-		m.Request("s", fmt.Sprintf("invented-%d", i), request.Interactive, CodeOK, fault.RanFully, 0)
+		m.RecordRequest("s", fmt.Sprintf("invented-%d", i), request.Interactive, CodeOK, fault.RanFully, 0)
 		if i >= invented && i%2 == 0 {
-			m.Request("s", fmt.Sprintf("busy-%d", i/2%callers), request.Interactive, CodeOK, fault.RanFully, 0)
+			m.RecordRequest("s", fmt.Sprintf("busy-%d", i/2%callers), request.Interactive, CodeOK, fault.RanFully, 0)
 		}
 	}
 	s, _ := m.services.get("s")
@@ -140,8 +140,8 @@
 
 func TestInvalidLabelValuesAreSanitized(t *testing.T) {
 	m := newForTest(Config{})
-	m.Request("s", "", request.Interactive, CodeOK, fault.RanFully, 0)
-	m.Request("s", "a\xff\"b\n"+strings.Repeat("x", 1000), request.Class(9), CodeOK, fault.Ran(9), 0)
+	m.RecordRequest("s", "", request.Interactive, CodeOK, fault.RanFully, 0)
+	m.RecordRequest("s", "a\xff\"b\n"+strings.Repeat("x", 1000), request.Class(9), CodeOK, fault.Ran(9), 0)
 	scraped := scrape(t, m)
 	assertHasLine(t, scraped, `tarragongw_request_seconds_count{caller="none",class="interactive",service="s"} 1`)
 	assert.Assert(t, strings.Contains(scraped, `caller="a__b_`+strings.Repeat("x", maxLabelLength-5)+`"`), matchingLines(scraped, "_count"))
@@ -155,7 +155,7 @@
 		go func() {
 			defer workers.Done()
 			for i := range 1000 {
-				m.Request("s", fmt.Sprintf("c%d", (w+i)%5), request.Batch, CodeOK, fault.RanFully, 0)
+				m.RecordRequest("s", fmt.Sprintf("c%d", (w+i)%5), request.Batch, CodeOK, fault.RanFully, 0)
 			}
 		}()
 	}
@@ -168,7 +168,7 @@
 	defer m.Close()
 	b.ReportAllocs()
 	for b.Loop() {
-		m.Request("faq-viewer", "ramen-1", request.Interactive, CodeOK, fault.RanFully, 3*time.Millisecond)
+		m.RecordRequest("faq-viewer", "ramen-1", request.Interactive, CodeOK, fault.RanFully, 3*time.Millisecond)
 	}
 }
 
@@ -178,7 +178,7 @@
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			m.Request("faq-viewer", "ramen-1", request.Interactive, CodeOK, fault.RanFully, 3*time.Millisecond)
+			m.RecordRequest("faq-viewer", "ramen-1", request.Interactive, CodeOK, fault.RanFully, 3*time.Millisecond)
 		}
 	})
 }
@@ -192,6 +192,6 @@
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		m.Request("faq-viewer", names[i%len(names)], request.Interactive, CodeOK, fault.RanFully, 3*time.Millisecond)
+		m.RecordRequest("faq-viewer", names[i%len(names)], request.Interactive, CodeOK, fault.RanFully, 3*time.Millisecond)
 	}
 }
