--- a/config/decoder.go
+++ b/config/decoder.go
@@ -46,7 +46,7 @@
 }
 
 func (d *decoder) add(at position, mend, format string, args ...any) {
-	d.doc.errors = append(d.doc.errors, Error{File: d.doc.file, Line: at.line, Column: at.column, Text: fmt.Sprintf(format, args...), Mend: mend})
+	d.doc.errors = append(d.doc.errors, Error{File: d.doc.file, Line: at.line, Column: at.column, Text: fmt.Sprintf(format, args...), Fix: mend})
 }
 
 // decodeTable decodes a table's fields into the struct that into points to.
--- a/config/document.go
+++ b/config/document.go
@@ -43,7 +43,7 @@
 func parse(file string, data []byte) *document {
 	d := &document{file: file, places: make(map[string]place)}
 	if len(data) > MaxFileSize {
-		d.errors = append(d.errors, Error{File: file, Text: fmt.Sprintf("the file has %d bytes", len(data)), Mend: fmt.Sprintf("keep it to %d bytes", MaxFileSize)})
+		d.errors = append(d.errors, Error{File: file, Text: fmt.Sprintf("the file has %d bytes", len(data)), Fix: fmt.Sprintf("keep it to %d bytes", MaxFileSize)})
 		d.incomplete = true
 		return d
 	}
@@ -64,7 +64,7 @@
 			return data
 		}
 		place := syntaxPosition(err)
-		d.errors = append(d.errors, Error{File: d.file, Line: place.line, Column: place.column, Text: syntaxText(err), Mend: "correct the TOML"})
+		d.errors = append(d.errors, Error{File: d.file, Line: place.line, Column: place.column, Text: syntaxText(err), Fix: "correct the TOML"})
 		rest := blankLine(data, place.line)
 		if rest == nil {
 			break
--- a/config/errors.go
+++ b/config/errors.go
@@ -19,7 +19,7 @@
 	Column int
 	// Text describes the error and Mend how to correct it.
 	Text string
-	Mend string
+	Fix  string
 }
 
 // Error implements error: file:line:column: text; mend.
@@ -38,8 +38,8 @@
 		b.WriteString(" ")
 	}
 	b.WriteString(e.Text)
-	if e.Mend != "" {
-		b.WriteString("; " + e.Mend)
+	if e.Fix != "" {
+		b.WriteString("; " + e.Fix)
 	}
 	return b.String()
 }
--- a/config/model.go
+++ b/config/model.go
@@ -40,7 +40,7 @@
 	for _, name := range names {
 		data, err := fs.ReadFile(fsys, name)
 		if err != nil {
-			return nil, Errors{{File: name, Text: err.Error(), Mend: "make the file readable"}}
+			return nil, Errors{{File: name, Text: err.Error(), Fix: "make the file readable"}}
 		}
 		files = append(files, File{name, data})
 	}
@@ -48,13 +48,13 @@
 }
 
 func emptyFolderError(folder string) Errors {
-	return Errors{{File: folder, Text: "the folder holds no file *.toml", Mend: "name a folder of TOML files"}}
+	return Errors{{File: folder, Text: "the folder holds no file *.toml", Fix: "name a folder of TOML files"}}
 }
 
 func readFiles(path string) ([]File, error) {
 	info, err := os.Stat(path)
 	if err != nil {
-		return nil, Errors{{Text: err.Error(), Mend: "name a TOML file or a folder of them"}}
+		return nil, Errors{{Text: err.Error(), Fix: "name a TOML file or a folder of them"}}
 	}
 	names := []string{path}
 	if info.IsDir() {
@@ -68,7 +68,7 @@
 	for _, name := range names {
 		data, err := os.ReadFile(name)
 		if err != nil {
-			errs = append(errs, Error{File: name, Text: err.Error(), Mend: "make the file readable"})
+			errs = append(errs, Error{File: name, Text: err.Error(), Fix: "make the file readable"})
 		}
 		files = append(files, File{name, data})
 	}
@@ -252,11 +252,11 @@
 	}
 	at, known := r.definedAt[p.Object]
 	if !known {
-		return Error{Text: text, Mend: p.Fix}
+		return Error{Text: text, Fix: p.Fix}
 	}
 	where := at.doc.find(join(at.path, p.Field))
 	if where.value.line == 0 {
 		where.value = where.key
 	}
-	return Error{File: at.doc.file, Line: where.value.line, Column: where.value.column, Text: text, Mend: p.Fix}
+	return Error{File: at.doc.file, Line: where.value.line, Column: where.value.column, Text: text, Fix: p.Fix}
 }
--- a/config/pieces.go
+++ b/config/pieces.go
@@ -30,8 +30,8 @@
 	Kind model.ObjectKind
 	// Span is the range of objects in the piece.
 	Span Span
-	// Open means that the text ends with a comma because more objects of the kind follow.
-	Open bool
+	// TrailingComma means that the text ends with a comma because more objects of the kind follow.
+	TrailingComma bool
 	// Text is nil if the piece was known.
 	Text []byte
 }
@@ -87,7 +87,7 @@
 	for i := range list {
 		last := i == len(list)-1
 		if last || endsPiece(i-first+1, p.model.ObjectName(kind, i)) {
-			addPiece(p, Piece{Kind: kind, Span: Span{From: first, To: i + 1}, Open: !last}, list[first:i+1])
+			addPiece(p, Piece{Kind: kind, Span: Span{From: first, To: i + 1}, TrailingComma: !last}, list[first:i+1])
 			first = i + 1
 		}
 	}
@@ -109,7 +109,7 @@
 			return
 		}
 		piece.Text = append(piece.Text, object...)
-		if piece.Open || i < len(objects)-1 {
+		if piece.TrailingComma || i < len(objects)-1 {
 			piece.Text = append(piece.Text, ',')
 		}
 		piece.Span.Size = len(piece.Text)
@@ -177,9 +177,9 @@
 	return Span{from, to, len(p.Text)}, err
 }
 
-// Take adds a piece from which old was built, without decoding it. at is its span in old;
+// Reuse adds a piece from which old was built, without decoding it. at is its span in old;
 // open means that its text ends with a comma.
-func (a *Assembly) Take(old *model.Model, kind model.ObjectKind, at Span, open bool) (Span, error) {
+func (a *Assembly) Reuse(old *model.Model, kind model.ObjectKind, at Span, open bool) (Span, error) {
 	if err := a.checkNext(kind, at.Size); err != nil {
 		return Span{}, err
 	}
--- a/config/record.go
+++ b/config/record.go
@@ -62,7 +62,7 @@
 	}
 	r.Model.Sort()
 	if problems := model.Validate(r.Model); len(problems) > 0 {
-		return nil, Problems(problems)
+		return nil, ErrorsFromProblems(problems)
 	}
 	return r.Model, nil
 }
@@ -80,13 +80,13 @@
 	return nil
 }
 
-// Problems converts the problems of a model that was not read from a file to Errors.
-func Problems(problems []model.Problem) Errors {
+// ErrorsFromProblems converts the problems of a model that was not read from a file to Errors.
+func ErrorsFromProblems(problems []model.Problem) Errors {
 	errs := make(Errors, 0, len(problems))
 	for _, p := range problems {
 		mend := p.Fix
 		p.Fix = ""
-		errs = append(errs, Error{Text: p.Error(), Mend: mend})
+		errs = append(errs, Error{Text: p.Error(), Fix: mend})
 	}
 	return errs
 }
--- a/config/router.go
+++ b/config/router.go
@@ -109,7 +109,7 @@
 func LoadRouter(path string) (*Router, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, Errors{{Text: err.Error(), Mend: "name a readable TOML file"}}
+		return nil, Errors{{Text: err.Error(), Fix: "name a readable TOML file"}}
 	}
 	return ParseRouter(File{path, data})
 }
--- a/confstore/editor.go
+++ b/confstore/editor.go
@@ -203,10 +203,10 @@
 	next.Revision = present.Revision() + 1
 	compiled, problems := selector.Recompile(present.compiled, &next)
 	if len(problems) > 0 {
-		return nil, config.Problems(problems)
+		return nil, config.ErrorsFromProblems(problems)
 	}
 	if problems := model.ValidateChange(present.Model, &next); len(problems) > 0 {
-		return nil, config.Problems(problems)
+		return nil, config.ErrorsFromProblems(problems)
 	}
 	state := &State{Model: &next, Author: author, Time: e.now(), Stored: present.Stored, ops: present.ops, compiled: compiled}
 	return &Result{State: state, Changes: config.Diff(present.Model, &next)}, nil
--- a/confstore/pieces.go
+++ b/confstore/pieces.go
@@ -75,7 +75,7 @@
 		}
 		out.WriteString(packed)
 		if piece.Kind != "" {
-			parts = append(parts, part{packed, piece.Kind, piece.Span, piece.Open})
+			parts = append(parts, part{packed, piece.Kind, piece.Span, piece.TrailingComma})
 		}
 	}
 	return out.Bytes(), parts, nil
@@ -90,7 +90,7 @@
 func (p *packer) find(piece *config.Piece) (size int, known bool) {
 	old := p.at(piece)
 	count := piece.Span.To - piece.Span.From
-	if old == nil || old.open != piece.Open || old.span.To-old.span.From != count {
+	if old == nil || old.open != piece.TrailingComma || old.span.To-old.span.From != count {
 		return 0, false
 	}
 	return old.span.Size, model.SameObjects(piece.Kind, p.before.Model, old.span.From, p.model, piece.Span.From, count)
@@ -192,7 +192,7 @@
 // addMember adds a piece of the model, from the state before where old says it has it.
 func addMember(a *config.Assembly, before *State, old *part, packed []byte, kind model.ObjectKind) (part, error) {
 	if old != nil {
-		span, err := a.Take(before.Model, kind, old.span, old.open)
+		span, err := a.Reuse(before.Model, kind, old.span, old.open)
 		return part{old.packed, kind, span, old.open}, err
 	}
 	text, err := unpack(packed)
--- a/router/view.go
+++ b/router/view.go
@@ -39,7 +39,7 @@
 func newView(m *model.Model, old *view, now time.Time) (*view, error) {
 	compiled, problems := selector.Recompile(old.tables(), m)
 	if len(problems) > 0 {
-		return nil, config.Problems(problems)
+		return nil, config.ErrorsFromProblems(problems)
 	}
 	if err := checkTargets(m); err != nil {
 		return nil, err
