--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -97,9 +97,9 @@
 	Shed
 	// Unknown means that the target may still be working on the item.
 	Unknown
-	// Awaiting means that the target may still be working on the item, and that most of
+	// UnknownSlowCaller means that the target may still be working on the item, and that most of
 	// the time was spent waiting for the caller, so it says nothing about the target.
-	Awaiting
+	UnknownSlowCaller
 	// NotSent means that the slot was returned unused.
 	NotSent
 )
--- a/core/admission/gate.go
+++ b/core/admission/gate.go
@@ -165,7 +165,7 @@
 	case Unknown:
 		g.service[class].addAtLeast(elapsed)
 		g.hold(now, class)
-	case Awaiting:
+	case UnknownSlowCaller:
 		// If this counted as service time, a few bodies sent very slowly would make every
 		// deadline look unmeetable, and no request could wait for the slots they occupy.
 		g.hold(now, class)
--- a/core/admission/pace.go
+++ b/core/admission/pace.go
@@ -60,17 +60,17 @@
 	slotsPerCut = 8
 )
 
-// Laggards decides which late bodies are cut off because other requests wait for their
+// SlowBodyPolicy decides which late bodies are cut off because other requests wait for their
 // slots. The zero value is ready to use.
-type Laggards struct {
+type SlowBodyPolicy struct {
 	// shortChecks counts the consecutive checks that found a shortage.
 	shortChecks int
 }
 
-// Look checks the state of a target's slots and by how much each body is late. It returns
+// Choose checks the state of a target's slots and by how much each body is late. It returns
 // the indices of the bodies to cut off, the latest first. It returns none while nobody
 // waits, so that a short-lived queue does not cut off any upload.
-func (l *Laggards) Look(s Stats, behind []time.Duration) []int {
+func (l *SlowBodyPolicy) Choose(s Stats, behind []time.Duration) []int {
 	shortage := s.Shortage()
 	if shortage == 0 {
 		l.shortChecks = 0
--- a/core/admission/pace_test.go
+++ b/core/admission/pace_test.go
@@ -30,7 +30,7 @@
 	free := Stats{Limit: 3, InFlight: 2, QueuedBatch: 1}
 	assert.Equal(t, free.Shortage(), 0, "a slot is free")
 
-	var laggards Laggards
+	var laggards SlowBodyPolicy
 	none, one, all := []time.Duration{steady}, []time.Duration{steady, trickle}, []time.Duration{1, 3, 2}
 	for _, step := range []struct {
 		stats  Stats
@@ -47,7 +47,7 @@
 		{saturated, all, 2, []int{1}},
 	} {
 		for check := range step.checks {
-			got := laggards.Look(step.stats, step.behind)
+			got := laggards.Choose(step.stats, step.behind)
 			assert.Equal(t, fmt.Sprint(got), fmt.Sprint(step.cut), "check %d", check)
 		}
 	}
--- a/core/shed/shed.go
+++ b/core/shed/shed.go
@@ -21,18 +21,18 @@
 	Batch
 	// Interactive is work that a person waits for.
 	Interactive
-	// Ranks is the number of ranks.
-	Ranks
+	// RankCount is the number of ranks.
+	RankCount
 )
 
 // Offered counts the offered requests by rank.
-type Offered [Ranks]uint64
+type Offered [RankCount]uint64
 
 // Shares is the fraction of each rank to refuse, from 0 to 1.
-type Shares [Ranks]float64
+type Shares [RankCount]float64
 
-// DefaultTarget is the default of the delay up to which nothing is refused.
-const DefaultTarget = 10 * time.Millisecond
+// DefaultTargetDelay is the default of the delay up to which nothing is refused.
+const DefaultTargetDelay = 10 * time.Millisecond
 
 const (
 	// drainTime is the time within which a queue with a delay above the target delay
@@ -68,7 +68,7 @@
 // New returns a controller that keeps the delay near targetDelay; zero means DefaultTarget.
 func New(targetDelay time.Duration) *Controller {
 	if targetDelay <= 0 {
-		targetDelay = DefaultTarget
+		targetDelay = DefaultTargetDelay
 	}
 	return &Controller{targetDelay: targetDelay, admitted: 1}
 }
--- a/lab/policy/saturation.go
+++ b/lab/policy/saturation.go
@@ -57,8 +57,8 @@
 	sim       *sim
 	processor processor
 	shedder   shedder
-	offered   [shed.Ranks]int
-	inTime    [shed.Ranks]int
+	offered   [shed.RankCount]int
+	inTime    [shed.RankCount]int
 	latencies []time.Duration
 	refusals  []time.Duration
 	// settled is when latency was last above patience, after the load fell.
@@ -187,7 +187,7 @@
 
 func (p *pieShedder) arrived(delay time.Duration) {
 	const alpha, beta = 0.125, 1.25 // per second of delay, at the RFC's interval of 15 ms
-	change := alpha*(delay-shed.DefaultTarget).Seconds() + beta*(delay-p.last).Seconds()
+	change := alpha*(delay-shed.DefaultTargetDelay).Seconds() + beta*(delay-p.last).Seconds()
 	p.last = delay
 	p.probability = min(max(p.probability+change, 0), 0.99)
 }
@@ -217,7 +217,7 @@
 
 func (w *windowShedder) ended(took time.Duration) {
 	w.inFlight--
-	const allowed = targetTime + 2*shed.DefaultTarget
+	const allowed = targetTime + 2*shed.DefaultTargetDelay
 	if took <= allowed {
 		w.limit += 1 / w.limit
 		return
--- a/router/owndelay.go
+++ b/router/owndelay.go
@@ -38,8 +38,8 @@
 
 	// What follows the request path reads.
 	refusing atomic.Bool
-	shares   [shed.Ranks]atomic.Uint64
-	offered  [shed.Ranks]atomic.Uint64
+	shares   [shed.RankCount]atomic.Uint64
+	offered  [shed.RankCount]atomic.Uint64
 	// wait is the advised one, in nanoseconds.
 	wait atomic.Int64
 
--- a/router/pacing.go
+++ b/router/pacing.go
@@ -29,7 +29,7 @@
 	// bodies counts those under way, so that a target without any costs nothing.
 	bodies atomic.Int64
 	// rule belongs to the duty of health.
-	rule admission.Laggards
+	rule admission.SlowBodyPolicy
 }
 
 func newPacing(rate int64, timeout time.Duration) pacing {
@@ -134,12 +134,12 @@
 // cutLaggards cuts bodies that are late while others wait for their slots.
 func (u *upstream) cutLaggards(now time.Time) {
 	if u.pacing.bodies.Load() == 0 {
-		u.pacing.rule = admission.Laggards{}
+		u.pacing.rule = admission.SlowBodyPolicy{}
 		return
 	}
 	stats := u.gate.Stats()
 	u.flights.cutLate(now, u.pacing.slow(), func(behind []time.Duration) []int {
-		return u.pacing.rule.Look(stats, behind)
+		return u.pacing.rule.Choose(stats, behind)
 	})
 }
 
--- a/router/serve.go
+++ b/router/serve.go
@@ -70,7 +70,7 @@
 	if f != nil {
 		outcome = outcomeOf(f)
 		if outcome == admission.Unknown && job.flight.body.heldUp(time.Since(began)) {
-			outcome = admission.Awaiting
+			outcome = admission.UnknownSlowCaller
 		}
 		u.direct.failed(f)
 		return f
