--- a/core/ownership/assign.go
+++ b/core/ownership/assign.go
@@ -36,8 +36,8 @@
 // see the same records decide the same.
 func Assign(units []Placed, candidates []Candidate, budget int) []Move {
 	p := newPlacement(units, candidates)
-	moves := p.settle(units)
-	return append(moves, p.even(units, budget)...)
+	moves := p.placeUnowned(units)
+	return append(moves, p.rebalance(units, budget)...)
 }
 
 type placement struct {
@@ -81,8 +81,8 @@
 	return false
 }
 
-// settle places the units without a valid owner.
-func (p *placement) settle(units []Placed) []Move {
+// placeUnowned places the units without a valid owner.
+func (p *placement) placeUnowned(units []Placed) []Move {
 	var moves []Move
 	for i, u := range units {
 		if p.owner[i] >= 0 {
@@ -110,9 +110,9 @@
 	return best
 }
 
-// even moves one unit at a time from the most loaded target to the one with most
+// rebalance moves one unit at a time from the most loaded target to the one with most
 // room, while the receiver ends less loaded than the giver was.
-func (p *placement) even(units []Placed, budget int) []Move {
+func (p *placement) rebalance(units []Placed, budget int) []Move {
 	var moves []Move
 	fixed := make([]bool, len(p.candidates))
 	for len(moves) < budget {
--- a/core/ownership/assign_test.go
+++ b/core/ownership/assign_test.go
@@ -18,7 +18,7 @@
 	return out
 }
 
-func settled(units int, cs []Candidate) []Placed {
+func balancedUnits(units int, cs []Candidate) []Placed {
 	out := make([]Placed, units)
 	for i := range out {
 		out[i].Unit.Slot = uint32(i)
@@ -42,7 +42,7 @@
 func TestAssignMovesCloseToLeast(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 16).Draw(t, "targets")
-		units := settled(rapid.IntRange(n*20, 2048).Draw(t, "units"), candidates(n))
+		units := balancedUnits(rapid.IntRange(n*20, 2048).Draw(t, "units"), candidates(n))
 		lost := rapid.IntRange(0, n-1).Draw(t, "lost")
 		left := append(append([]Candidate{}, candidates(n)[:lost]...), candidates(n)[lost+1:]...)
 		for _, m := range Assign(units, left, 0) {
@@ -60,7 +60,7 @@
 
 func TestAssignHonoursWeightEligibilityAndBudget(t *testing.T) {
 	cs := []Candidate{{"a", 1}, {"b", 3}}
-	units := settled(400, cs)
+	units := balancedUnits(400, cs)
 	count := map[string]int{}
 	for _, u := range units {
 		count[u.Owner]++
@@ -73,5 +73,5 @@
 	assert.Equal(t, len(moves), 1)
 	assert.Equal(t, moves[0].To, "a")
 	assert.Equal(t, len(Assign(units, candidates(2), 7)), 400)
-	assert.Equal(t, len(Assign(settled(100, candidates(1)), candidates(2), 7)), 7)
+	assert.Equal(t, len(Assign(balancedUnits(100, candidates(1)), candidates(2), 7)), 7)
 }
--- a/core/ownership/bench_test.go
+++ b/core/ownership/bench_test.go
@@ -11,13 +11,13 @@
 func BenchmarkStepAtRest(b *testing.B) {
 	for _, size := range []struct{ routers, targets int }{{4, 12}, {30, 92}, {400, 1233}} {
 		b.Run(fmt.Sprintf("%d routers, %d targets", size.routers, size.targets), func(b *testing.B) {
-			k, now := resting(size.routers, size.targets)
+			k, now := keeperAtRest(size.routers, size.targets)
 			b.ReportAllocs()
 			for b.Loop() {
 				now += k.cfg.RenewEvery / 2
 				for _, a := range k.Step(now, Tick{}) {
 					if r, ok := a.(Read); ok {
-						k.Step(now, StoreRead{Key: r.Key, SentAt: r.SentAt, Outcome: Landed, Revision: k.byKey[r.Key].revision})
+						k.Step(now, StoreRead{Key: r.Key, SentAt: r.SentAt, Outcome: Landed, Revision: k.dutyByKey[r.Key].revision})
 					}
 				}
 				k.Wake(now)
@@ -26,9 +26,9 @@
 	}
 }
 
-// resting returns the keeper of one of the routers, all of whose targets have a live
+// keeperAtRest returns the keeper of one of the routers, all of whose targets have a live
 // grantor.
-func resting(routers, targets int) (*Keeper, time.Duration) {
+func keeperAtRest(routers, targets int) (*Keeper, time.Duration) {
 	live := make([]Router, routers)
 	for i := range live {
 		live[i] = Router{Name: fmt.Sprintf("router-%03d", i), Incarnation: 1}
--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -9,11 +9,11 @@
 	if d.phase == claiming && k.actWithoutStore(now, d) {
 		return
 	}
-	if now < d.claimAfter || k.writes[key] != nil || !d.seen || len(k.live) == 0 {
+	if now < d.nextClaimAt || k.writes[key] != nil || !d.recordRead || len(k.live) == 0 {
 		return
 	}
 	if k.stopping {
-		k.retryHandOver(now, d)
+		k.retryHandOverAtStop(now, d)
 		return
 	}
 	if d.record == nil {
@@ -23,15 +23,15 @@
 		return
 	}
 	if d.record.Router == k.cfg.Self {
-		if d.raise {
+		if d.termRaisePending {
 			k.claim(now, d)
 			return
 		}
 		k.takeHandOver(now, d)
 		return
 	}
-	if k.grantorElsewhere(d) {
-		k.considerElsewhere(now, d)
+	if k.grantorIsRemote(d) {
+		k.considerRemoteClaim(now, d)
 		return
 	}
 	if k.grantorLive(d) {
@@ -39,7 +39,7 @@
 		k.abandonClaim(d)
 		return
 	}
-	if !k.unmet(now, d.record.Router) && !k.justSuperseded(now, d) && k.mayClaim(d) {
+	if !k.notYetSeen(now, d.record.Router) && !k.justSuperseded(now, d) && k.mayClaim(d) {
 		k.claim(now, d)
 		return
 	}
@@ -51,24 +51,24 @@
 // routers that reach the store but not each other take the duty from each other with
 // each renewal, for as long as they are apart.
 func (k *Keeper) justSuperseded(now time.Duration, d *duty) bool {
-	return d.supersededAt != 0 && now-d.supersededAt < k.cfg.HandBackAfter && !k.reborn(d.record.Router)
+	return d.supersededAt != 0 && now-d.supersededAt < k.cfg.HandBackAfter && !k.hasRestarted(d.record.Router)
 }
 
-// unmet reports whether the router may live although this one, which has just started,
+// notYetSeen reports whether the router may live although this one, which has just started,
 // has not met it. Without this a router that starts would take duties from grantors
 // that live, or report them lost.
-func (k *Keeper) unmet(now time.Duration, r Router) bool {
-	_, met := k.seen[r.Name]
-	return !met && now-k.liveAt[k.cfg.Self.Name] < k.cfg.LostAfter
+func (k *Keeper) notYetSeen(now time.Duration, r Router) bool {
+	_, met := k.lastSeen[r.Name]
+	return !met && now-k.liveSince[k.cfg.Self.Name] < k.cfg.LostAfter
 }
 
-// retryHandOver repeats a hand-over at a planned stop whose write failed.
-func (k *Keeper) retryHandOver(now time.Duration, d *duty) {
+// retryHandOverAtStop repeats a hand-over at a planned stop whose write failed.
+func (k *Keeper) retryHandOverAtStop(now time.Duration, d *duty) {
 	if d.record == nil || d.record.Router != k.cfg.Self {
 		return
 	}
-	if to, ok := k.heir(now, d); ok {
-		d.claimAfter = now + k.cfg.RenewEvery
+	if to, ok := k.handOverReceiver(now, d); ok {
+		d.nextClaimAt = now + k.cfg.RenewEvery
 		k.handOver(now, d, to)
 	}
 }
@@ -76,8 +76,8 @@
 // abandonClaim goes back to promising when the grantor turned out to live before
 // this router acted.
 func (k *Keeper) abandonClaim(d *duty) {
-	if d.phase == claiming && !d.storeless {
-		d.phase, d.begunAt = idle, 0
+	if d.phase == claiming && !d.withoutStore {
+		d.phase, d.promisesStoppedAt = idle, 0
 	}
 }
 
@@ -107,18 +107,18 @@
 	if ok && k.isLive(s) || !k.ranksFirst(d) {
 		return false
 	}
-	if d.spec.Grants.ChecksTokens || d.record.YieldAfter > 0 || d.deadConfirmed || k.bothReborn(d) {
+	if d.spec.Grants.ChecksTokens || d.record.YieldAfter > 0 || d.deadConfirmed || k.bothRestarted(d) {
 		return true
 	}
 	d.report(k, Unprovable)
 	return false
 }
 
-// bothReborn reports whether later lives prove the end of the recorded grantor and
+// bothRestarted reports whether later lives prove the end of the recorded grantor and
 // of its first successor.
-func (k *Keeper) bothReborn(d *duty) bool {
+func (k *Keeper) bothRestarted(d *duty) bool {
 	s, ok := d.firstSuccessor()
-	return k.reborn(d.record.Router) && (!ok || k.reborn(s))
+	return k.hasRestarted(d.record.Router) && (!ok || k.hasRestarted(s))
 }
 
 // oldAuthority is how long from now the authority of others may have effects, once
@@ -132,23 +132,23 @@
 	switch {
 	case k.cfg.omit == omitWaitOut || d.record == nil:
 		return 0
-	case d.record.Router == k.cfg.Self && !d.proved:
+	case d.record.Router == k.cfg.Self && !d.successorStopped:
 		return never
-	case d.record.Unproved && k.outlasting(d) == never && d.deadConfirmed:
+	case d.record.Unproved && k.waitForAllGrantors(d) == never && d.deadConfirmed:
 		return k.cfg.waitOut() // the operators' word is the only remedy here
 	case d.record.Unproved && k.cfg.omit != omitUnproved:
-		return k.outlasting(d)
-	case d.record.Router == k.cfg.Self || k.bothReborn(d):
+		return k.waitForAllGrantors(d)
+	case d.record.Router == k.cfg.Self || k.bothRestarted(d):
 		return k.cfg.OrderBound + k.cfg.slack()
 	case k.isFirstSuccessor(d) || d.deadConfirmed:
 		return k.cfg.waitOut()
 	default:
-		return k.outlasting(d)
+		return k.waitForAllGrantors(d)
 	}
 }
 
-// outlasting is the wait that outlasts all grantors that there have been.
-func (k *Keeper) outlasting(d *duty) time.Duration {
+// waitForAllGrantors is the wait that outlasts all grantors that there have been.
+func (k *Keeper) waitForAllGrantors(d *duty) time.Duration {
 	y := d.recordedYield(k)
 	switch {
 	case y == 0:
@@ -164,16 +164,16 @@
 // on it promises nothing to the old one.
 func (k *Keeper) claim(now time.Duration, d *duty) {
 	if d.phase == idle {
-		d.phase, d.begunAt = claiming, now
+		d.phase, d.promisesStoppedAt = claiming, now
 	}
-	d.claimAfter = now + k.cfg.RenewEvery
-	d.claimWait = k.oldAuthority(d)
+	d.nextClaimAt = now + k.cfg.RenewEvery
+	d.oldAuthorityWait = k.oldAuthority(d)
 	op := k.nextOp()
 	next := &GrantorRecord{Target: d.spec.Name, Term: TermPlaces, Router: k.cfg.Self,
-		Successors: k.successors(now, d, k.cfg.Self), DataCentre: k.elsewhereOf(d), YieldAfter: d.wantedYield(), Ops: Ops{op}}
+		Successors: k.successors(now, d, k.cfg.Self), DataCentre: k.dataCentreForRecord(d), YieldAfter: d.wantedYield(), Ops: Ops{op}}
 	if d.record != nil {
 		next.Term, next.Ops = nextEpoch(d.record.Term), d.record.Ops.with(op)
-		next.Unproved = d.record.Unproved || d.claimWait > k.cfg.waitOut()
+		next.Unproved = d.record.Unproved || d.oldAuthorityWait > k.cfg.waitOut()
 		if next.Unproved {
 			// Whoever takes over before the proof has to outlast the one before too.
 			next.YieldAfter = longer(next.YieldAfter, d.record.YieldAfter)
@@ -192,15 +192,15 @@
 	switch {
 	case g.Router != k.cfg.Self:
 		k.report(HandedOver, g.Target, g.Term)
-	case d.storeless:
+	case d.withoutStore:
 		// The units stay: nobody else could order since this router took over.
-		d.storeless, d.term, d.until = false, g.Term, 0
+		d.withoutStore, d.term, d.until = false, g.Term, 0
 		k.confirm(now, d, w.sentAt)
 	case d.phase == claiming:
-		if k.foreign(d) {
+		if k.isRemote(d) {
 			k.report(ClaimedElsewhere, g.Target, g.Term)
 		}
-		k.enter(now, d, d.claimWait)
+		k.startProof(now, d, d.oldAuthorityWait)
 		k.confirm(now, d, w.sentAt)
 	}
 }
@@ -208,11 +208,11 @@
 // grantorWriteFailed goes back to where the write started; the record is read anew.
 func (k *Keeper) grantorWriteFailed(now time.Duration, w *write) {
 	d := k.duties[w.update.Grantor.Target]
-	if d == nil || d.storeless || d.phase != claiming {
+	if d == nil || d.withoutStore || d.phase != claiming {
 		return
 	}
 	if d.record != nil && d.record.Term >= w.update.Grantor.Term {
-		d.phase, d.begunAt = idle, 0
+		d.phase, d.promisesStoppedAt = idle, 0
 	}
 }
 
@@ -222,20 +222,20 @@
 // stopped; otherwise only the target's word that it took the new term will do.
 func (k *Keeper) raiseTerm(now time.Duration, d *duty, proved bool) {
 	k.drop(d, d.reported)
-	d.raise, d.proved = true, proved
+	d.termRaisePending, d.successorStopped = true, proved
 	k.considerClaim(now, d)
 }
 
 // takeHandOver takes up a duty that the record gives to this router: its writer
 // stopped before it wrote, so only orders under way are waited out.
 func (k *Keeper) takeHandOver(now time.Duration, d *duty) {
-	d.phase, d.begunAt = claiming, now
+	d.phase, d.promisesStoppedAt = claiming, now
 	wait := k.cfg.OrderBound + k.cfg.slack()
 	if d.record.Unproved {
 		// A hand-over is never unproved: this is an own claim whose wait was broken off, as
 		// where the target left the configuration for a moment.
-		wait = k.outlasting(d)
+		wait = k.waitForAllGrantors(d)
 	}
-	k.enter(now, d, wait)
+	k.startProof(now, d, wait)
 	k.sendRead(now, d)
 }
--- a/core/ownership/config.go
+++ b/core/ownership/config.go
@@ -44,14 +44,14 @@
 	Successors int
 
 	// omit drops one check; only tests set it, to see that its absence is caught.
-	omit check
+	omit omission
 }
 
-// check names a check that a test may omit.
-type check uint8
+// omission names a check that a test may omit.
+type omission uint8
 
 const (
-	omitNone check = iota
+	omitNone omission = iota
 	omitWaitOut
 	omitTermCheck
 	omitReadBack
@@ -63,7 +63,7 @@
 	omitYieldWait
 	omitClaimBack
 	omitUnproved
-	omitNear
+	omitOrderBoundCheck
 	omitJustChanged
 )
 
--- a/core/ownership/export_test.go
+++ b/core/ownership/export_test.go
@@ -1,7 +1,7 @@
 package ownership
 
 // Omitted is a rule that a test leaves out to see that its absence is caught.
-type Omitted = check
+type Omitted = omission
 
 // The rules that may be left out.
 const (
@@ -14,12 +14,12 @@
 	OmitConfirm     = omitConfirm
 	OmitPromiseMode = omitPromiseMode
 
-	OmitRecordedYield = omitRecordedYield
-	OmitYieldWait     = omitYieldWait
-	OmitClaimBack     = omitClaimBack
-	OmitUnproved      = omitUnproved
-	OmitNear          = omitNear
-	OmitJustChanged   = omitJustChanged
+	OmitRecordedYield   = omitRecordedYield
+	OmitYieldWait       = omitYieldWait
+	OmitClaimBack       = omitClaimBack
+	OmitUnproved        = omitUnproved
+	OmitOrderBoundCheck = omitOrderBoundCheck
+	OmitJustChanged     = omitJustChanged
 )
 
 // Without returns the settings with the rule left out.
--- a/core/ownership/fault_test.go
+++ b/core/ownership/fault_test.go
@@ -18,7 +18,7 @@
 
 const ms = time.Millisecond
 
-var kinds = []model.GrantCheck{{ChecksTokens: true, Expires: true}, {Expires: true}, {}, {ChecksTokens: true}}
+var grantChecks = []model.GrantCheck{{ChecksTokens: true, Expires: true}, {Expires: true}, {}, {ChecksTokens: true}}
 
 func targets(n int, isolation model.Isolation, checks ...model.GrantCheck) []ownership.TargetSpec {
 	var out []ownership.TargetSpec
@@ -40,37 +40,37 @@
 
 // fault is one generated fault, or an operator's request.
 type fault struct {
-	kind int
-	at   time.Duration
-	a, b int
-	long time.Duration
+	kind     int
+	at       time.Duration
+	a, b     int
+	duration time.Duration
 }
 
 const faultKinds = 11
 
-func genFault(t *rapid.T) fault {
+func generatedFault(t *rapid.T) fault {
 	return fault{kind: rapid.IntRange(0, faultKinds-1).Draw(t, "kind"),
 		at: time.Duration(rapid.IntRange(500, 6000).Draw(t, "at")) * ms,
 		a:  rapid.IntRange(0, 2).Draw(t, "a"), b: rapid.IntRange(0, 2).Draw(t, "b"),
-		long: time.Duration(rapid.IntRange(20, 1500).Draw(t, "long")) * ms}
+		duration: time.Duration(rapid.IntRange(20, 1500).Draw(t, "long")) * ms}
 }
 
 func (f fault) run(w *ownershiptest.World) {
 	target := fmt.Sprintf("t%d", f.a)
 	switch f.kind {
 	case 0:
-		w.PauseRouter(f.a, f.long)
+		w.PauseRouter(f.a, f.duration)
 	case 1:
-		w.KillRouter(f.a, f.long)
+		w.KillRouter(f.a, f.duration)
 	case 2:
-		w.FreezeTarget(target, f.long)
+		w.FreezeTarget(target, f.duration)
 	case 3:
-		w.OutageOfStore(f.long)
+		w.OutageOfStore(f.duration)
 	case 4:
-		w.CutStore(f.a, f.long)
+		w.CutStore(f.a, f.duration)
 	case 5:
 		if f.a != f.b {
-			w.CutLink(f.a, f.b, f.long)
+			w.CutLink(f.a, f.b, f.duration)
 		}
 	case 6, 7:
 		for _, u := range w.Units() {
@@ -79,17 +79,17 @@
 			}
 		}
 	case 8:
-		w.PauseRouter(w.Grantor(target), f.long)
+		w.PauseRouter(w.Grantor(target), f.duration)
 	case 9:
-		w.Island(w.Grantor(target), f.long)
+		w.Island(w.Grantor(target), f.duration)
 	case 10:
-		split(w, w.Grantor(target), f.long)
+		isolateGrantorWithStore(w, w.Grantor(target), f.duration)
 	}
 }
 
-// split takes the store away from all, then parts the grantor from the others and
+// isolateGrantorWithStore takes the store away from all, then parts the grantor from the others and
 // gives the store back to it alone.
-func split(w *ownershiptest.World, grantor int, long time.Duration) {
+func isolateGrantorWithStore(w *ownershiptest.World, grantor int, long time.Duration) {
 	for i := range 3 {
 		d := 400 * ms
 		if i != grantor {
@@ -100,8 +100,8 @@
 	w.After(350*ms, func() { w.CutPeers(grantor, long) })
 }
 
-// history runs faults in a world and returns it after they have ended.
-func history(seed int64, specs []ownership.TargetSpec, rule ownership.Omitted, faults []fault) *ownershiptest.World {
+// runHistory runs faults in a world and returns it after they have ended.
+func runHistory(seed int64, specs []ownership.TargetSpec, rule ownership.Omitted, faults []fault) *ownershiptest.World {
 	opt := options(seed, specs, rule)
 	opt.ReplyLoss = 0.03
 	w := ownershiptest.New(opt)
@@ -117,12 +117,12 @@
 	return w
 }
 
-func drawHistory(t *rapid.T, rule ownership.Omitted) *ownershiptest.World {
+func generatedHistory(t *rapid.T, rule ownership.Omitted) *ownershiptest.World {
 	isolation := model.Isolation{Keep: rapid.Bool().Draw(t, "keep"), YieldAfter: 600 * ms}
-	first := rapid.IntRange(0, len(kinds)-1).Draw(t, "kinds")
-	checks := append(append([]model.GrantCheck(nil), kinds[first:]...), kinds[:first]...)
-	faults := rapid.SliceOfN(rapid.Custom(genFault), 2, 8).Draw(t, "faults")
-	return history(rapid.Int64().Draw(t, "seed"), targets(3, isolation, checks...), rule, faults)
+	first := rapid.IntRange(0, len(grantChecks)-1).Draw(t, "kinds")
+	checks := append(append([]model.GrantCheck(nil), grantChecks[first:]...), grantChecks[:first]...)
+	faults := rapid.SliceOfN(rapid.Custom(generatedFault), 2, 8).Draw(t, "faults")
+	return runHistory(rapid.Int64().Draw(t, "seed"), targets(3, isolation, checks...), rule, faults)
 }
 
 // Symptom: a unit runs at two targets, or a target that does not check is ordered
@@ -131,7 +131,7 @@
 // while units move. Cause: a rule of the protocol that the code lacks.
 func TestHoldsThroughFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := drawHistory(t, ownership.OmitNone)
+		w := generatedHistory(t, ownership.OmitNone)
 		if len(w.Violations) > 0 {
 			t.Fatalf("%v", w.Violations)
 		}
--- a/core/ownership/fuzz_test.go
+++ b/core/ownership/fuzz_test.go
@@ -73,7 +73,7 @@
 		if proto.Unmarshal(b, message) != nil {
 			return
 		}
-		k := successor()
+		k := keeperOfFirstSuccessor()
 		from := Router{"r2", 1}
 		for i := range 3 {
 			now := time.Duration(i+1) * time.Second
@@ -88,9 +88,9 @@
 	})
 }
 
-// successor is a keeper that knows a target whose grantor is another live router, which
+// keeperOfFirstSuccessor is a keeper that knows a target whose grantor is another live router, which
 // names it as its first successor.
-func successor() *Keeper {
+func keeperOfFirstSuccessor() *Keeper {
 	self, grantor := Router{"r1", 1}, Router{"r2", 1}
 	k := NewKeeper(Config{Self: self, DataCentre: "lapu"})
 	k.Step(0, Configured{
--- a/core/ownership/gate.go
+++ b/core/ownership/gate.go
@@ -11,11 +11,11 @@
 // Gate is an immutable snapshot of what this router may send. It is safe for use
 // by many goroutines.
 type Gate struct {
-	table *Table
-	held  map[string]heldTarget
+	table  *Table
+	rights map[string]sendRight
 }
 
-type heldTarget struct {
+type sendRight struct {
 	term  uint64
 	until time.Duration
 }
@@ -29,7 +29,7 @@
 	if g == nil {
 		return false
 	}
-	h, ok := g.held[target]
+	h, ok := g.rights[target]
 	if !ok || now >= h.until {
 		return false
 	}
@@ -43,7 +43,7 @@
 	if g == nil {
 		return 0
 	}
-	return g.held[target].term
+	return g.rights[target].term
 }
 
 // Targets ranges over the targets that this router sends to, in no order.
@@ -51,7 +51,7 @@
 	if g == nil {
 		return func(func(string) bool) {}
 	}
-	return maps.Keys(g.held)
+	return maps.Keys(g.rights)
 }
 
 // Table returns the ownership that the gate checks against.
@@ -64,7 +64,7 @@
 	if g == nil {
 		return false
 	}
-	h, ok := g.held[target]
+	h, ok := g.rights[target]
 	return ok && now >= h.until
 }
 
@@ -74,7 +74,7 @@
 	if g == nil {
 		return 0, false
 	}
-	h, ok := g.held[target]
+	h, ok := g.rights[target]
 	return h.until, ok
 }
 
@@ -84,6 +84,6 @@
 	if g == nil {
 		return false
 	}
-	h, ok := g.held[target]
+	h, ok := g.rights[target]
 	return ok && now < h.until
 }
--- a/core/ownership/grant.go
+++ b/core/ownership/grant.go
@@ -17,34 +17,34 @@
 	sentFence bool
 	// arrivesBy is when the last order has arrived or never will, quietAt the same for
 	// one that was given up.
-	arrivesBy time.Duration
-	quietAt   time.Duration
+	arrivesBy          time.Duration
+	abandonedArrivesBy time.Duration
 	// sentTable is the ownership that the last order was made from.
 	sentTable *Table
 	// acceptedDigest is that of the set that the target accepted under this term.
 	acceptedDigest uint64
-	// lapse is when all that was granted has lapsed, if nothing more is sent.
-	lapse time.Duration
+	// grantsExpireAt is when all that was granted has lapsed, if nothing more is sent.
+	grantsExpireAt time.Duration
 	// silentSince is when the first order was sent that got no reply, or zero.
 	silentSince time.Duration
 	// units is the set to grant; unitsKnown is reset when the table changes.
-	units      []GrantUnit
-	digest     uint64
-	unitsKnown bool
-	// adopted and planned are the tables that were last searched for moves.
-	adopted *Table
-	planned *Table
+	units        []GrantUnit
+	digest       uint64
+	unitsCurrent bool
+	// releasesScanned and planned are the tables that were last searched for moves.
+	releasesScanned *Table
+	leavingPlanned  *Table
 }
 
-// granted reports whether the target knows grants at all.
-func (t *TargetSpec) granted() bool { return t.Grants.ChecksTokens || t.Grants.Expires }
+// takesGrants reports whether the target knows grants at all.
+func (t *TargetSpec) takesGrants() bool { return t.Grants.ChecksTokens || t.Grants.Expires }
 
-// knowUnits collects what the target serves from the table.
-func (k *Keeper) knowUnits(d *duty) {
-	if d.unitsKnown {
+// collectUnits collects what the target serves from the table.
+func (k *Keeper) collectUnits(d *duty) {
+	if d.unitsCurrent {
 		return
 	}
-	d.unitsKnown = true
+	d.unitsCurrent = true
 	d.units = nil
 	k.table.EachUnit(d.spec.Service, func(u routing.Unit, st UnitState) {
 		if st.Target == d.spec.Name && (!st.Releasing || k.cfg.omit == omitRelease) {
@@ -57,51 +57,51 @@
 // advanceGrants renews at each interval, at once where the set changed, and counts
 // missing replies.
 func (k *Keeper) advanceGrants(now time.Duration, d *duty) {
-	if !d.spec.granted() {
-		if d.silentSince != 0 || !k.isNear(d) {
+	if !d.spec.takesGrants() {
+		if d.silentSince != 0 || !k.withinOrderBound(d) {
 			k.probeSelf(now, d)
 		}
 		return
 	}
-	k.countSilence(now, d)
-	if k.lost[d.spec.Name] || d.doubt.held || !k.isNear(d) {
+	k.noteReplyTimeout(now, d)
+	if k.lostTargets[d.spec.Name] || d.suspicion.withheld || !k.withinOrderBound(d) {
 		// A grant to a lost target may reach it late and would have to lapse anew before
 		// its units can move; a probe changes nothing.
 		k.sendFence(now, d)
 		return
 	}
-	k.knowUnits(d)
-	changed := d.digest != d.sentDigest && k.mayOvertake(now, d)
-	if changed || d.outstanding == 0 && now >= d.quietAt && k.renewalDue(now, d.sentAt) {
+	k.collectUnits(d)
+	changed := d.digest != d.sentDigest && k.maySendEarly(now, d)
+	if changed || d.outstanding == 0 && now >= d.abandonedArrivesBy && k.renewalDue(now, d.sentAt) {
 		k.sendGrant(now, d, false)
 	}
 }
 
-// mayOvertake reports whether an order may be sent while an earlier one may be
+// maySendEarly reports whether an order may be sent while an earlier one may be
 // under way. A target that doesn't check would obey the earlier one last: it
 // would hold a released unit again after it had confirmed the release.
-func (k *Keeper) mayOvertake(now time.Duration, d *duty) bool {
-	return d.spec.Grants.ChecksTokens || d.outstanding == 0 && now >= d.quietAt
+func (k *Keeper) maySendEarly(now time.Duration, d *duty) bool {
+	return d.spec.Grants.ChecksTokens || d.outstanding == 0 && now >= d.abandonedArrivesBy
 }
 
-func (g *grants) silent() {
+func (g *grants) noteNoReply() {
 	if g.silentSince == 0 {
 		g.silentSince = g.sentAt
 	}
 	g.outstanding, g.acceptedDigest = 0, 0
-	g.quietAt = g.arrivesBy
+	g.abandonedArrivesBy = g.arrivesBy
 }
 
-// countSilence notes an order that was left unanswered for too long.
-func (k *Keeper) countSilence(now time.Duration, d *duty) {
+// noteReplyTimeout notes an order that was left unanswered for too long.
+func (k *Keeper) noteReplyTimeout(now time.Duration, d *duty) {
 	if d.outstanding != 0 && now-d.sentAt >= k.cfg.ReplyTimeout {
-		d.silent()
+		d.noteNoReply()
 	}
 }
 
 // sendFence raises the term of a target that checks, and probes any other.
 func (k *Keeper) sendFence(now time.Duration, d *duty) {
-	if d.outstanding == 0 && now >= d.quietAt && (d.sequence == 0 || now-d.sentAt >= k.cfg.RenewEvery) {
+	if d.outstanding == 0 && now >= d.abandonedArrivesBy && (d.sequence == 0 || now-d.sentAt >= k.cfg.RenewEvery) {
 		k.sendGrant(now, d, true)
 	}
 }
@@ -125,9 +125,9 @@
 		if g.Full = d.digest != d.acceptedDigest; g.Full {
 			g.Units = d.units
 		}
-		d.lapse = max(d.lapse, now+slack+k.cfg.OrderBound+k.cfg.stretch(ttl))
+		d.grantsExpireAt = max(d.grantsExpireAt, now+slack+k.cfg.OrderBound+k.cfg.stretch(ttl))
 	}
-	k.do(g)
+	k.emit(g)
 }
 
 func (k *Keeper) grantResult(now time.Duration, e GrantResult) {
@@ -136,20 +136,20 @@
 		return
 	}
 	if e.Silent {
-		d.silent()
+		d.noteNoReply()
 		return
 	}
 	d.outstanding = 0
-	if k.setNear(now, d, d.sentAt) {
+	if k.noteResponseTime(now, d, d.sentAt) {
 		d.silentSince = 0
-		k.answers(d)
+		k.clearLoss(d)
 	} else if d.silentSince == 0 {
 		d.silentSince = d.sentAt
 	}
 	if !e.Accepted {
 		d.acceptedDigest = 0
 		if e.Term > d.term {
-			k.refused(now, d, e.Term)
+			k.handleHigherTerm(now, d, e.Term)
 		}
 		return
 	}
@@ -167,10 +167,10 @@
 	k.confirmReleases(d, e.Busy)
 }
 
-// refused is called when the target has seen a higher term: another router is its
+// handleHigherTerm is called when the target has seen a higher term: another router is its
 // grantor, or a successor of this one was for a while.
-func (k *Keeper) refused(now time.Duration, d *duty, term uint64) {
-	if d.phase == serving && !d.asker.active && term < nextEpoch(d.term) && !d.storeless {
+func (k *Keeper) handleHigherTerm(now time.Duration, d *duty, term uint64) {
+	if d.phase == serving && !d.received.active && term < nextEpoch(d.term) && !d.withoutStore {
 		k.raiseTerm(now, d, true)
 		return
 	}
--- a/core/ownership/handover.go
+++ b/core/ownership/handover.go
@@ -9,18 +9,18 @@
 // considerHandOver gives the duty to a better-ranked router, to the next one at a
 // planned stop, or keeps the list of successors up to date.
 func (k *Keeper) considerHandOver(now time.Duration, d *duty) {
-	if d.storeless || d.asker.active || k.writes[d.key] != nil || now >= d.validUntil(k) {
+	if d.withoutStore || d.received.active || k.writes[d.key] != nil || now >= d.validUntil(k) {
 		return
 	}
-	if to, ok := k.heir(now, d); ok {
+	if to, ok := k.handOverReceiver(now, d); ok {
 		k.handOver(now, d, to)
 		return
 	}
 	k.updateSuccessors(now, d)
 }
 
-// heir is who the duty should be handed to now.
-func (k *Keeper) heir(now time.Duration, d *duty) (Router, bool) {
+// handOverReceiver is who the duty should be handed to now.
+func (k *Keeper) handOverReceiver(now time.Duration, d *duty) (Router, bool) {
 	for _, r := range k.rank(d) {
 		if r == k.cfg.Self {
 			if !k.stopping {
@@ -28,11 +28,11 @@
 			}
 			continue
 		}
-		if k.leaving[r] && (!k.stopping || d.late) {
+		if k.leaving[r] && (!k.stopping || d.takenWhileStopping) {
 			// Of two that stop and have only each other, one keeps what it was given.
 			continue
 		}
-		if k.stopping || now-max(k.liveAt[r.Name], d.takenAt) >= k.cfg.HandBackAfter && k.reachesTarget(now, d, r) {
+		if k.stopping || now-max(k.liveSince[r.Name], d.takenAt) >= k.cfg.HandBackAfter && k.reachesTarget(now, d, r) {
 			return r, true
 		}
 	}
@@ -42,11 +42,11 @@
 // handOver stops first and writes then, so that the new grantor only has to wait
 // for orders under way.
 func (k *Keeper) handOver(now time.Duration, d *duty, to Router) {
-	k.giveDuty(now, d, GrantorRecord{Router: to, Successors: k.successors(now, d, to), DataCentre: k.elsewhereOf(d)})
+	k.writeNextGrantor(now, d, GrantorRecord{Router: to, Successors: k.successors(now, d, to), DataCentre: k.dataCentreForRecord(d)})
 }
 
-// giveDuty fills in what is the same for every next grantor.
-func (k *Keeper) giveDuty(now time.Duration, d *duty, next GrantorRecord) {
+// writeNextGrantor fills in what is the same for every next grantor.
+func (k *Keeper) writeNextGrantor(now time.Duration, d *duty, next GrantorRecord) {
 	op := k.nextOp()
 	next.Target, next.Term = d.spec.Name, nextEpoch(d.record.Term)
 	next.YieldAfter, next.Ops = d.wantedYield(), d.record.Ops.with(op)
@@ -55,9 +55,9 @@
 	k.put(now, d.key, d.revision, op, Update{Grantor: &next})
 }
 
-// way is what another router said of its way to a target: when it was asked, and when it
+// reachProbe is what another router said of its way to a target: when it was asked, and when it
 // last said that it reaches the target.
-type way struct{ askedAt, reachedAt time.Duration }
+type reachProbe struct{ askedAt, reachedAt time.Duration }
 
 // reachesTarget reports whether the router said a moment ago that it reaches the target;
 // else it is asked, now and then.
@@ -67,31 +67,31 @@
 // again. One notices targets whose grantor changes again and again, with a pause of their
 // keys each time.
 func (k *Keeper) reachesTarget(now time.Duration, d *duty, r Router) bool {
-	w, asked := d.ways[r]
+	w, asked := d.reachProbes[r]
 	switch {
 	case asked && w.reachedAt > w.askedAt && now-w.reachedAt <= k.cfg.ReplyTimeout:
 		return true
 	case asked && now-w.askedAt < k.cfg.HandBackAfter/2:
 		return false
 	}
-	if d.ways == nil {
-		d.ways = make(map[Router]way)
+	if d.reachProbes == nil {
+		d.reachProbes = make(map[Router]reachProbe)
 	}
-	d.ways[r] = way{askedAt: now}
+	d.reachProbes[r] = reachProbe{askedAt: now}
 	k.send(r, &ownershippb.Peer{Kind: ownershippb.Peer_PROBE, Target: d.spec.Name})
 	return false
 }
 
-// takeWay takes in the answer of a router that a duty may be handed to. It says nothing of
+// noteReachProbe takes in the answer of a router that a duty may be handed to. It says nothing of
 // the target itself, which this router reaches.
-func (d *duty) takeWay(now time.Duration, from Router, reached bool) bool {
-	w, asked := d.ways[from]
+func (d *duty) noteReachProbe(now time.Duration, from Router, reached bool) bool {
+	w, asked := d.reachProbes[from]
 	if !asked || d.silentSince != 0 {
 		return false
 	}
 	if reached {
 		w.reachedAt = now
-		d.ways[from] = w
+		d.reachProbes[from] = w
 	}
 	return true
 }
--- a/core/ownership/keeper.go
+++ b/core/ownership/keeper.go
@@ -25,54 +25,54 @@
 	names []string
 	live  []Router
 	// liveSet holds the same, views counts how often it changed.
-	liveSet map[Router]bool
-	views   uint64
-	seen    map[string]Router
-	liveAt  map[string]time.Duration
-	// goneAt is when routers ceased to be live without having announced it; see noteGone.
-	goneAt    map[string]time.Duration
-	elsewhere elsewhere
+	liveSet     map[Router]bool
+	memberViews uint64
+	lastSeen    map[string]Router
+	liveSince   map[string]time.Duration
+	// lostAt is when routers ceased to be live without having announced it; see noteGone.
+	lostAt map[string]time.Duration
+	remote remoteState
 	// leaving are the live routers that are about to stop.
 	leaving map[Router]bool
 	duties  map[string]*duty
-	// own lists the duties sorted by target, byKey has them by their record's key.
-	own    []*duty
-	byKey  map[string]*duty
-	moves  map[routing.Unit]*move
-	writes map[string]*write
-	reads  map[string]*shardRead
-	lost   map[string]bool
+	// dutyList lists the duties sorted by target, byKey has them by their record's key.
+	dutyList    []*duty
+	dutyByKey   map[string]*duty
+	moves       map[routing.Unit]*move
+	writes      map[string]*write
+	shardReads  map[string]*shardRead
+	lostTargets map[string]bool
 	// declaredAt is when targets were declared lost within LossWindow.
 	declaredAt []time.Duration
 	opCount    uint64
-	// last is the time of the last step; a long gap means that this router was paused.
-	last time.Duration
+	// lastStepAt is the time of the last step; a long gap means that this router was paused.
+	lastStepAt time.Duration
 	// wakeAt is when the next step was asked for; beat is set in a step that renews.
-	wakeAt time.Duration
-	beat   bool
-	// beatBy is when the next renewals are due at the latest, as a relay asked for; never
+	wakeAt        time.Duration
+	renewTogether bool
+	// renewTogetherBy is when the next renewals are due at the latest, as a relay asked for; never
 	// where none did.
-	beatBy   time.Duration
-	stopping bool
-	// lastStore is when the store last answered anything.
-	lastStore time.Duration
-	// unanswered is what the store owes this router.
-	unanswered unanswered
-	// backAt is when the store last answered after a silence; see outside.
-	backAt time.Duration
-	// dirty means that the gate is out of date, checkUnowned that units without an owner
+	renewTogetherBy time.Duration
+	stopping        bool
+	// storeAnsweredAt is when the store last answered anything.
+	storeAnsweredAt time.Duration
+	// storeRequest is what the store owes this router.
+	storeRequest pendingRequest
+	// storeRegainedAt is when the store last answered after a silence; see outside.
+	storeRegainedAt time.Duration
+	// gateStale means that the gate is out of date, checkUnowned that units without an owner
 	// are to be looked for.
-	dirty        bool
+	gateStale    bool
 	checkUnowned bool
-	out          []Action
+	actions      []Action
 }
 
 // NewKeeper returns the keeper of a router that knows nothing yet.
 func NewKeeper(cfg Config) *Keeper {
 	return &Keeper{cfg: cfg.withDefaults(), table: NewTable(), targets: map[string]TargetSpec{},
-		seen: map[string]Router{}, liveAt: map[string]time.Duration{}, goneAt: map[string]time.Duration{}, duties: map[string]*duty{}, byKey: map[string]*duty{},
-		moves: map[routing.Unit]*move{}, writes: map[string]*write{}, reads: map[string]*shardRead{},
-		lost: map[string]bool{}, beatBy: never}
+		lastSeen: map[string]Router{}, liveSince: map[string]time.Duration{}, lostAt: map[string]time.Duration{}, duties: map[string]*duty{}, dutyByKey: map[string]*duty{},
+		moves: map[routing.Unit]*move{}, writes: map[string]*write{}, shardReads: map[string]*shardRead{},
+		lostTargets: map[string]bool{}, renewTogetherBy: never}
 }
 
 // Table returns the ownership as known now.
@@ -86,28 +86,28 @@
 // Step takes in one event and returns what is to be done, in order. now must not
 // go back.
 func (k *Keeper) Step(now time.Duration, e Event) []Action {
-	k.out = nil
+	k.actions = nil
 	k.noticePause(now)
 	k.handle(now, e)
 	k.advance(now)
-	if k.dirty {
+	if k.gateStale {
 		k.refreshGate()
 	}
-	return k.out
+	return k.actions
 }
 
-func (k *Keeper) do(a Action) { k.out = append(k.out, a) }
+func (k *Keeper) emit(a Action) { k.actions = append(k.actions, a) }
 
 // noticePause forgives silence that this router's own pause caused: after a pause
 // every reply looks late, and without this all targets would be lost at once.
 func (k *Keeper) noticePause(now time.Duration) {
 	late := k.late(now)
-	k.last = now
+	k.lastStepAt = now
 	if late <= k.cfg.RenewEvery-k.cfg.tick() {
 		return
 	}
-	k.unanswered.paused(now)
-	for _, d := range k.own {
+	k.storeRequest.restart(now)
+	for _, d := range k.dutyList {
 		if d.silentSince != 0 {
 			d.silentSince = now
 		}
@@ -151,9 +151,9 @@
 
 // advance does what time and the new state ask for.
 func (k *Keeper) advance(now time.Duration) {
-	k.followElsewhere(now)
-	k.beat = k.beatNow(now)
-	for _, d := range k.own {
+	k.scanRemoteTargets(now)
+	k.renewTogether = k.renewalsDue(now)
+	for _, d := range k.dutyList {
 		k.advanceDuty(now, d)
 	}
 	k.advanceLosses(now)
@@ -182,37 +182,37 @@
 	for name := range k.duties {
 		if _, ok := k.targets[name]; !ok {
 			delete(k.duties, name)
-			k.dirty = true
+			k.gateStale = true
 		}
 	}
-	k.elsewhere.follow, k.elsewhere.heard = true, nil
+	k.remote.scanPending, k.remote.connectedFor = true, nil
 	k.listDuties()
-	k.replan()
+	k.schedulePlanning()
 }
 
 // listDuties brings own and byKey in line with duties.
 func (k *Keeper) listDuties() {
-	k.own = k.own[:0]
-	clear(k.byKey)
+	k.dutyList = k.dutyList[:0]
+	clear(k.dutyByKey)
 	for _, name := range k.names {
 		if d := k.duties[name]; d != nil {
-			k.own = append(k.own, d)
-			k.byKey[d.key] = d
+			k.dutyList = append(k.dutyList, d)
+			k.dutyByKey[d.key] = d
 		}
 	}
 }
 
 func (k *Keeper) setMembers(now time.Duration, e Members) {
-	old := k.liveAt
+	old := k.liveSince
 	k.checkUnowned = true
 	for _, d := range k.duties {
 		d.ranked = nil
 	}
 	k.live = append([]Router(nil), e.Live...)
 	sort.Slice(k.live, func(i, j int) bool { return k.live[i].Name < k.live[j].Name })
-	k.liveAt = map[string]time.Duration{}
+	k.liveSince = map[string]time.Duration{}
 	k.liveSet = make(map[Router]bool, len(k.live))
-	k.views++
+	k.memberViews++
 	stayed := k.leaving
 	k.leaving = make(map[Router]bool, len(e.Leaving))
 	for _, r := range e.Leaving {
@@ -220,16 +220,16 @@
 	}
 	for _, r := range k.live {
 		back := stayed[r] && !k.leaving[r]
-		if at, ok := old[r.Name]; ok && k.seen[r.Name] == r && !back {
-			k.liveAt[r.Name] = at
+		if at, ok := old[r.Name]; ok && k.lastSeen[r.Name] == r && !back {
+			k.liveSince[r.Name] = at
 		} else {
-			k.liveAt[r.Name] = now
+			k.liveSince[r.Name] = now
 		}
-		k.seen[r.Name] = r
+		k.lastSeen[r.Name] = r
 		k.liveSet[r] = true
 	}
-	k.noteGone(now, old, stayed)
-	k.setElsewhere(now, e.Elsewhere)
+	k.noteLostRouters(now, old, stayed)
+	k.setRemote(now, e.Elsewhere)
 }
 
 func (k *Keeper) isLive(r Router) bool { return k.liveSet[r] }
@@ -237,16 +237,16 @@
 // grantorLive reports whether the recorded grantor is live. Each step asks it of every
 // target of the data centre, so the answer is kept until members or record change.
 func (k *Keeper) grantorLive(d *duty) bool {
-	if d.liveOf != d.record || d.liveIn != k.views {
-		d.liveOf, d.liveIn = d.record, k.views
-		d.live = k.isLive(d.record.Router) || k.grantorElsewhere(d) && !k.isCutOff(d.record.grantorDC(&d.spec))
+	if d.liveCheckRecord != d.record || d.liveCheckView != k.memberViews {
+		d.liveCheckRecord, d.liveCheckView = d.record, k.memberViews
+		d.grantorIsLive = k.isLive(d.record.Router) || k.grantorIsRemote(d) && !k.isCutOff(d.record.grantorDC(&d.spec))
 	}
-	return d.live
+	return d.grantorIsLive
 }
 
-// reborn reports whether a later life of the router was met, which proves that
+// hasRestarted reports whether a later life of the router was met, which proves that
 // the given one has ended.
-func (k *Keeper) reborn(r Router) bool { return k.seen[r.Name].Incarnation > r.Incarnation }
+func (k *Keeper) hasRestarted(r Router) bool { return k.lastSeen[r.Name].Incarnation > r.Incarnation }
 
 // learn takes in a record from the store.
 func (k *Keeper) learn(now time.Duration, key string, revision uint64, value []byte) {
@@ -274,12 +274,12 @@
 		return
 	}
 	k.table = next
-	k.dirty, k.checkUnowned = true, true
+	k.gateStale, k.checkUnowned = true, true
 	if u.Grantor != nil {
-		k.shown(now, u.Grantor)
+		k.noteRemoteWrite(now, u.Grantor)
 	}
-	for _, d := range k.own {
-		d.unitsKnown = false
+	for _, d := range k.dutyList {
+		d.unitsCurrent = false
 	}
 }
 
@@ -289,25 +289,25 @@
 		k.learn(now, e.Key, e.Revision, e.Value)
 	}
 	if w := k.writes[e.Key]; w != nil {
-		k.settle(now, w, e)
+		k.resolveUnknownWrite(now, w, e)
 	}
 	if IsGrantorKey(e.Key) {
 		k.grantorRead(now, e)
 		return
 	}
-	k.shardWasRead(e)
+	k.noteShardRead(e)
 }
 
 func (k *Keeper) refreshGate() {
-	k.dirty = false
-	g := &Gate{table: k.table, held: map[string]heldTarget{}}
-	for _, d := range k.own {
-		if d.phase == serving && k.isNear(d) {
-			g.held[d.spec.Name] = heldTarget{term: d.term, until: d.validUntil(k)}
+	k.gateStale = false
+	g := &Gate{table: k.table, rights: map[string]sendRight{}}
+	for _, d := range k.dutyList {
+		if d.phase == serving && k.withinOrderBound(d) {
+			g.rights[d.spec.Name] = sendRight{term: d.term, until: d.validUntil(k)}
 		}
 	}
 	k.gate = g
-	k.do(SetGate{Gate: g})
+	k.emit(SetGate{Gate: g})
 }
 
 func (k *Keeper) nextOp() Op {
@@ -318,9 +318,9 @@
 func (k *Keeper) send(to Router, m *ownershippb.Peer) {
 	m.From = encodeRouter(k.cfg.Self)
 	m.ToIncarnation = to.Incarnation
-	k.do(SendPeer{To: to, Message: m})
+	k.emit(SendPeer{To: to, Message: m})
 }
 
 func (k *Keeper) report(kind ReportKind, target string, term uint64) {
-	k.do(Report{Kind: kind, Target: target, Term: term})
+	k.emit(Report{Kind: kind, Target: target, Term: term})
 }
--- a/core/ownership/loss.go
+++ b/core/ownership/loss.go
@@ -6,39 +6,39 @@
 	"tarragongw/core/ownership/ownershippb"
 )
 
-// doubt is what speaks for and against the loss of one target.
-type doubt struct {
-	// sick is the verdict of health checks, given at sickAt.
-	sick   bool
-	sickAt time.Duration
-	// firstAsked and askedAt are when other routers were first and last asked whether they
+// lossSuspicion is what speaks for and against the loss of one target.
+type lossSuspicion struct {
+	// unhealthy is the verdict of health checks, given at sickAt.
+	unhealthy   bool
+	unhealthyAt time.Duration
+	// firstAskedAt and askedAt are when other routers were first and last asked whether they
 	// reach the target; zero: they weren't.
-	firstAsked time.Duration
-	askedAt    time.Duration
-	// missedAt and reachedAt are when a router last said that it doesn't, or that it does;
+	firstAskedAt time.Duration
+	askedAt      time.Duration
+	// unreachableAt and reachedAt are when a router last said that it doesn't, or that it does;
 	// reachedBy is the one that does.
-	missedAt  time.Duration
-	reachedAt time.Duration
-	reachedBy Router
-	// held means that the loss is not declared although the evidence is there.
-	held bool
+	unreachableAt time.Duration
+	reachedAt     time.Duration
+	reachedBy     Router
+	// withheld means that the loss is not declared although the evidence is there.
+	withheld bool
 }
 
-// doubtedSince is since when the target is in doubt; zero: it is not.
-func (d *duty) doubtedSince() time.Duration {
+// suspectSince is since when the target is in doubt; zero: it is not.
+func (d *duty) suspectSince() time.Duration {
 	if d.silentSince != 0 {
 		return d.silentSince
 	}
-	return d.doubt.sickAt
+	return d.suspicion.unhealthyAt
 }
 
-// evident says whether this router's own evidence makes the target lost. A silence counts
+// hasOwnEvidence says whether this router's own evidence makes the target lost. A silence counts
 // from when the store answers again: whoever was cut off heard neither. A verdict of
 // health checks waits for one tick, since those on several targets come one by one.
-func (k *Keeper) evident(now time.Duration, d *duty) bool {
+func (k *Keeper) hasOwnEvidence(now time.Duration, d *duty) bool {
 	silent := d.silentSince != 0 && now-d.silentSince >= k.cfg.LostAfter
-	sick := d.doubt.sick && now-d.doubt.sickAt >= k.cfg.tick()
-	return (silent || sick) && (d.doubtedSince() > k.backAt || now-k.backAt >= k.cfg.LostAfter)
+	sick := d.suspicion.unhealthy && now-d.suspicion.unhealthyAt >= k.cfg.tick()
+	return (silent || sick) && (d.suspectSince() > k.storeRegainedAt || now-k.storeRegainedAt >= k.cfg.LostAfter)
 }
 
 func (k *Keeper) targetHealth(now time.Duration, e TargetHealth) {
@@ -47,26 +47,26 @@
 	case d == nil || d.phase < waiting:
 		k.setLost(e.Target, e.Lost)
 	case !e.Lost:
-		k.answers(d)
+		k.clearLoss(d)
 	default:
-		d.doubt.sick, d.doubt.sickAt = true, now
+		d.suspicion.unhealthy, d.suspicion.unhealthyAt = true, now
 	}
 }
 
-// answers takes back all doubt in a target.
-func (k *Keeper) answers(d *duty) {
-	if k.lost[d.spec.Name] {
-		k.tellOthers(d, false)
+// clearLoss takes back all doubt in a target.
+func (k *Keeper) clearLoss(d *duty) {
+	if k.lostTargets[d.spec.Name] {
+		k.announceLoss(d, false)
 	}
-	k.dismiss(d)
+	k.clearSuspicion(d)
 	k.setLost(d.spec.Name, false)
 }
 
-func (k *Keeper) dismiss(d *duty) {
-	if d.doubt.held {
+func (k *Keeper) clearSuspicion(d *duty) {
+	if d.suspicion.withheld {
 		k.report(LossDismissed, d.spec.Name, d.term)
 	}
-	d.doubt = doubt{}
+	d.suspicion = lossSuspicion{}
 }
 
 // advanceLosses declares targets lost, not too many at once.
@@ -79,58 +79,58 @@
 	for len(k.declaredAt) > 0 && now-k.declaredAt[0] >= k.cfg.LossWindow {
 		k.declaredAt = k.declaredAt[1:]
 	}
-	held, doubted := k.countDoubted()
+	held, doubted := k.countSuspects()
 	if doubted == 0 {
 		return
 	}
 	room := max(1, int(k.cfg.MaxLostShare*float64(held))) - len(k.declaredAt)
 	tooMany := doubted > room
-	for _, d := range k.own {
-		if d.phase < waiting || k.lost[d.spec.Name] || d.doubtedSince() == 0 {
+	for _, d := range k.dutyList {
+		if d.phase < waiting || k.lostTargets[d.spec.Name] || d.suspectSince() == 0 {
 			continue
 		}
 		if tooMany {
-			k.askOthers(now, d)
+			k.askOtherRouters(now, d)
 		}
-		if k.evident(now, d) && k.judge(now, d, room) {
+		if k.hasOwnEvidence(now, d) && k.decideLoss(now, d, room) {
 			room--
 		}
 	}
 }
 
-// countDoubted counts the targets that this router is grantor of, and those in doubt.
-func (k *Keeper) countDoubted() (held, doubted int) {
-	for _, d := range k.own {
+// countSuspects counts the targets that this router is grantor of, and those in doubt.
+func (k *Keeper) countSuspects() (held, doubted int) {
+	for _, d := range k.dutyList {
 		if d.phase < waiting {
 			continue
 		}
 		held++
-		if d.doubtedSince() != 0 && !k.lost[d.spec.Name] {
+		if d.suspectSince() != 0 && !k.lostTargets[d.spec.Name] {
 			doubted++
 		}
 	}
 	return held, doubted
 }
 
-// judge declares the target lost, gives its duty away or holds the verdict. It reports
+// decideLoss declares the target lost, gives its duty away or holds the verdict. It reports
 // whether it declared on this router's own evidence, of which room is left so much.
-func (k *Keeper) judge(now time.Duration, d *duty, room int) bool {
-	since := d.doubtedSince()
+func (k *Keeper) decideLoss(now time.Duration, d *duty, room int) bool {
+	since := d.suspectSince()
 	switch {
-	case !k.outside(now):
+	case !k.storeReachable(now):
 		// Whoever hears neither the targets nor the store may be cut off itself, and can
 		// move nothing anyway.
-		k.hold(d)
-	case d.doubt.reachedAt > since:
-		k.hold(d)
-		k.giveTo(now, d, d.doubt.reachedBy)
-	case d.doubt.missedAt > since:
-		k.declare(d)
-	case room <= 0 || d.doubt.firstAsked != 0 && now-d.doubt.firstAsked < 2*k.cfg.ReplyTimeout:
-		k.hold(d)
+		k.withholdLoss(d)
+	case d.suspicion.reachedAt > since:
+		k.withholdLoss(d)
+		k.handOverIfReady(now, d, d.suspicion.reachedBy)
+	case d.suspicion.unreachableAt > since:
+		k.declareLost(d)
+	case room <= 0 || d.suspicion.firstAskedAt != 0 && now-d.suspicion.firstAskedAt < 2*k.cfg.ReplyTimeout:
+		k.withholdLoss(d)
 	default:
 		k.declaredAt = append(k.declaredAt, now)
-		k.declare(d)
+		k.declareLost(d)
 		return true
 	}
 	return false
@@ -138,28 +138,28 @@
 
 // storeAnswered notes an answer of the store.
 func (k *Keeper) storeAnswered(now time.Duration) {
-	if !k.outside(now) {
-		k.backAt = now
+	if !k.storeReachable(now) {
+		k.storeRegainedAt = now
 	}
-	k.lastStore = now
-	k.unanswered.answered()
+	k.storeAnsweredAt = now
+	k.storeRequest.answered()
 }
 
-// outside reports whether the store, which is no target, answered just now.
-func (k *Keeper) outside(now time.Duration) bool {
-	return now-k.lastStore <= 2*k.cfg.RenewEvery+k.cfg.ReplyTimeout
+// storeReachable reports whether the store, which is no target, answered just now.
+func (k *Keeper) storeReachable(now time.Duration) bool {
+	return now-k.storeAnsweredAt <= 2*k.cfg.RenewEvery+k.cfg.ReplyTimeout
 }
 
-func (k *Keeper) declare(d *duty) {
-	d.doubt = doubt{}
+func (k *Keeper) declareLost(d *duty) {
+	d.suspicion = lossSuspicion{}
 	k.setLost(d.spec.Name, true)
-	k.tellOthers(d, true)
+	k.announceLoss(d, true)
 }
 
-// tellOthers tells the data centre's routers what became of a target, of which they hear
+// announceLoss tells the data centre's routers what became of a target, of which they hear
 // nothing else. Without this a router gives units to a target that was lost at the same
 // time, and they have to move once more.
-func (k *Keeper) tellOthers(d *duty, lost bool) {
+func (k *Keeper) announceLoss(d *duty, lost bool) {
 	for _, r := range k.live {
 		if r != k.cfg.Self {
 			k.send(r, &ownershippb.Peer{Kind: ownershippb.Peer_PROBED, Target: d.spec.Name, Refused: lost})
@@ -167,27 +167,27 @@
 	}
 }
 
-// doubtful reports whether the target is a bad choice for units: silent to this router,
+// isSuspect reports whether the target is a bad choice for units: silent to this router,
 // or lost by the word of another one a short while ago.
-func (k *Keeper) doubtful(now time.Duration, target string) bool {
+func (k *Keeper) isSuspect(now time.Duration, target string) bool {
 	d := k.duties[target]
 	if d == nil {
 		return false
 	}
-	told := d.doubt.missedAt > d.doubt.reachedAt && now-d.doubt.missedAt < k.cfg.HandBackAfter
-	return d.doubtedSince() != 0 || told
+	told := d.suspicion.unreachableAt > d.suspicion.reachedAt && now-d.suspicion.unreachableAt < k.cfg.HandBackAfter
+	return d.suspectSince() != 0 || told
 }
 
-func (k *Keeper) hold(d *duty) {
-	if !d.doubt.held {
-		d.doubt.held = true
+func (k *Keeper) withholdLoss(d *duty) {
+	if !d.suspicion.withheld {
+		d.suspicion.withheld = true
 		k.report(LossHeld, d.spec.Name, d.term)
 	}
 }
 
-// giveTo hands the duty to a router that reaches the target where this one doesn't.
-func (k *Keeper) giveTo(now time.Duration, d *duty, to Router) {
-	ready := d.phase == serving && !d.storeless && !d.asker.active && k.writes[d.key] == nil
+// handOverIfReady hands the duty to a router that reaches the target where this one doesn't.
+func (k *Keeper) handOverIfReady(now time.Duration, d *duty, to Router) {
+	ready := d.phase == serving && !d.withoutStore && !d.received.active && k.writes[d.key] == nil
 	if ready && now < d.validUntil(k) && k.isLive(to) && !k.leaving[to] {
 		k.handOver(now, d, to)
 	}
@@ -196,14 +196,14 @@
 // probersAsked is how many other routers are asked whether they reach a target.
 const probersAsked = 2
 
-// askOthers asks the next routers in line whether they reach a silent target.
-func (k *Keeper) askOthers(now time.Duration, d *duty) {
-	if d.doubt.askedAt != 0 && now-d.doubt.askedAt < k.cfg.ReplyTimeout {
+// askOtherRouters asks the next routers in line whether they reach a silent target.
+func (k *Keeper) askOtherRouters(now time.Duration, d *duty) {
+	if d.suspicion.askedAt != 0 && now-d.suspicion.askedAt < k.cfg.ReplyTimeout {
 		return
 	}
-	d.doubt.askedAt = now
-	if d.doubt.firstAsked == 0 {
-		d.doubt.firstAsked = now
+	d.suspicion.askedAt = now
+	if d.suspicion.firstAskedAt == 0 {
+		d.suspicion.firstAskedAt = now
 	}
 	asked := 0
 	for _, r := range k.rank(d) {
@@ -222,28 +222,28 @@
 		return
 	}
 	d.probing, d.probedAt = true, now
-	k.do(ProbeTarget{Target: d.spec.Name, For: k.cfg.Self})
+	k.emit(ProbeTarget{Target: d.spec.Name, For: k.cfg.Self})
 }
 
-func (k *Keeper) probedSelf(now time.Duration, d *duty, reached bool) {
+func (k *Keeper) noteOwnProbe(now time.Duration, d *duty, reached bool) {
 	d.probing = false
 	if d.phase < waiting {
 		return
 	}
-	if reached && k.setNear(now, d, d.probedAt) {
+	if reached && k.noteResponseTime(now, d, d.probedAt) {
 		d.silentSince = 0
-		k.answers(d)
+		k.clearLoss(d)
 	} else if d.silentSince == 0 {
 		d.silentSince = d.probedAt
 	}
 }
 
-// probeFor looks on behalf of another router.
-func (k *Keeper) probeFor(now time.Duration, d *duty, from Router) {
-	if !k.outside(now) {
+// probeForRouter looks on behalf of another router.
+func (k *Keeper) probeForRouter(now time.Duration, d *duty, from Router) {
+	if !k.storeReachable(now) {
 		k.sendRead(now, d) // a router without duties has no other reason to ask the store
 	}
-	k.do(ProbeTarget{Target: d.spec.Name, For: from})
+	k.emit(ProbeTarget{Target: d.spec.Name, For: from})
 }
 
 // targetProbed tells the router that asked. One that may be cut off itself doesn't say
@@ -251,37 +251,37 @@
 func (k *Keeper) targetProbed(now time.Duration, e TargetProbed) {
 	if e.For == k.cfg.Self {
 		if d := k.duties[e.Target]; d != nil && d.probing {
-			k.probedSelf(now, d, e.Reached)
+			k.noteOwnProbe(now, d, e.Reached)
 		}
 		return
 	}
-	if e.Reached || k.outside(now) {
+	if e.Reached || k.storeReachable(now) {
 		k.send(e.For, &ownershippb.Peer{Kind: ownershippb.Peer_PROBED, Target: e.Target, Refused: !e.Reached})
 	}
 }
 
-func (k *Keeper) takeProbe(now time.Duration, d *duty, e PeerMessage) {
-	if d.takeWay(now, e.From, !e.Message.GetRefused()) {
+func (k *Keeper) noteProbeReply(now time.Duration, d *duty, e PeerMessage) {
+	if d.noteReachProbe(now, e.From, !e.Message.GetRefused()) {
 		return
 	}
 	k.checkUnowned = true
 	if e.Message.GetRefused() {
-		d.doubt.missedAt = now
+		d.suspicion.unreachableAt = now
 		return
 	}
-	d.doubt.reachedAt, d.doubt.reachedBy = now, e.From
+	d.suspicion.reachedAt, d.suspicion.reachedBy = now, e.From
 }
 
 func (k *Keeper) setLost(target string, lost bool) {
-	if k.lost[target] == lost {
+	if k.lostTargets[target] == lost {
 		return
 	}
-	k.replan()
+	k.schedulePlanning()
 	if !lost {
-		delete(k.lost, target)
+		delete(k.lostTargets, target)
 		return
 	}
-	k.lost[target] = true
+	k.lostTargets[target] = true
 	if d := k.duties[target]; d != nil && d.phase == serving {
 		k.report(TargetLost, target, d.term)
 	}
--- a/core/ownership/loss_test.go
+++ b/core/ownership/loss_test.go
@@ -26,8 +26,8 @@
 	return w
 }
 
-// keptBy counts the targets that the router is grantor of.
-func keptBy(w *ownershiptest.World, router int) int {
+// countGrantedBy counts the targets that the router is grantor of.
+func countGrantedBy(w *ownershiptest.World, router int) int {
 	n := 0
 	for i := range 12 {
 		if w.Grantor(fmt.Sprint("t", i)) == router {
@@ -42,16 +42,16 @@
 // other routers, and these reach the targets.
 // Cause: the router declares all of its targets lost, whose only fault is its own link.
 func TestRouterThatReachesNoTargetMovesNoKeys(t *testing.T) {
-	for _, check := range kinds {
+	for _, check := range grantChecks {
 		w := lossWorld(t, 3, check)
 		before := w.Moves
-		w.Blind(0, 4*time.Second)
+		w.CutTargets(0, 4*time.Second)
 		if !check.ChecksTokens && !check.Expires {
-			w.After(280*ms, func() { w.TellHealthOf(0, true) })
+			w.After(280*ms, func() { w.ReportHealthFrom(0, true) })
 		}
 		w.Run(3 * time.Second)
 		assert.Equal(t, w.Moves-before, 0, "%+v: %v", check, w.Reports)
-		assert.Equal(t, keptBy(w, 0), 0, "%+v", check)
+		assert.Equal(t, countGrantedBy(w, 0), 0, "%+v", check)
 		assert.Equal(t, len(w.Unserved(100*ms)), 0, "%+v: %v", check, w.Reports)
 		assert.Equal(t, len(w.Violations), 0, "%v", w.Violations)
 	}
@@ -61,10 +61,10 @@
 // Sequence: the only router reaches no target for a second.
 // Cause: nobody else can be asked, and the silence of all targets is taken at its word.
 func TestSingleRouterMovesAtMostHalfAtOnce(t *testing.T) {
-	for _, check := range kinds[:2] {
+	for _, check := range grantChecks[:2] {
 		w := lossWorld(t, 1, check)
 		before := len(w.Reports)
-		w.Blind(0, time.Second)
+		w.CutTargets(0, time.Second)
 		w.Run(900 * ms)
 		lost, held := 0, 0
 		for _, r := range w.Reports[before:] {
@@ -86,10 +86,10 @@
 // Sequence: a router reaches neither targets nor store nor other routers for a while.
 // Cause: it doubts the targets before it doubts itself.
 func TestRouterThatIsCutOffDeclaresNothingLost(t *testing.T) {
-	for _, check := range kinds[:2] {
+	for _, check := range grantChecks[:2] {
 		w := lossWorld(t, 1, check)
 		before := w.Moves
-		w.Blind(0, 2*time.Second)
+		w.CutTargets(0, 2*time.Second)
 		w.CutStore(0, 2*time.Second)
 		w.Run(4 * time.Second)
 		assert.Equal(t, w.Moves-before, 0, "%+v: %v", check, w.Reports)
@@ -102,7 +102,7 @@
 // Cause: the cap on losses waits where other routers could have said that they don't
 // reach the targets either.
 func TestManyLossesThatOthersConfirmAreNotHeldUp(t *testing.T) {
-	for _, check := range kinds {
+	for _, check := range grantChecks {
 		w := lossWorld(t, 3, check)
 		w.Track()
 		for i := range 9 {
@@ -139,13 +139,13 @@
 // Sequence: one router reaches no target for a minute; it reaches all else.
 // Cause: the duties that it gave away are handed back to it as to any router that lives.
 func TestDutiesAreHandedBackOnceTheTargetsAreReached(t *testing.T) {
-	for _, check := range kinds {
+	for _, check := range grantChecks {
 		w := lossWorld(t, 3, check)
-		own := keptBy(w, 0)
-		w.Blind(0, 30*time.Second)
+		own := countGrantedBy(w, 0)
+		w.CutTargets(0, 30*time.Second)
 		if !check.ChecksTokens && !check.Expires {
-			w.After(280*ms, func() { w.TellHealthOf(0, true) })
-			w.After(30*time.Second, func() { w.TellHealthOf(0, false) })
+			w.After(280*ms, func() { w.ReportHealthFrom(0, true) })
+			w.After(30*time.Second, func() { w.ReportHealthFrom(0, false) })
 		}
 		w.Run(3 * time.Second)
 		before := len(w.Reports)
@@ -164,7 +164,7 @@
 		}
 		assert.DeepEqual(t, given, taken)
 		w.Run(20 * time.Second)
-		assert.Equal(t, keptBy(w, 0), own, "%+v", check)
+		assert.Equal(t, countGrantedBy(w, 0), own, "%+v", check)
 		assert.Equal(t, len(w.Violations), 0, "%v", w.Violations)
 	}
 }
--- a/core/ownership/move.go
+++ b/core/ownership/move.go
@@ -17,8 +17,8 @@
 	to   string
 	// releasedAt is when this router learnt that the first write landed.
 	releasedAt time.Duration
-	// lapse is when the target's grant of the unit has lapsed by itself.
-	lapse time.Duration
+	// grantExpiresAt is when the target's grant of the unit has lapsed by itself.
+	grantExpiresAt time.Duration
 	// confirmed means the target accepted a set without the unit and is done with it.
 	confirmed bool
 	// drained means that no work of this router is in flight.
@@ -72,8 +72,8 @@
 	}
 }
 
-// intents collects the changes of one record that go into one write.
-type intents struct {
+// recordChanges collects the changes of one record that go into one write.
+type recordChanges struct {
 	changes  []unitChange
 	assigned []Assigned
 }
@@ -84,7 +84,7 @@
 }
 
 func (k *Keeper) advanceMoves(now time.Duration) {
-	for _, d := range k.own {
+	for _, d := range k.dutyList {
 		if d.phase == serving {
 			k.adoptReleasing(d)
 			k.planLeaving(d)
@@ -93,14 +93,14 @@
 	if len(k.moves) == 0 {
 		return
 	}
-	byKey := map[string]*intents{}
+	byKey := map[string]*recordChanges{}
 	closing := map[string][]routing.Unit{}
 	for _, m := range k.sortedMoves() {
 		k.advanceMove(now, m, byKey, closing)
 	}
 	k.closeSends(now, closing)
 	for _, key := range sortedKeys(byKey) {
-		k.writeIntents(now, key, byKey[key])
+		k.writeRecordChanges(now, key, byKey[key])
 	}
 }
 
@@ -128,10 +128,10 @@
 
 // adoptReleasing goes on with moves that an earlier grantor began.
 func (k *Keeper) adoptReleasing(d *duty) {
-	if d.adopted == k.table {
+	if d.releasesScanned == k.table {
 		return
 	}
-	d.adopted = k.table
+	d.releasesScanned = k.table
 	k.table.EachUnit(d.spec.Service, func(u routing.Unit, st UnitState) {
 		if st.Target == d.spec.Name && st.Releasing && k.moves[u] == nil {
 			k.moves[u] = &move{unit: u, from: st.Target, to: st.Next}
@@ -139,7 +139,7 @@
 	})
 }
 
-func (k *Keeper) advanceMove(now time.Duration, m *move, byKey map[string]*intents, closing map[string][]routing.Unit) {
+func (k *Keeper) advanceMove(now time.Duration, m *move, byKey map[string]*recordChanges, closing map[string][]routing.Unit) {
 	d := k.duties[m.from]
 	st, ok := k.table.State(m.unit)
 	if d == nil || d.phase != serving || !ok || st.Target != m.from {
@@ -147,7 +147,7 @@
 		return
 	}
 	if st.Releasing && m.releasedAt == 0 {
-		m.releasedAt, m.lapse = now, d.lapse
+		m.releasedAt, m.grantExpiresAt = now, d.grantsExpireAt
 		closing[m.from] = append(closing[m.from], m.unit)
 	}
 	key := UnitKey(m.unit)
@@ -156,17 +156,17 @@
 	}
 	in := byKey[key]
 	if in == nil {
-		in = &intents{}
+		in = &recordChanges{}
 		byKey[key] = in
 	}
 	if !st.Releasing {
 		in.changes = append(in.changes, unitChange{m.unit, UnitState{Target: st.Target, Token: st.Token, Releasing: true, Next: m.to}})
 		return
 	}
-	if !k.gone(now, d, m) {
+	if !k.oldOwnerStopped(now, d, m) {
 		return
 	}
-	if to := k.receiver(d, m); to != "" {
+	if to := k.currentReceiver(d, m); to != "" {
 		in.changes = append(in.changes, unitChange{m.unit, UnitState{Target: to, Token: st.Token + 1}})
 		in.assigned = append(in.assigned, Assigned{Unit: m.unit, From: m.from, To: to, Token: st.Token + 1})
 	}
@@ -175,13 +175,13 @@
 // mayWrite reports whether this router is the single writer of units leaving the
 // target. A router whose authority lapsed is not, even if nobody has told it yet.
 func (k *Keeper) mayWrite(now time.Duration, d *duty) bool {
-	return !d.storeless && !d.asker.active && now < d.validUntil(k)
+	return !d.withoutStore && !d.received.active && now < d.validUntil(k)
 }
 
-// gone reports whether the old owner provably doesn't serve the unit any more.
-func (k *Keeper) gone(now time.Duration, d *duty, m *move) bool {
+// oldOwnerStopped reports whether the old owner provably doesn't serve the unit any more.
+func (k *Keeper) oldOwnerStopped(now time.Duration, d *duty, m *move) bool {
 	if k.cfg.omit == omitConfirm {
-		return m.drained || k.lost[m.from]
+		return m.drained || k.lostTargets[m.from]
 	}
 	if d.confirmedAt < m.releasedAt {
 		// Without a confirmation of the record that was asked for after the first write
@@ -196,16 +196,16 @@
 	case m.confirmed && drained:
 		return true
 	case !d.spec.Grants.Expires:
-		return drained && now >= m.releasedAt+k.cfg.OrderBound && k.lost[m.from]
-	case k.lost[m.from]:
-		return now >= m.lapse
+		return drained && now >= m.releasedAt+k.cfg.OrderBound && k.lostTargets[m.from]
+	case k.lostTargets[m.from]:
+		return now >= m.grantExpiresAt
 	default:
-		return drained && now >= m.lapse
+		return drained && now >= m.grantExpiresAt
 	}
 }
 
-// receiver is the next owner, chosen anew where the one meant is lost or leaves.
-func (k *Keeper) receiver(d *duty, m *move) string {
+// currentReceiver is the next owner, chosen anew where the one meant is lost or leaves.
+func (k *Keeper) currentReceiver(d *duty, m *move) string {
 	candidates := k.candidates(d.spec.Service, k.cfg.DataCentre)
 	for _, c := range candidates {
 		if c.Name == m.to {
@@ -232,12 +232,12 @@
 	}
 	k.refreshGate()
 	for _, target := range sortedKeys(closing) {
-		k.do(CloseSend{Target: target, Units: closing[target], Abort: k.lost[target]})
+		k.emit(CloseSend{Target: target, Units: closing[target], Abort: k.lostTargets[target]})
 		k.sendRead(now, k.duties[target])
 	}
 }
 
-func (k *Keeper) writeIntents(now time.Duration, key string, in *intents) {
+func (k *Keeper) writeRecordChanges(now time.Duration, key string, in *recordChanges) {
 	if len(in.changes) == 0 {
 		return
 	}
--- a/core/ownership/mutant_test.go
+++ b/core/ownership/mutant_test.go
@@ -24,7 +24,7 @@
 	for name, rule := range mutants {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			gen := rapid.Custom(func(t *rapid.T) []string { return drawHistory(t, rule).Violations })
+			gen := rapid.Custom(func(t *rapid.T) []string { return generatedHistory(t, rule).Violations })
 			for seed := range histories {
 				if v := gen.Example(seed); len(v) > 0 {
 					t.Logf("history %d: %s", seed, v[0])
--- a/core/ownership/ownershiptest/check.go
+++ b/core/ownership/ownershiptest/check.go
@@ -9,8 +9,8 @@
 	"tarragongw/core/routing"
 )
 
-// request sends one request on each unit from every router that may.
-func (w *World) request() {
+// sendRequests sends one request on each unit from every router that may.
+func (w *World) sendRequests() {
 	for _, u := range w.Units() {
 		for _, r := range w.routers {
 			if !r.dead && !r.paused {
@@ -18,7 +18,7 @@
 			}
 		}
 	}
-	w.after(w.opt.RequestEvery, w.request)
+	w.after(w.opt.RequestEvery, w.sendRequests)
 }
 
 // Units lists the units of all services.
@@ -45,7 +45,7 @@
 	}
 	term := r.gate.Term(owner.Target)
 	t := w.targets[owner.Target]
-	way := w.jitter(oneWay) + w.slow() + w.distance(r, t)
+	way := w.jitter(networkLatency) + w.orderDelay() + w.addedLatency(r, t)
 	if way > ownership.DefaultOrderBound {
 		w.violate(fmt.Sprintf("work was under way to %s for %v", owner.Target, way))
 	}
@@ -66,25 +66,25 @@
 		if term < t.term {
 			return
 		}
-	} else if term < t.maxTerm && from != t.orderedBy {
-		w.violate(fmt.Sprintf("target %s got an order of term %d after one of term %d", t.spec.Name, term, t.maxTerm))
+	} else if term < t.highestTerm && from != t.highestTermFrom {
+		w.violate(fmt.Sprintf("target %s got an order of term %d after one of term %d", t.spec.Name, term, t.highestTerm))
 	}
-	if term >= t.maxTerm {
-		t.maxTerm, t.orderedBy = term, from
+	if term >= t.highestTerm {
+		t.highestTerm, t.highestTermFrom = term, from
 	}
-	if token < w.maxToken[u] {
-		w.violate(fmt.Sprintf("unit %s ran at %s with token %d after token %d", u, t.spec.Name, token, w.maxToken[u]))
+	if token < w.highestToken[u] {
+		w.violate(fmt.Sprintf("unit %s ran at %s with token %d after token %d", u, t.spec.Name, token, w.highestToken[u]))
 	}
-	w.maxToken[u] = max(w.maxToken[u], token)
-	w.by[written{u, token, t.spec.Name}] = true
+	w.highestToken[u] = max(w.highestToken[u], token)
+	w.executed[assignment{u, token, t.spec.Name}] = true
 	if s := w.served[u]; s != nil {
-		if s.tracked {
-			s.gap = max(s.gap, w.now-s.last)
+		if s.measuring {
+			s.longestGap = max(s.longestGap, w.now-s.lastRun)
 		}
-		s.last = w.now
+		s.lastRun = w.now
 		return
 	}
-	w.served[u] = &service{last: w.now}
+	w.served[u] = &serviceTimes{lastRun: w.now}
 }
 
 // checkGrants looks for a unit that two targets hold at the same time.
@@ -105,13 +105,13 @@
 	}
 }
 
-func (w *World) acknowledged(a ownership.Assigned) {
-	e := written{a.Unit, a.Token, a.To}
-	w.acked = append(w.acked, e)
+func (w *World) checkAcknowledged(a ownership.Assigned) {
+	e := assignment{a.Unit, a.Token, a.To}
+	w.acknowledged = append(w.acknowledged, e)
 	if a.From != "" {
 		w.Moves++
 	}
-	if !w.store.log[e] {
+	if !w.store.assignments[e] {
 		w.violate(fmt.Sprintf("assignment of %s to %s token %d was acknowledged and is not in the store", a.Unit, a.To, a.Token))
 	}
 }
@@ -119,7 +119,7 @@
 // Track starts to measure the longest time between two runs of each unit.
 func (w *World) Track() {
 	for _, s := range w.served {
-		s.tracked, s.gap = true, 0
+		s.measuring, s.longestGap = true, 0
 	}
 }
 
@@ -130,14 +130,14 @@
 	if s == nil {
 		return w.now
 	}
-	return max(s.gap, w.now-s.last)
+	return max(s.longestGap, w.now-s.lastRun)
 }
 
 // Unserved lists the units that did not run within the last d.
 func (w *World) Unserved(d time.Duration) []string {
 	var out []string
 	for _, u := range w.Units() {
-		if s := w.served[u]; s == nil || w.now-s.last > d {
+		if s := w.served[u]; s == nil || w.now-s.lastRun > d {
 			out = append(out, u.String())
 		}
 	}
--- a/core/ownership/ownershiptest/fault.go
+++ b/core/ownership/ownershiptest/fault.go
@@ -44,22 +44,22 @@
 	}
 }
 
-// stopNotice is the time from the news that a router leaves to its stop.
-const stopNotice = 20 * time.Millisecond
+// stopDelay is the time from the news that a router leaves to its stop.
+const stopDelay = 20 * time.Millisecond
 
 // StopRouter is a planned stop: the router announces it, hands its duties over and ends
 // after d.
 func (w *World) StopRouter(i int, d time.Duration) {
 	r := w.routers[i]
 	r.leaving = true
-	r.answer(stopNotice, func() ownership.Event { return ownership.Stop{} })
+	r.deliverAfter(stopDelay, func() ownership.Event { return ownership.Stop{} })
 	w.after(d, func() { w.KillRouter(i, 0) })
 }
 
 // Relay is the router that the given one asks for confirmations, or -1.
 func (w *World) Relay(i int) int {
 	for _, o := range w.routers {
-		if r := w.routers[i]; r.confirms != nil && o.self.Name == r.confirms.Relay() {
+		if r := w.routers[i]; r.confirmCore != nil && o.self.Name == r.confirmCore.Relay() {
 			return o.index
 		}
 	}
@@ -67,7 +67,7 @@
 }
 
 // ConfirmStats are the counts of a router's relaying in its present life.
-func (w *World) ConfirmStats(i int) confirm.Stats { return w.routers[i].confirms.Stats() }
+func (w *World) ConfirmStats(i int) confirm.Stats { return w.routers[i].confirmCore.Stats() }
 
 // FreezeTarget stops a target for d; it returns as if nothing had happened.
 func (w *World) FreezeTarget(name string, d time.Duration) {
@@ -80,18 +80,18 @@
 // targets without grants are all there is, notice after detect.
 func (w *World) KillTarget(name string, detect time.Duration) {
 	w.targets[name].dead = true
-	w.after(detect, func() { w.TellHealth(name, true) })
+	w.after(detect, func() { w.ReportHealth(name, true) })
 }
 
-// TellHealth gives all routers a verdict on a target.
-func (w *World) TellHealth(name string, lost bool) {
+// ReportHealth gives all routers a verdict on a target.
+func (w *World) ReportHealth(name string, lost bool) {
 	for _, r := range w.routers {
 		r.step(ownership.TargetHealth{Target: name, Lost: lost})
 	}
 }
 
-// TellHealthOf gives one router a verdict on all targets, as its own checks would.
-func (w *World) TellHealthOf(i int, lost bool) {
+// ReportHealthFrom gives one router a verdict on all targets, as its own checks would.
+func (w *World) ReportHealthFrom(i int, lost bool) {
 	for _, name := range w.names {
 		w.routers[i].step(ownership.TargetHealth{Target: name, Lost: lost})
 	}
@@ -107,24 +107,24 @@
 // CutLink keeps two routers from each other for d.
 func (w *World) CutLink(a, b int, d time.Duration) {
 	key := [2]int{min(a, b), max(a, b)}
-	w.cut[key] = true
-	w.after(d, func() { delete(w.cut, key) })
+	w.cutLinks[key] = true
+	w.after(d, func() { delete(w.cutLinks, key) })
 }
 
-// Deafen keeps a router from hearing the others as live for d; they go on hearing it.
-func (w *World) Deafen(i int, d time.Duration) {
-	w.deaf[i] = w.now + d
+// DropHeartbeats keeps a router from hearing the others as live for d; they go on hearing it.
+func (w *World) DropHeartbeats(i int, d time.Duration) {
+	w.deafUntil[i] = w.now + d
 }
 
-// Blind keeps a router from reaching any target for d.
-func (w *World) Blind(i int, d time.Duration) {
-	w.blind[i] = w.now + d
+// CutTargets keeps a router from reaching any target for d.
+func (w *World) CutTargets(i int, d time.Duration) {
+	w.targetsUnreachableUntil[i] = w.now + d
 }
 
 // RefuseWrites makes the store refuse all writes at once for d.
 func (w *World) RefuseWrites(d time.Duration) {
-	w.refusing = true
-	w.after(d, func() { w.refusing = false })
+	w.refusingWrites = true
+	w.after(d, func() { w.refusingWrites = false })
 }
 
 // Island keeps a router from the store and from all other routers for d.
--- a/core/ownership/ownershiptest/relay.go
+++ b/core/ownership/ownershiptest/relay.go
@@ -12,16 +12,16 @@
 // dataCentre is that of all routers and targets of a world.
 const dataCentre = "dc1"
 
-func (r *router) startConfirms() {
-	r.confirms = nil
+func (r *router) startConfirmCore() {
+	r.confirmCore = nil
 	if r.world.opt.Confirm != nil {
-		r.confirms = confirm.New(r.world.opt.Confirm(r.self))
+		r.confirmCore = confirm.New(r.world.opt.Confirm(r.self))
 	}
 }
 
-// askRelay hands the reads of one step that may be relayed to the relaying core.
-func (r *router) askRelay(actions []ownership.Action) {
-	if r.confirms == nil {
+// requestRelayedReads hands the reads of one step that may be relayed to the relaying core.
+func (r *router) requestRelayedReads(actions []ownership.Action) {
+	if r.confirmCore == nil {
 		return
 	}
 	var asked confirm.Asked
@@ -32,13 +32,13 @@
 		}
 	}
 	if len(asked.Reads) > 0 {
-		r.stepConfirms(asked)
+		r.stepConfirmCore(asked)
 	}
 }
 
-func (r *router) tellMembers(live, leaving []ownership.Router) {
-	if r.confirms != nil {
-		r.stepConfirms(confirm.Members{Live: sortedNames(live), Leaving: sortedNames(leaving)})
+func (r *router) updateConfirmMembers(live, leaving []ownership.Router) {
+	if r.confirmCore != nil {
+		r.stepConfirmCore(confirm.Members{Live: sortedNames(live), Leaving: sortedNames(leaving)})
 	}
 }
 
@@ -51,16 +51,16 @@
 	return names
 }
 
-// stepConfirms takes an event of this life through the relaying core.
-func (r *router) stepConfirms(e confirm.Event) {
+// stepConfirmCore takes an event of this life through the relaying core.
+func (r *router) stepConfirmCore(e confirm.Event) {
 	if r.dead {
 		return
 	}
 	if r.paused {
-		r.backlog = append(r.backlog, func() { r.stepConfirms(e) })
+		r.backlog = append(r.backlog, func() { r.stepConfirmCore(e) })
 		return
 	}
-	for _, a := range r.confirms.Step(r.local(), e) {
+	for _, a := range r.confirmCore.Step(r.local(), e) {
 		switch a := a.(type) {
 		case confirm.Send:
 			r.world.sendConfirm(r, a)
@@ -71,7 +71,7 @@
 				Outcome: ownership.Landed, Revision: a.Record.Revision, Value: a.Record.Value})
 		}
 	}
-	r.confirmDue = r.local() + r.confirms.Wake(r.local())
+	r.confirmTickDue = r.local() + r.confirmCore.Wake(r.local())
 }
 
 // sendConfirm loses some messages and brings some twice, the second time late; they
@@ -82,9 +82,9 @@
 		if o.self.Name != a.To || !w.linked(r.index, o.index) || w.rand.Float64() < w.opt.ReplyLoss {
 			continue
 		}
-		w.after(w.jitter(oneWay), func() { o.stepConfirms(e) })
+		w.after(w.jitter(networkLatency), func() { o.stepConfirmCore(e) })
 		if w.opt.ReplyLoss > 0 && w.rand.Intn(16) == 0 {
-			w.after(time.Duration(w.rand.Int63n(int64(time.Second))), func() { o.stepConfirms(e) })
+			w.after(time.Duration(w.rand.Int63n(int64(time.Second))), func() { o.stepConfirmCore(e) })
 		}
 	}
 }
@@ -92,10 +92,10 @@
 // listGrantors lists the grantor records; one call in 16 is answered late.
 func (w *World) listGrantors(r *router, id uint64) {
 	answer := func(d time.Duration, e confirm.Listed) {
-		life := r.confirms
+		life := r.confirmCore
 		w.after(d, func() {
-			if r.confirms == life {
-				r.stepConfirms(e)
+			if r.confirmCore == life {
+				r.stepConfirmCore(e)
 			}
 		})
 	}
@@ -103,10 +103,10 @@
 		answer(callTimeout, confirm.Listed{ID: id})
 		return
 	}
-	w.after(w.jitter(storeWay), func() {
+	w.after(w.jitter(storeLatency), func() {
 		w.store.reads++
 		e := confirm.Listed{ID: id, OK: true, Records: w.store.grantors()}
-		way := w.jitter(storeWay)
+		way := w.jitter(storeLatency)
 		if w.opt.ReplyLoss > 0 && w.rand.Intn(16) == 0 {
 			way = time.Duration(w.rand.Int63n(int64(4 * callTimeout)))
 		}
--- a/core/ownership/ownershiptest/elsewhere.go
+++ b/core/ownership/ownershiptest/remote.go
@@ -16,9 +16,9 @@
 	return all[r.index%len(all)]
 }
 
-// elsewhere is what the router holds of the other data centres: one of which it has heard
+// otherDataCentres is what the router holds of the other data centres: one of which it has heard
 // no router for CutOff is cut off.
-func (r *router) elsewhere() []ownership.FarDataCentre {
+func (r *router) otherDataCentres() []ownership.FarDataCentre {
 	var out []ownership.FarDataCentre
 	for _, dc := range r.world.opt.DataCentres {
 		if dc == r.dataCentre() || slices.ContainsFunc(out, func(f ownership.FarDataCentre) bool { return f.Name == dc }) {
@@ -26,7 +26,7 @@
 		}
 		heard := time.Duration(-1)
 		for _, o := range r.world.routers {
-			if at, ok := r.seenAt[o.index]; ok && o.dataCentre() == dc {
+			if at, ok := r.heardAt[o.index]; ok && o.dataCentre() == dc {
 				heard = max(heard, at)
 			}
 		}
@@ -35,15 +35,15 @@
 	return out
 }
 
-func (w *World) distance(r *router, t *fakeTarget) time.Duration {
+func (w *World) addedLatency(r *router, t *fakeTarget) time.Duration {
 	if r.dataCentre() == t.spec.DataCentre {
 		return 0
 	}
-	return w.Distance
+	return w.AddedLatency
 }
 
-// in lists the routers of a data centre.
-func (w *World) in(dc string) []int {
+// routersIn lists the routers of a data centre.
+func (w *World) routersIn(dc string) []int {
 	var out []int
 	for _, r := range w.routers {
 		if r.dataCentre() == dc {
@@ -56,8 +56,8 @@
 // CutDataCentre keeps a data centre's routers from those of the others, and the routers of
 // either side from the targets of the other, for d.
 func (w *World) CutDataCentre(dc string, d time.Duration) {
-	w.PartTargets(dc, d)
-	for _, i := range w.in(dc) {
+	w.PartitionTargets(dc, d)
+	for _, i := range w.routersIn(dc) {
 		for _, o := range w.routers {
 			if o.dataCentre() != dc {
 				w.CutLink(i, o.index, d)
@@ -66,23 +66,23 @@
 	}
 }
 
-// PartTargets keeps the routers of either side from the targets of the other for d.
-func (w *World) PartTargets(dc string, d time.Duration) { w.parted[dc] = w.now + d }
+// PartitionTargets keeps the routers of either side from the targets of the other for d.
+func (w *World) PartitionTargets(dc string, d time.Duration) { w.partitionedUntil[dc] = w.now + d }
 
-// CutStoreOf keeps a data centre from the store for d.
-func (w *World) CutStoreOf(dc string, d time.Duration) {
-	for _, i := range w.in(dc) {
+// CutStoreFromDataCentre keeps a data centre from the store for d.
+func (w *World) CutStoreFromDataCentre(dc string, d time.Duration) {
+	for _, i := range w.routersIn(dc) {
 		w.CutStore(i, d)
 	}
 }
 
-// DeafenTo keeps a data centre's routers from hearing those of the others for d; they go on
+// DropHeartbeatsFromOthers keeps a data centre's routers from hearing those of the others for d; they go on
 // being heard.
-func (w *World) DeafenTo(dc string, d time.Duration) {
-	for _, i := range w.in(dc) {
+func (w *World) DropHeartbeatsFromOthers(dc string, d time.Duration) {
+	for _, i := range w.routersIn(dc) {
 		for _, o := range w.routers {
 			if o.dataCentre() != dc {
-				w.deafTo[[2]int{i, o.index}] = w.now + d
+				w.deafToUntil[[2]int{i, o.index}] = w.now + d
 			}
 		}
 	}
@@ -90,7 +90,7 @@
 
 // LoseDataCentre ends a data centre's routers and targets for good.
 func (w *World) LoseDataCentre(dc string) {
-	for _, i := range w.in(dc) {
+	for _, i := range w.routersIn(dc) {
 		w.KillRouter(i, 0)
 	}
 	for _, name := range w.names {
@@ -108,11 +108,11 @@
 	}
 }
 
-// Check is what the target checks.
-func (w *World) Check(target string) model.GrantCheck { return w.targets[target].spec.Grants }
+// GrantCheck is what the target checks.
+func (w *World) GrantCheck(target string) model.GrantCheck { return w.targets[target].spec.Grants }
 
-// Count is the number of reports of a kind.
-func (w *World) Count(kind ownership.ReportKind) int {
+// CountReports is the number of reports of a kind.
+func (w *World) CountReports(kind ownership.ReportKind) int {
 	n := 0
 	for _, r := range w.Reports {
 		if r.Kind == kind {
--- a/core/ownership/ownershiptest/sim.go
+++ b/core/ownership/ownershiptest/sim.go
@@ -7,9 +7,9 @@
 
 // sim runs functions in order of time; equal times in order of insertion.
 type sim struct {
-	now   time.Duration
-	queue eventQueue
-	count int
+	now      time.Duration
+	queue    eventQueue
+	inserted int
 }
 
 type simEvent struct {
@@ -41,8 +41,8 @@
 }
 
 func (s *sim) after(d time.Duration, run func()) {
-	s.count++
-	heap.Push(&s.queue, simEvent{s.now + d, s.count, run})
+	s.inserted++
+	heap.Push(&s.queue, simEvent{s.now + d, s.inserted, run})
 }
 
 func (s *sim) runUntil(end time.Duration) {
--- a/core/ownership/ownershiptest/store.go
+++ b/core/ownership/ownershiptest/store.go
@@ -12,8 +12,8 @@
 	value    []byte
 }
 
-// written is one assignment that landed in the store.
-type written struct {
+// assignment is one assignment that landed in the store.
+type assignment struct {
 	unit  routing.Unit
 	token uint64
 	to    string
@@ -22,14 +22,14 @@
 type store struct {
 	records map[string]record
 	// owners is the last assignment of each unit, log all of them.
-	owners map[routing.Unit]written
-	log    map[written]bool
-	writes int
-	reads  int
+	owners      map[routing.Unit]assignment
+	assignments map[assignment]bool
+	writes      int
+	reads       int
 }
 
 func newStore() *store {
-	return &store{records: map[string]record{}, owners: map[routing.Unit]written{}, log: map[written]bool{}}
+	return &store{records: map[string]record{}, owners: map[routing.Unit]assignment{}, assignments: map[assignment]bool{}}
 }
 
 // cas returns the outcome; it reports a violation where a token does not grow.
@@ -40,10 +40,10 @@
 		return ownership.Conflict, old.revision, nil
 	}
 	s.records[c.Key] = record{old.revision + 1, c.Value}
-	return ownership.Landed, old.revision + 1, s.note(c)
+	return ownership.Landed, old.revision + 1, s.recordAssignments(c)
 }
 
-func (s *store) note(c ownership.CAS) error {
+func (s *store) recordAssignments(c ownership.CAS) error {
 	if !ownership.IsShardKey(c.Key) {
 		return nil
 	}
@@ -56,12 +56,12 @@
 		if st.Target == "" {
 			return
 		}
-		w, old := written{u, st.Token, st.Target}, s.owners[u]
+		w, old := assignment{u, st.Token, st.Target}, s.owners[u]
 		if w.token < old.token || w.token == old.token && w.to != old.to {
 			bad = fmt.Errorf("store: unit %s went from %s token %d to %s token %d", u, old.to, old.token, w.to, w.token)
 		}
 		s.owners[u] = w
-		s.log[w] = true
+		s.assignments[w] = true
 	})
 	return bad
 }
--- a/core/ownership/ownershiptest/target.go
+++ b/core/ownership/ownershiptest/target.go
@@ -17,9 +17,9 @@
 	digest   uint64
 	expires  time.Duration
 	units    map[routing.Unit]uint64
-	// maxTerm is the highest term of a request that ran, orderedBy its router.
-	maxTerm   uint64
-	orderedBy ownership.Router
+	// highestTerm is the highest term of a request that ran, orderedBy its router.
+	highestTerm     uint64
+	highestTermFrom ownership.Router
 }
 
 func (t *fakeTarget) up() bool { return !t.dead && !t.frozen }
--- a/core/ownership/ownershiptest/world.go
+++ b/core/ownership/ownershiptest/world.go
@@ -41,40 +41,40 @@
 
 // Latencies of the fakes.
 const (
-	tickEvery   = 10 * time.Millisecond
-	oneWay      = 500 * time.Microsecond
-	storeWay    = time.Millisecond
-	callTimeout = 100 * time.Millisecond
-	// listEvery is how often a router catches up with what its watch missed.
-	listEvery = 300 * time.Millisecond
-	// orderLatest is below the default OrderBound; what would take longer is dropped,
+	tickInterval   = 10 * time.Millisecond
+	networkLatency = 500 * time.Microsecond
+	storeLatency   = time.Millisecond
+	callTimeout    = 100 * time.Millisecond
+	// listInterval is how often a router catches up with what its watch missed.
+	listInterval = 300 * time.Millisecond
+	// maxOrderDelay is below the default OrderBound; what would take longer is dropped,
 	// as a connection's deadline does.
-	orderLatest = 20 * time.Millisecond
+	maxOrderDelay = 20 * time.Millisecond
 )
 
 // World is a set of routers, targets and a store in injected time.
 type World struct {
 	sim
-	opt     Options
-	rand    *rand.Rand
-	store   *store
-	routers []*router
-	targets map[string]*fakeTarget
-	names   []string
-	cut     map[[2]int]bool
-	// deaf is until when a router doesn't hear the others as live.
-	deaf map[int]time.Duration
-	// deafTo is the same of two routers.
-	deafTo map[[2]int]time.Duration
-	// blind is until when a router reaches no target.
-	blind map[int]time.Duration
-	// parted is until when routers of a data centre reach no target of others, and the
+	opt      Options
+	rand     *rand.Rand
+	store    *store
+	routers  []*router
+	targets  map[string]*fakeTarget
+	names    []string
+	cutLinks map[[2]int]bool
+	// deafUntil is until when a router doesn't hear the others as live.
+	deafUntil map[int]time.Duration
+	// deafToUntil is the same of two routers.
+	deafToUntil map[[2]int]time.Duration
+	// targetsUnreachableUntil is until when a router reaches no target.
+	targetsUnreachableUntil map[int]time.Duration
+	// partitionedUntil is until when routers of a data centre reach no target of others, and the
 	// other way round.
-	parted map[string]time.Duration
-	// Distance is what the way between data centres adds to an order.
-	Distance time.Duration
-	// refusing makes the store refuse writes at once.
-	refusing bool
+	partitionedUntil map[string]time.Duration
+	// AddedLatency is what the way between data centres adds to an order.
+	AddedLatency time.Duration
+	// refusingWrites makes the store refuse writes at once.
+	refusingWrites bool
 	// StoreDown makes the store unreachable for all.
 	StoreDown bool
 	// Violations is what was seen that must never be.
@@ -84,18 +84,18 @@
 	// Reports are the reports of all routers.
 	Reports []ownership.Report
 	// Asked are the targets of all requests for promises, in order.
-	Asked    []string
-	served   map[routing.Unit]*service
-	maxToken map[routing.Unit]uint64
-	by       map[written]bool
-	acked    []written
+	Asked        []string
+	served       map[routing.Unit]*serviceTimes
+	highestToken map[routing.Unit]uint64
+	executed     map[assignment]bool
+	acknowledged []assignment
 }
 
-// service is when a unit was served.
-type service struct {
-	last    time.Duration
-	gap     time.Duration
-	tracked bool
+// serviceTimes is when a unit was served.
+type serviceTimes struct {
+	lastRun    time.Duration
+	longestGap time.Duration
+	measuring  bool
 }
 
 type router struct {
@@ -107,42 +107,42 @@
 	paused bool
 	dead   bool
 	// leaving says that the router announced its planned stop.
-	leaving  bool
-	storeCut bool
-	rate     float64
-	backlog  []func()
-	confirms *confirm.Core
-	// confirmDue is when, on the router's clock, that core asked to be ticked.
-	confirmDue time.Duration
+	leaving     bool
+	storeCut    bool
+	clockRate   float64
+	backlog     []func()
+	confirmCore *confirm.Core
+	// confirmTickDue is when, on the router's clock, that core asked to be ticked.
+	confirmTickDue time.Duration
 	// inFlight is when the last request sent to a target has ended.
 	inFlight map[string]time.Duration
-	seenAt   map[int]time.Duration
+	heardAt  map[int]time.Duration
 	// members is what the keeper was last told.
 	members ownership.Members
 	// targets are those of the configuration that the router has.
 	targets []ownership.TargetSpec
-	// due is when, on the router's clock, the keeper asked to be ticked.
-	due time.Duration
+	// tickDue is when, on the router's clock, the keeper asked to be ticked.
+	tickDue time.Duration
 }
 
 // New builds a world and starts it.
 func New(opt Options) *World {
 	w := &World{opt: opt, rand: rand.New(rand.NewSource(opt.Seed)), store: newStore(), targets: map[string]*fakeTarget{},
-		cut: map[[2]int]bool{}, deaf: map[int]time.Duration{}, deafTo: map[[2]int]time.Duration{}, blind: map[int]time.Duration{}, parted: map[string]time.Duration{}, served: map[routing.Unit]*service{}, maxToken: map[routing.Unit]uint64{}, by: map[written]bool{}}
+		cutLinks: map[[2]int]bool{}, deafUntil: map[int]time.Duration{}, deafToUntil: map[[2]int]time.Duration{}, targetsUnreachableUntil: map[int]time.Duration{}, partitionedUntil: map[string]time.Duration{}, served: map[routing.Unit]*serviceTimes{}, highestToken: map[routing.Unit]uint64{}, executed: map[assignment]bool{}}
 	for _, t := range opt.Targets {
 		w.targets[t.Name] = &fakeTarget{spec: t, units: map[routing.Unit]uint64{}}
 		w.names = append(w.names, t.Name)
 	}
 	sort.Strings(w.names)
 	for i := range opt.Routers {
-		r := &router{world: w, index: i, rate: 1 + 0.003*float64(i%3-1)}
+		r := &router{world: w, index: i, clockRate: 1 + 0.003*float64(i%3-1)}
 		w.routers = append(w.routers, r)
 		r.start(1)
 	}
 	w.after(0, w.tick)
-	w.after(listEvery, w.list)
+	w.after(listInterval, w.listRecords)
 	if opt.RequestEvery > 0 {
-		w.after(opt.RequestEvery, w.request)
+		w.after(opt.RequestEvery, w.sendRequests)
 	}
 	return w
 }
@@ -160,13 +160,13 @@
 	r.self = ownership.Router{Name: fmt.Sprintf("r%d", r.index), Incarnation: incarnation}
 	r.keeper = ownership.NewKeeper(r.world.opt.Keeper(r.self))
 	r.gate, r.dead, r.leaving, r.paused, r.backlog, r.members = nil, false, false, false, nil, ownership.Members{}
-	r.due, r.confirmDue = 0, 0
-	r.startConfirms()
+	r.tickDue, r.confirmTickDue = 0, 0
+	r.startConfirmCore()
 	r.inFlight = map[string]time.Duration{}
-	r.seenAt = map[int]time.Duration{}
+	r.heardAt = map[int]time.Duration{}
 	for _, o := range r.world.routers {
-		if r.world.now >= r.world.deaf[r.index] {
-			r.seenAt[o.index] = r.world.now
+		if r.world.now >= r.world.deafUntil[r.index] {
+			r.heardAt[o.index] = r.world.now
 		}
 	}
 	if r.targets == nil {
@@ -177,7 +177,7 @@
 
 // local is the router's own clock, which starts at one hour and runs at its rate.
 func (r *router) local() time.Duration {
-	return time.Hour + time.Duration(float64(r.world.now)*r.rate)
+	return time.Hour + time.Duration(float64(r.world.now)*r.clockRate)
 }
 
 func (r *router) step(e ownership.Event) {
@@ -189,7 +189,7 @@
 		return
 	}
 	if _, tick := e.(ownership.Tick); tick {
-		r.due = 0
+		r.tickDue = 0
 	}
 	r.trace(e)
 	actions := r.keeper.Step(r.local(), e)
@@ -197,9 +197,9 @@
 		r.trace(a)
 		r.carryOut(a)
 	}
-	r.askRelay(actions)
-	if due := r.local() + r.keeper.Wake(r.local()); r.due == 0 || due < r.due {
-		r.due = due
+	r.requestRelayedReads(actions)
+	if due := r.local() + r.keeper.Wake(r.local()); r.tickDue == 0 || due < r.tickDue {
+		r.tickDue = due
 	}
 }
 
@@ -209,8 +209,8 @@
 	}
 }
 
-// answer delivers an event to this life of the router only.
-func (r *router) answer(d time.Duration, e func() ownership.Event) {
+// deliverAfter delivers an event to this life of the router only.
+func (r *router) deliverAfter(d time.Duration, e func() ownership.Event) {
 	life := r.keeper
 	r.world.after(d, func() {
 		if r.keeper == life {
@@ -221,50 +221,50 @@
 
 func (w *World) tick() {
 	for _, r := range w.routers {
-		r.watchMembers()
-		if !r.paused && r.local() >= r.due {
+		r.updateMembers()
+		if !r.paused && r.local() >= r.tickDue {
 			r.step(ownership.Tick{})
 		}
-		if r.confirms != nil && !r.paused && r.local() >= r.confirmDue {
-			r.stepConfirms(confirm.Tick{})
+		if r.confirmCore != nil && !r.paused && r.local() >= r.confirmTickDue {
+			r.stepConfirmCore(confirm.Tick{})
 		}
 	}
-	w.after(tickEvery, w.tick)
+	w.after(tickInterval, w.tick)
 }
 
-func (w *World) linked(a, b int) bool { return !w.cut[[2]int{min(a, b), max(a, b)}] }
+func (w *World) linked(a, b int) bool { return !w.cutLinks[[2]int{min(a, b), max(a, b)}] }
 
-// watchMembers stands in for the membership: a router is live while it was heard
+// updateMembers stands in for the membership: a router is live while it was heard
 // within Detect.
-func (r *router) watchMembers() {
+func (r *router) updateMembers() {
 	if r.dead || r.paused {
 		return
 	}
 	live, leaving := []ownership.Router{}, []ownership.Router{}
 	for _, o := range r.world.routers {
 		if o == r || !o.dead && !o.paused && r.world.hears(r.index, o.index) {
-			r.seenAt[o.index] = r.world.now
+			r.heardAt[o.index] = r.world.now
 		}
-		if at, ok := r.seenAt[o.index]; ok && r.world.now-at < r.world.opt.Detect && o.dataCentre() == r.dataCentre() {
+		if at, ok := r.heardAt[o.index]; ok && r.world.now-at < r.world.opt.Detect && o.dataCentre() == r.dataCentre() {
 			live = append(live, o.self)
 			if o.leaving {
 				leaving = append(leaving, o.self)
 			}
 		}
 	}
-	next := ownership.Members{Live: live, Leaving: leaving, Elsewhere: r.elsewhere()}
+	next := ownership.Members{Live: live, Leaving: leaving, Elsewhere: r.otherDataCentres()}
 	same := slices.Equal(next.Live, r.members.Live) && slices.Equal(next.Leaving, r.members.Leaving) &&
 		slices.Equal(next.Elsewhere, r.members.Elsewhere)
 	if !same {
 		r.members = next
 		r.step(next)
-		r.tellMembers(live, leaving)
+		r.updateConfirmMembers(live, leaving)
 	}
 }
 
 // hears says whether the heartbeats of router b reach router a.
 func (w *World) hears(a, b int) bool {
-	return w.linked(a, b) && w.now >= w.deaf[a] && w.now >= w.deafTo[[2]int{a, b}]
+	return w.linked(a, b) && w.now >= w.deafUntil[a] && w.now >= w.deafToUntil[[2]int{a, b}]
 }
 
 func (w *World) jitter(d time.Duration) time.Duration {
@@ -275,7 +275,7 @@
 	w := r.world
 	switch a := a.(type) {
 	case ownership.Read:
-		if !a.Relayed || r.confirms == nil {
+		if !a.Relayed || r.confirmCore == nil {
 			w.read(r, a)
 		}
 	case ownership.CAS:
@@ -287,13 +287,13 @@
 	case ownership.ProbeTarget:
 		w.probe(r, a)
 	case ownership.CloseSend:
-		r.answer(max(time.Millisecond, r.inFlight[a.Target]-w.now), func() ownership.Event { return ownership.SendClosed{Target: a.Target, Units: a.Units} })
+		r.deliverAfter(max(time.Millisecond, r.inFlight[a.Target]-w.now), func() ownership.Event { return ownership.SendClosed{Target: a.Target, Units: a.Units} })
 	case ownership.SetGate:
 		r.gate = a.Gate
 	case ownership.Publish:
 		w.publish(r, a)
 	case ownership.Assigned:
-		w.acknowledged(a)
+		w.checkAcknowledged(a)
 	case ownership.Report:
 		w.Reports = append(w.Reports, a)
 	}
@@ -304,33 +304,33 @@
 func (w *World) read(r *router, a ownership.Read) {
 	fail := ownership.StoreRead{Key: a.Key, SentAt: a.SentAt, Outcome: ownership.Unavailable}
 	if !w.reachesStore(r) || w.rand.Float64() < w.opt.ReplyLoss {
-		r.answer(callTimeout, func() ownership.Event { return fail })
+		r.deliverAfter(callTimeout, func() ownership.Event { return fail })
 		return
 	}
-	w.after(w.jitter(storeWay), func() {
+	w.after(w.jitter(storeLatency), func() {
 		w.store.reads++
 		rec := w.store.records[a.Key]
 		e := ownership.StoreRead{Key: a.Key, SentAt: a.SentAt, Outcome: ownership.Landed, Revision: rec.revision, Value: rec.value}
-		r.answer(w.jitter(storeWay), func() ownership.Event { return e })
+		r.deliverAfter(w.jitter(storeLatency), func() ownership.Event { return e })
 	})
 }
 
 // compareAndSwap may lose the call, delay it past its timeout, or lose the reply.
 func (w *World) compareAndSwap(r *router, a ownership.CAS) {
 	if !w.reachesStore(r) {
-		r.answer(callTimeout, func() ownership.Event {
+		r.deliverAfter(callTimeout, func() ownership.Event {
 			return ownership.CASResult{Key: a.Key, Op: a.Op, Outcome: ownership.Unavailable}
 		})
 		return
 	}
-	if w.refusing {
-		r.answer(w.jitter(storeWay), func() ownership.Event {
+	if w.refusingWrites {
+		r.deliverAfter(w.jitter(storeLatency), func() ownership.Event {
 			return ownership.CASResult{Key: a.Key, Op: a.Op, Outcome: ownership.Unavailable}
 		})
 		return
 	}
 	lost := w.rand.Float64() < w.opt.ReplyLoss
-	way := w.jitter(storeWay)
+	way := w.jitter(storeLatency)
 	if lost {
 		way = time.Duration(w.rand.Int63n(int64(3 * callTimeout)))
 	}
@@ -341,34 +341,34 @@
 				w.violate(err.Error())
 			}
 			if outcome == ownership.Landed {
-				w.watch(a.Key)
+				w.notifyWatchers(a.Key)
 			}
 			if !lost {
 				e := ownership.CASResult{Key: a.Key, Op: a.Op, Outcome: outcome, Revision: revision}
-				r.answer(w.jitter(storeWay), func() ownership.Event { return e })
+				r.deliverAfter(w.jitter(storeLatency), func() ownership.Event { return e })
 			}
 		})
 	}
 	if lost {
-		r.answer(callTimeout, func() ownership.Event { return ownership.CASResult{Key: a.Key, Op: a.Op, Outcome: ownership.Unknown} })
+		r.deliverAfter(callTimeout, func() ownership.Event { return ownership.CASResult{Key: a.Key, Op: a.Op, Outcome: ownership.Unknown} })
 	}
 }
 
-// list gives each router that reaches the store all records, as a watch that
+// listRecords gives each router that reaches the store all records, as a watch that
 // resumes does.
-func (w *World) list() {
+func (w *World) listRecords() {
 	for _, key := range slices.Sorted(maps.Keys(w.store.records)) {
-		w.watch(key)
+		w.notifyWatchers(key)
 	}
-	w.after(listEvery, w.list)
+	w.after(listInterval, w.listRecords)
 }
 
-// watch tells the routers that reach the store what changed.
-func (w *World) watch(key string) {
+// notifyWatchers tells the routers that reach the store what changed.
+func (w *World) notifyWatchers(key string) {
 	rec := w.store.records[key]
 	for _, r := range w.routers {
 		if w.reachesStore(r) {
-			r.answer(w.jitter(5*storeWay), func() ownership.Event {
+			r.deliverAfter(w.jitter(5*storeLatency), func() ownership.Event {
 				return ownership.StoreChanged{Key: key, Revision: rec.revision, Value: rec.value}
 			})
 		}
@@ -380,7 +380,7 @@
 		if o == r || !w.linked(r.index, o.index) {
 			continue
 		}
-		o.answer(w.jitter(2*oneWay), func() ownership.Event {
+		o.deliverAfter(w.jitter(2*networkLatency), func() ownership.Event {
 			if a.Revision > 0 {
 				return ownership.StoreChanged(a)
 			}
@@ -402,9 +402,9 @@
 			continue
 		}
 		e := ownership.PeerMessage{From: r.self, Message: a.Message}
-		o.answer(w.jitter(oneWay), func() ownership.Event { return e })
+		o.deliverAfter(w.jitter(networkLatency), func() ownership.Event { return e })
 		if a.Message.Kind == ownershippb.Peer_PROMISE_REQUEST && w.rand.Intn(8) == 0 {
-			o.answer(time.Duration(w.rand.Int63n(int64(time.Second))), func() ownership.Event { return e }) // repeated late
+			o.deliverAfter(time.Duration(w.rand.Int63n(int64(time.Second))), func() ownership.Event { return e }) // repeated late
 		}
 	}
 }
@@ -412,13 +412,13 @@
 func (w *World) sendGrant(r *router, a ownership.SendGrant) {
 	silent := ownership.GrantResult{Target: a.Target, Sequence: a.Sequence, Silent: true}
 	t := w.targets[a.Target]
-	way := w.jitter(oneWay) + w.slow() + w.distance(r, t)
+	way := w.jitter(networkLatency) + w.orderDelay() + w.addedLatency(r, t)
 	w.after(way, func() {
 		if way > ownership.DefaultOrderBound && !a.Fence {
 			w.violate(fmt.Sprintf("a grant was under way to %s for %v", a.Target, way))
 		}
 		if !w.reaches(r, t) {
-			r.answer(callTimeout, func() ownership.Event { return silent })
+			r.deliverAfter(callTimeout, func() ownership.Event { return silent })
 			return
 		}
 		ok := t.grant(w.now, a)
@@ -426,33 +426,33 @@
 			w.checkGrants(t)
 		}
 		e := ownership.GrantResult{Target: a.Target, Sequence: a.Sequence, Accepted: ok, Term: t.term}
-		r.answer(w.jitter(oneWay)+w.distance(r, t), func() ownership.Event { return e })
+		r.deliverAfter(w.jitter(networkLatency)+w.addedLatency(r, t), func() ownership.Event { return e })
 	})
 }
 
 func (w *World) reaches(r *router, t *fakeTarget) bool {
-	apart := r.dataCentre() != t.spec.DataCentre && w.now < max(w.parted[r.dataCentre()], w.parted[t.spec.DataCentre])
-	return t.up() && w.now >= w.blind[r.index] && !apart
+	apart := r.dataCentre() != t.spec.DataCentre && w.now < max(w.partitionedUntil[r.dataCentre()], w.partitionedUntil[t.spec.DataCentre])
+	return t.up() && w.now >= w.targetsUnreachableUntil[r.index] && !apart
 }
 
 // probe looks whether the router reaches the target, for another one.
 func (w *World) probe(r *router, a ownership.ProbeTarget) {
 	reached := w.reaches(r, w.targets[a.Target])
-	way := 2 * (w.jitter(oneWay) + w.distance(r, w.targets[a.Target]))
+	way := 2 * (w.jitter(networkLatency) + w.addedLatency(r, w.targets[a.Target]))
 	if !reached {
 		way = callTimeout
 	}
-	r.answer(way, func() ownership.Event {
+	r.deliverAfter(way, func() ownership.Event {
 		return ownership.TargetProbed{Target: a.Target, For: a.For, Reached: reached}
 	})
 }
 
-// slow delays one order in eight.
-func (w *World) slow() time.Duration {
+// orderDelay delays one order in eight.
+func (w *World) orderDelay() time.Duration {
 	if w.rand.Intn(8) > 0 {
 		return 0
 	}
-	return time.Duration(w.rand.Int63n(int64(orderLatest)))
+	return time.Duration(w.rand.Int63n(int64(maxOrderDelay)))
 }
 
 func (w *World) violate(text string) {
--- a/core/ownership/packed.go
+++ b/core/ownership/packed.go
@@ -21,18 +21,18 @@
 	// an entry in moving.
 	owners []uint32
 	tokens []uint64
-	// moving holds what few units have, by their place.
-	moving map[int]moving
-	ops    Ops
+	// releases holds what few units have, by their place.
+	releases map[int]release
+	ops      Ops
 }
 
-// isMoving is the bit of an owner's number that spares the other units a look into moving.
-const isMoving = 1 << 31
+// hasRelease is the bit of an owner's number that spares the other units a look into moving.
+const hasRelease = 1 << 31
 
-// moving is a unit's next owner by number, and whether it is being released.
-type moving struct {
-	next      uint32
-	releasing bool
+// release is a unit's next owner by number, and whether it is being released.
+type release struct {
+	next       uint32
+	inProgress bool
 }
 
 func pack(s *Shard) *packedShard {
@@ -44,18 +44,18 @@
 		service: s.Service, kind: s.Kind, index: s.Index, names: s.Names, ops: s.Ops,
 		owners: make([]uint32, len(units)), tokens: make([]uint64, len(units)),
 	}
-	var d dictionary
+	var d targetIndex
 	for i := range units {
 		st := &units[i]
 		p.owners[i], p.tokens[i] = d.add(st.Target), st.Token
 		if !st.Releasing && st.Next == "" {
 			continue
 		}
-		if p.moving == nil {
-			p.moving = map[int]moving{}
+		if p.releases == nil {
+			p.releases = map[int]release{}
 		}
-		p.owners[i] |= isMoving
-		p.moving[i] = moving{next: d.add(st.Next), releasing: st.Releasing}
+		p.owners[i] |= hasRelease
+		p.releases[i] = release{next: d.add(st.Next), inProgress: st.Releasing}
 	}
 	p.targets = append([]string(nil), d.names...)
 	return p
@@ -85,10 +85,10 @@
 
 func (p *packedShard) state(place int) UnitState {
 	owner := p.owners[place]
-	st := UnitState{Target: p.name(owner &^ isMoving), Token: p.tokens[place]}
-	if owner&isMoving != 0 {
-		m := p.moving[place]
-		st.Next, st.Releasing = p.name(m.next), m.releasing
+	st := UnitState{Target: p.name(owner &^ hasRelease), Token: p.tokens[place]}
+	if owner&hasRelease != 0 {
+		m := p.releases[place]
+		st.Next, st.Releasing = p.name(m.next), m.inProgress
 	}
 	return st
 }
--- a/core/ownership/plan.go
+++ b/core/ownership/plan.go
@@ -6,25 +6,25 @@
 	"tarragongw/core/routing"
 )
 
-// replan looks anew for units to place and to move away.
-func (k *Keeper) replan() {
+// schedulePlanning looks anew for units to place and to move away.
+func (k *Keeper) schedulePlanning() {
 	k.checkUnowned = true
-	for _, d := range k.own {
-		d.planned = nil
+	for _, d := range k.dutyList {
+		d.leavingPlanned = nil
 	}
 }
 
 // planLeaving moves everything off a target that is lost or draining.
 func (k *Keeper) planLeaving(d *duty) {
-	leaving := d.spec.Drain || k.lost[d.spec.Name]
+	leaving := d.spec.Drain || k.lostTargets[d.spec.Name]
 	if !leaving {
-		d.planned = nil
+		d.leavingPlanned = nil
 		return
 	}
-	if d.planned == k.table {
+	if d.leavingPlanned == k.table {
 		return
 	}
-	d.planned = k.table
+	d.leavingPlanned = k.table
 	spec := k.service(d.spec.Service)
 	if spec == nil {
 		return
@@ -44,7 +44,7 @@
 	var home, all, doubtful, cutOff []Candidate
 	for _, name := range k.names {
 		t := k.targets[name]
-		if t.Service != service || t.Drain || k.lost[name] {
+		if t.Service != service || t.Drain || k.lostTargets[name] {
 			continue
 		}
 		c := Candidate{Name: name, Weight: t.Weight}
@@ -52,7 +52,7 @@
 			cutOff = append(cutOff, c)
 			continue
 		}
-		if k.doubtful(k.last, name) {
+		if k.isSuspect(k.lastStepAt, name) {
 			doubtful = append(doubtful, c)
 			continue
 		}
--- a/core/ownership/promise.go
+++ b/core/ownership/promise.go
@@ -9,34 +9,34 @@
 	"tarragongw/core/ownership/ownershippb"
 )
 
-// asker is the grantor's side of promises. While it is active the grantor's
+// receivedPromises is the grantor's side of promises. While it is active the grantor's
 // authority comes from its first successor alone: that one may then act without
 // the store, so a read of the store proves nothing about it. Without this rule a
 // grantor that reaches the store and a successor that doesn't would both send.
-type asker struct {
+type receivedPromises struct {
 	active   bool
 	sequence uint64
 	// echo is the stamp of the successor's last promise since active was set; zero: none
 	// came, and the successor has no right to act without the store.
 	echo uint64
-	// base is the latest time of a confirmation by the store that a request told of.
-	base time.Duration
+	// reportedConfirmedAt is the latest time of a confirmation by the store that a request told of.
+	reportedConfirmedAt time.Duration
 	// sentAt holds when the last requests were sent, by sequence modulo its length.
 	sentAt [8]time.Duration
 }
 
-// giver is the first successor's side.
-type giver struct {
+// givenPromises is the first successor's side.
+type givenPromises struct {
 	term uint64
 	// active means that the grantor relies on promises, so that this router may act
 	// without the store once it has stopped to promise and waited.
 	active bool
-	// asked and ended are the highest sequences of a request and of an end.
-	asked  uint64
-	ended  uint64
-	digest uint64
-	// yield is the YieldAfter in the grantor's record.
-	yield time.Duration
+	// requestSequence and ended are the highest sequences of a request and of an end.
+	requestSequence uint64
+	endSequence     uint64
+	digest          uint64
+	// yieldAfter is the YieldAfter in the grantor's record.
+	yieldAfter time.Duration
 	// confirmedAt is when the store last agreed with the grantor, at the latest.
 	confirmedAt time.Duration
 }
@@ -44,58 +44,58 @@
 // askPromise is called at each interval of renewal.
 func (k *Keeper) askPromise(now time.Duration, d *duty) {
 	s, ok := d.firstSuccessor()
-	if !ok || d.storeless || d.record.Unproved || k.writes[d.key] != nil {
+	if !ok || d.withoutStore || d.record.Unproved || k.writes[d.key] != nil {
 		// A write of the record under way may give the successor's place to another
 		// router, whose claim in the store a promise of the old one wouldn't hold up. And a
 		// successor that is asked may act once the asker's authority is over, which proves
 		// nothing while that one itself waits for others to stop.
 		return
 	}
-	if !d.asker.active && (now-d.confirmedAt <= 2*k.cfg.RenewEvery || !k.isLive(s)) {
+	if !d.received.active && (now-d.confirmedAt <= 2*k.cfg.RenewEvery || !k.isLive(s)) {
 		// A router that is lost gives no promise. Asked all the same, it could not be proved
 		// later not to act without the store, and the target would stay unserved after the
 		// store is back; not asked, it has no right to act.
 		return
 	}
-	if d.asker.active && k.promisesOver(now, d, s) {
+	if d.received.active && k.successorCannotAct(now, d, s) {
 		k.raiseTerm(now, d, true)
 		return
 	}
-	if d.asker.active && !k.isLive(s) && now-d.confirmedAt <= 2*k.cfg.RenewEvery {
-		k.withoutSuccessor(now, d)
+	if d.received.active && !k.isLive(s) && now-d.confirmedAt <= 2*k.cfg.RenewEvery {
+		k.handleLostSuccessor(now, d)
 		return
 	}
-	if !d.asker.active {
-		d.asker.active, d.asker.echo = true, 0
+	if !d.received.active {
+		d.received.active, d.received.echo = true, 0
 	}
-	k.reportSilentStore(now, d)
+	k.reportStoreUnreachable(now, d)
 	k.requestPromise(now, d, s)
 }
 
 func (k *Keeper) requestPromise(now time.Duration, d *duty, s Router) {
-	a := &d.asker
+	a := &d.received
 	a.sequence++
-	a.base = max(a.base, d.confirmedAt)
+	a.reportedConfirmedAt = max(a.reportedConfirmedAt, d.confirmedAt)
 	a.sentAt[a.sequence%uint64(len(a.sentAt))] = now
 	k.send(s, &ownershippb.Peer{Kind: ownershippb.Peer_PROMISE_REQUEST, Target: d.spec.Name, Term: d.term,
 		Sequence: a.sequence, StoreSilenceMs: uint64((now - d.confirmedAt) / time.Millisecond),
 		UnitsDigest: k.unitsDigest(d), Echo: a.echo, YieldAfterNs: int64(d.record.YieldAfter)})
 }
 
-// promisesOver reports whether the successor that was asked provably can't act
+// successorCannotAct reports whether the successor that was asked provably can't act
 // without the store any more: it has ended, or its right has run out.
-func (k *Keeper) promisesOver(now time.Duration, d *duty, s Router) bool {
-	if k.reborn(s) || d.deadConfirmed {
+func (k *Keeper) successorCannotAct(now time.Duration, d *duty, s Router) bool {
+	if k.hasRestarted(s) || d.deadConfirmed {
 		return true
 	}
 	yield := d.record.YieldAfter // no write changes it while promises are relied on
-	return yield > 0 && !k.isLive(s) && now >= d.asker.base+k.cfg.stretch(yield)+k.cfg.waitOut()
+	return yield > 0 && !k.isLive(s) && now >= d.received.reportedConfirmedAt+k.cfg.stretch(yield)+k.cfg.waitOut()
 }
 
-// withoutSuccessor is called where the store answers again and the successor that
+// handleLostSuccessor is called where the store answers again and the successor that
 // was asked for promises is lost; it may act without the store. A target that
 // checks is fenced; for another one nothing proves that it has stopped.
-func (k *Keeper) withoutSuccessor(now time.Duration, d *duty) {
+func (k *Keeper) handleLostSuccessor(now time.Duration, d *duty) {
 	if d.spec.Grants.ChecksTokens {
 		k.raiseTerm(now, d, false)
 		return
@@ -109,7 +109,7 @@
 func (k *Keeper) endPromises(now time.Duration, d *duty) {
 	if s, ok := d.firstSuccessor(); ok {
 		k.send(s, &ownershippb.Peer{Kind: ownershippb.Peer_PROMISE_END, Target: d.spec.Name, Term: d.term,
-			Sequence: d.asker.sequence})
+			Sequence: d.received.sequence})
 	}
 }
 
@@ -125,23 +125,23 @@
 	case ownershippb.Peer_PROMISE:
 		k.takePromise(now, d, e)
 	case ownershippb.Peer_PROMISE_END:
-		k.endGiving(d, e)
+		k.endGivenPromises(d, e)
 	case ownershippb.Peer_PROBE:
-		k.probeFor(now, d, e.From)
+		k.probeForRouter(now, d, e.From)
 	case ownershippb.Peer_PROBED:
-		k.takeProbe(now, d, e)
+		k.noteProbeReply(now, d, e)
 	case ownershippb.Peer_HAND_BACK:
 		k.handBack(now, d, e)
 	case ownershippb.Peer_PROMISE_ENDED:
-		if d.asker.active && m.GetTerm() == d.term && m.GetSequence() == d.asker.sequence {
-			d.asker.active = false
+		if d.received.active && m.GetTerm() == d.term && m.GetSequence() == d.received.sequence {
+			d.received.active = false
 			d.reported = TookOver
 		}
 	}
 }
 
-// gives reports whether this router is the one whose promise the sender needs.
-func (k *Keeper) gives(d *duty, e PeerMessage) bool {
+// mayPromise reports whether this router is the one whose promise the sender needs.
+func (k *Keeper) mayPromise(d *duty, e PeerMessage) bool {
 	return k.isFirstSuccessor(d) && d.record.Router == e.From && d.record.Term == e.Message.GetTerm()
 }
 
@@ -151,41 +151,41 @@
 	m := e.Message
 	reply := &ownershippb.Peer{Kind: ownershippb.Peer_PROMISE, Target: m.Target, Term: m.Term, Sequence: m.Sequence,
 		Stamp: uint64(now / time.Millisecond)}
-	if !k.gives(d, e) || d.phase != idle {
+	if !k.mayPromise(d, e) || d.phase != idle {
 		reply.Refused = true
 		k.send(e.From, reply)
 		return
 	}
-	g := &d.giver
+	g := &d.given
 	if g.term != m.Term {
-		*g = giver{term: m.Term}
+		*g = givenPromises{term: m.Term}
 	}
-	if m.Sequence <= g.ended {
+	if m.Sequence <= g.endSequence {
 		return
 	}
 	// Until the grantor has got a promise it doesn't rely on any, and may go back to the
 	// store without a word. Were the right to act given by the first request, a successor
 	// that is lost in the first moments of an outage could never be proved not to use it.
 	g.active = g.active || m.Echo != 0
-	if m.Sequence > g.asked {
-		g.asked, g.digest, g.yield = m.Sequence, m.UnitsDigest, time.Duration(m.YieldAfterNs)
-		g.confirmedAt = agreedAt(m)
+	if m.Sequence > g.requestSequence {
+		g.requestSequence, g.digest, g.yieldAfter = m.Sequence, m.UnitsDigest, time.Duration(m.YieldAfterNs)
+		g.confirmedAt = lastConfirmedAt(m)
 	}
 	k.send(e.From, reply)
 }
 
-// agreedAt is a time on the successor's own clock at or before which the store last
+// lastConfirmedAt is a time on the successor's own clock at or before which the store last
 // agreed with the asker. It counts from the stamp that the request echoes: from
 // the receipt of a request that was long under way, the time would come out late
 // and the successor would go on after a third router took over.
-func agreedAt(m *ownershippb.Peer) time.Duration {
+func lastConfirmedAt(m *ownershippb.Peer) time.Duration {
 	at := time.Duration(m.Echo)*time.Millisecond - time.Duration(m.StoreSilenceMs+m.StoreSilenceMs/50+1)*time.Millisecond
 	return max(at, 0)
 }
 
 // takePromise extends the authority from when the request was sent.
 func (k *Keeper) takePromise(now time.Duration, d *duty, e PeerMessage) {
-	m, a := e.Message, &d.asker
+	m, a := e.Message, &d.received
 	s, ok := d.firstSuccessor()
 	if !ok || s != e.From || d.phase < waiting || m.Term != d.term || m.Refused || !a.active {
 		return
@@ -201,18 +201,18 @@
 	}
 }
 
-// endGiving gives up the right to act without the store. A late request of before
+// endGivenPromises gives up the right to act without the store. A late request of before
 // is ignored, since its sequence is not above the end's.
-func (k *Keeper) endGiving(d *duty, e PeerMessage) {
-	m, g := e.Message, &d.giver
-	if !k.gives(d, e) || d.phase != idle {
+func (k *Keeper) endGivenPromises(d *duty, e PeerMessage) {
+	m, g := e.Message, &d.given
+	if !k.mayPromise(d, e) || d.phase != idle {
 		return
 	}
 	if g.term != m.Term {
-		*g = giver{term: m.Term}
+		*g = givenPromises{term: m.Term}
 	}
-	g.ended = max(g.ended, m.Sequence)
-	if g.asked <= g.ended {
+	g.endSequence = max(g.endSequence, m.Sequence)
+	if g.requestSequence <= g.endSequence {
 		g.active = false
 	}
 	k.send(e.From, &ownershippb.Peer{Kind: ownershippb.Peer_PROMISE_ENDED, Target: m.Target, Term: m.Term, Sequence: m.Sequence})
@@ -221,39 +221,39 @@
 // actWithoutStore takes the duty up under the term reserved for the first
 // successor, where the grantor relied on promises and the last one has run out.
 func (k *Keeper) actWithoutStore(now time.Duration, d *duty) bool {
-	g := &d.giver
+	g := &d.given
 	if !g.active || !k.isFirstSuccessor(d) || g.term != d.record.Term || k.stopping {
 		return false
 	}
-	if now-k.lastStore <= 2*k.cfg.RenewEvery || now < d.begunAt+k.cfg.waitOut() {
+	if now-k.storeAnsweredAt <= 2*k.cfg.RenewEvery || now < d.promisesStoppedAt+k.cfg.waitOut() {
 		return false
 	}
 	if g.digest != k.unitsDigest(d) {
 		d.report(k, StaleUnits)
 		return false
 	}
-	d.phase, d.storeless, d.reported = serving, true, noReport
+	d.phase, d.withoutStore, d.reported = serving, true, noReport
 	d.term, d.until, d.confirmedAt = d.record.Term+1, never, g.confirmedAt
-	d.asker, d.grants = asker{}, grants{}
-	d.lapse = now + k.cfg.waitOut()
-	k.dirty = true
+	d.received, d.grants = receivedPromises{}, grants{}
+	d.grantsExpireAt = now + k.cfg.waitOut()
+	k.gateStale = true
 	d.report(k, TookOverWithoutStore)
-	r := &GrantorRecord{Target: d.spec.Name, Term: d.term, Router: k.cfg.Self, DataCentre: k.elsewhereOf(d)}
+	r := &GrantorRecord{Target: d.spec.Name, Term: d.term, Router: k.cfg.Self, DataCentre: k.dataCentreForRecord(d)}
 	k.apply(now, Update{Grantor: r})
-	k.do(Publish{Key: d.key, Value: r.Encode()})
+	k.emit(Publish{Key: d.key, Value: r.Encode()})
 	return true
 }
 
-// writeStoreless writes the duty to the store first thing when it answers again.
-func (k *Keeper) writeStoreless(now time.Duration, d *duty) {
-	if d.storeless && k.writes[d.key] == nil && now >= d.claimAfter {
+// writeClaimMadeWithoutStore writes the duty to the store first thing when it answers again.
+func (k *Keeper) writeClaimMadeWithoutStore(now time.Duration, d *duty) {
+	if d.withoutStore && k.writes[d.key] == nil && now >= d.nextClaimAt {
 		k.claim(now, d)
 	}
 }
 
 // unitsDigest is over what the target serves: its units and their tokens.
 func (k *Keeper) unitsDigest(d *duty) uint64 {
-	k.knowUnits(d)
+	k.collectUnits(d)
 	return d.digest
 }
 
--- a/core/ownership/proof.go
+++ b/core/ownership/proof.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// enter starts the proof that nobody else orders the target, once the record
+// startProof starts the proof that nobody else orders the target, once the record
 // names this router. wait is how long the authority of others may still have
 // effects; never where nothing bounds it, and then only the target's own refusal
 // of the old term is a proof.
-func (k *Keeper) enter(now time.Duration, d *duty, wait time.Duration) {
-	d.term, d.begunAt, d.reported = d.record.Term, 0, noReport
-	d.late, d.takenAt = k.stopping, now
-	d.until, d.grants, d.raise = 0, grants{}, false
-	d.asker = asker{sequence: d.asker.sequence}
+func (k *Keeper) startProof(now time.Duration, d *duty, wait time.Duration) {
+	d.term, d.promisesStoppedAt, d.reported = d.record.Term, 0, noReport
+	d.takenWhileStopping, d.takenAt = k.stopping, now
+	d.until, d.grants, d.termRaisePending = 0, grants{}, false
+	d.received = receivedPromises{sequence: d.received.sequence}
 	d.waitUntil = never
 	if wait != never {
 		// A grant never outlasts the authority that it was sent under, so waiting that out
 		// leaves no grant to lapse.
-		d.waitUntil, d.oldGrants = now+wait, max(0, k.cfg.waitOut()-wait)
+		d.waitUntil, d.oldGrantsWait = now+wait, max(0, k.cfg.waitOut()-wait)
 	}
 	// Reads from now on will do, since the record names this router: an old grantor
 	// that released a unit later than that finds no confirmation for its second write.
@@ -27,19 +27,19 @@
 	if d.spec.Grants.ChecksTokens {
 		d.phase = fencing
 	}
-	k.dirty = true
-	k.prove(now, d)
+	k.gateStale = true
+	k.advanceProof(now, d)
 }
 
-// prove goes on once the old authority has provably ended, or sends the fence.
-func (k *Keeper) prove(now time.Duration, d *duty) {
-	k.loaded(now, d)
+// advanceProof goes on once the old authority has provably ended, or sends the fence.
+func (k *Keeper) advanceProof(now time.Duration, d *duty) {
+	k.allRecordsRead(now, d)
 	if now >= d.waitUntil {
-		k.startLoad(now, d, now+d.oldGrants)
+		k.startLoad(now, d, now+d.oldGrantsWait)
 		return
 	}
-	if d.spec.granted() {
-		k.countSilence(now, d)
+	if d.spec.takesGrants() {
+		k.noteReplyTimeout(now, d)
 		k.sendFence(now, d)
 		return
 	}
@@ -49,24 +49,24 @@
 // startLoad goes on with the reads of the units that enter began.
 func (k *Keeper) startLoad(now time.Duration, d *duty, lapse time.Duration) {
 	d.phase = loading
-	d.lapse = lapse
+	d.grantsExpireAt = lapse
 	d.acceptedDigest, d.outstanding = 0, 0
 	k.advanceLoad(now, d)
 }
 
 // advanceLoad serves once all of the service's records were read.
 func (k *Keeper) advanceLoad(now time.Duration, d *duty) {
-	if !k.loaded(now, d) {
+	if !k.allRecordsRead(now, d) {
 		return
 	}
-	d.phase, d.unitsKnown = serving, false
-	k.dirty = true
+	d.phase, d.unitsCurrent = serving, false
+	k.gateStale = true
 	d.report(k, TookOver)
 	k.advanceGrants(now, d)
 }
 
-// loaded reads what was not read since loadFrom, and reports whether all was.
-func (k *Keeper) loaded(now time.Duration, d *duty) bool {
+// allRecordsRead reads what was not read since loadFrom, and reports whether all was.
+func (k *Keeper) allRecordsRead(now time.Duration, d *duty) bool {
 	spec := k.service(d.spec.Service)
 	if spec == nil {
 		return false
@@ -116,10 +116,10 @@
 // ensureRead reports whether a read sent at from or later was answered, and sends
 // one if not.
 func (k *Keeper) ensureRead(now time.Duration, key string, from time.Duration) bool {
-	r := k.reads[key]
+	r := k.shardReads[key]
 	if r == nil {
 		r = &shardRead{sentAt: -1, landedAt: -1}
-		k.reads[key] = r
+		k.shardReads[key] = r
 	}
 	if r.landedAt >= 0 && r.landedAt >= from {
 		return true
@@ -127,13 +127,13 @@
 	late := now-r.sentAt >= k.cfg.ReplyTimeout
 	if r.sentAt < 0 || !r.pending && now-r.sentAt >= k.cfg.RenewEvery/4 || r.sentAt < from || late {
 		r.sentAt, r.pending = now, true
-		k.do(Read{Key: key, SentAt: now})
+		k.emit(Read{Key: key, SentAt: now})
 	}
 	return false
 }
 
-func (k *Keeper) shardWasRead(e StoreRead) {
-	r := k.reads[e.Key]
+func (k *Keeper) noteShardRead(e StoreRead) {
+	r := k.shardReads[e.Key]
 	if r == nil {
 		return
 	}
--- a/core/ownership/record.go
+++ b/core/ownership/record.go
@@ -185,13 +185,13 @@
 	}
 }
 
-// dictionary numbers target names from one in order of first use.
-type dictionary struct {
+// targetIndex numbers target names from one in order of first use.
+type targetIndex struct {
 	names []string
 	index map[string]uint32
 }
 
-func (d *dictionary) add(name string) uint32 {
+func (d *targetIndex) add(name string) uint32 {
 	if name == "" {
 		return 0
 	}
@@ -208,7 +208,7 @@
 
 var errDictionary = errors.New("ownership: record refers to a target that it does not list")
 
-func dictName(names []string, i uint32) (string, error) {
+func nameAt(names []string, i uint32) (string, error) {
 	if i == 0 {
 		return "", nil
 	}
--- /dev/null
+++ b/core/ownership/remote.go
@@ -0,0 +1,306 @@
+package ownership
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"tarragongw/core/ownership/ownershippb"
+	"tarragongw/core/rendezvous"
+)
+
+// remoteDC is what this router holds of another data centre.
+type remoteDC struct {
+	cutOff bool
+	// since is when cutOff last changed.
+	since time.Duration
+	// recordSeenAt is when a new grantor record last named one of its routers.
+	recordSeenAt time.Duration
+}
+
+// remoteState is the part of a keeper in targets of other data centres. A target has a duty
+// here while a router of this data centre is on record as its grantor, or while this
+// router is to take it over.
+type remoteState struct {
+	dataCentres map[string]*remoteDC
+	// sortedNames are all data centres, this one included, in order of their names.
+	sortedNames []string
+	// cutOffCount counts those that are cut off.
+	cutOffCount int
+	// recordChangedAt is when the record of a target was last news, noted while any is cut off.
+	recordChangedAt map[string]time.Duration
+	// scanPending asks for a look at the records and at who is heir; lookAt is when the next
+	// one is due while a data centre is cut off.
+	scanPending bool
+	nextScanAt  time.Duration
+	// connectedFor is what heard returned, by service, since the last look.
+	connectedFor map[string][]string
+}
+
+// remoteScanInterval is how often the targets of data centres that are cut off are looked at where
+// nothing else asks for it. A look takes a step for each target and live router.
+const remoteScanInterval = time.Second
+
+func (k *Keeper) setRemote(now time.Duration, data []FarDataCentre) {
+	next := remoteState{dataCentres: make(map[string]*remoteDC, len(data)), sortedNames: []string{k.cfg.DataCentre}, scanPending: true}
+	for _, dc := range data {
+		f := k.remote.dataCentres[dc.Name]
+		if f == nil {
+			f = &remoteDC{since: now}
+		}
+		if f.cutOff != dc.CutOff {
+			f.cutOff, f.since = dc.CutOff, now
+		}
+		if f.cutOff {
+			next.cutOffCount++
+		}
+		next.dataCentres[dc.Name] = f
+		next.sortedNames = append(next.sortedNames, dc.Name)
+	}
+	slices.Sort(next.sortedNames)
+	if next.cutOffCount > 0 {
+		next.recordChangedAt = k.remote.recordChangedAt
+	}
+	if next.cutOffCount > 0 && next.recordChangedAt == nil {
+		next.recordChangedAt = map[string]time.Duration{}
+	}
+	k.remote = next
+}
+
+func (k *Keeper) isCutOff(dc string) bool {
+	f := k.remote.dataCentres[dc]
+	return f != nil && f.cutOff
+}
+
+// dataCentreForRecord is what a record in which a router of this data centre is the grantor says
+// of where that one is.
+func (k *Keeper) dataCentreForRecord(d *duty) string {
+	if d.spec.DataCentre == k.cfg.DataCentre {
+		return ""
+	}
+	return k.cfg.DataCentre
+}
+
+func (k *Keeper) isRemote(d *duty) bool { return d.spec.DataCentre != k.cfg.DataCentre }
+
+// grantorDC is the data centre of the recorded grantor.
+func (g *GrantorRecord) grantorDC(t *TargetSpec) string {
+	return cmp.Or(g.DataCentre, t.DataCentre)
+}
+
+// grantorIsRemote reports whether the recorded grantor is in another data centre, which
+// repairs the loss of its routers itself.
+func (k *Keeper) grantorIsRemote(d *duty) bool {
+	return d.record != nil && d.record.grantorDC(&d.spec) != k.cfg.DataCentre
+}
+
+// noteRemoteWrite notes that routers of a data centre wrote a record, which shows that one lived that
+// is cut off from here.
+func (k *Keeper) noteRemoteWrite(now time.Duration, g *GrantorRecord) {
+	t, ok := k.targets[g.Target]
+	if !ok {
+		return
+	}
+	dc := g.grantorDC(&t)
+	if f := k.remote.dataCentres[dc]; f != nil {
+		f.recordSeenAt = now
+	}
+	if k.remote.cutOffCount > 0 {
+		k.remote.recordChangedAt[g.Target] = now
+	}
+	if t.DataCentre != k.cfg.DataCentre {
+		k.remote.scanPending = true
+	}
+}
+
+// scanRemoteTargets takes up and gives up duties for targets of other data centres.
+func (k *Keeper) scanRemoteTargets(now time.Duration) {
+	e := &k.remote
+	if !e.scanPending && (e.cutOffCount == 0 || now < e.nextScanAt) {
+		return
+	}
+	e.scanPending, e.nextScanAt = false, now+remoteScanInterval
+	e.connectedFor = nil
+	changed := false
+	for _, name := range k.names {
+		t := k.targets[name]
+		if t.DataCentre == k.cfg.DataCentre {
+			continue
+		}
+		d := k.duties[name]
+		switch concerned := k.needsRemoteDuty(now, &t); {
+		case d == nil && concerned:
+			k.duties[name] = newDuty(t) // which reads its record first
+			changed = true
+		case d != nil && !concerned && d.phase == idle && k.writes[d.key] == nil:
+			k.removeRemoteDuty(name)
+			changed = true
+		}
+	}
+	if changed {
+		k.listDuties()
+	}
+}
+
+// needsRemoteDuty reports whether this router has a part in a target of another data centre.
+func (k *Keeper) needsRemoteDuty(now time.Duration, t *TargetSpec) bool {
+	g, known := k.table.grantors[t.Name]
+	if !known {
+		return false
+	}
+	from := cmp.Or(g.dataCentre, t.DataCentre)
+	return from == k.cfg.DataCentre || k.shouldTakeOverRemote(now, t, from, g.yieldAfter) && k.highestRanked(t.Name) == k.cfg.Self
+}
+
+// highestRanked is who ranks first for a target among the live routers. Without sorting them:
+// all of a data centre's targets are looked at.
+func (k *Keeper) highestRanked(target string) Router {
+	var first Router
+	var most uint64
+	for _, r := range k.live {
+		if w := rendezvous.Weight(target, r.Name); !k.leaving[r] && (first.Name == "" || w > most) {
+			first, most = r, w
+		}
+	}
+	return first
+}
+
+// removeRemoteDuty forgets a target that another data centre has; what this router held of
+// its loss counts no more.
+func (k *Keeper) removeRemoteDuty(name string) {
+	delete(k.duties, name)
+	k.setLost(name, false)
+	k.gateStale = true
+}
+
+// shouldTakeOverRemote reports whether this data centre is the one that takes the target over now from a
+// grantor in the data centre from. All that it asks for only keeps data centres from
+// taking a duty from each other in turn, or from a data centre that serves; that nobody has
+// two owners is kept by the wait after the claim.
+func (k *Keeper) shouldTakeOverRemote(now time.Duration, t *TargetSpec, from string, yield time.Duration) bool {
+	if from == k.cfg.DataCentre || yield == 0 || !k.isCutOff(from) || len(k.live) == 0 || !k.dividedByKey(t.Service) {
+		return false
+	}
+	if k.cfg.omit != omitClaimBack && (k.justChanged(now, t.Name) || !k.hasTakeoverQuorum(now, k.remote.dataCentres[from])) {
+		return false
+	}
+	heard := k.connectedDataCentres(t.Service)
+	if slices.Contains(heard, t.DataCentre) {
+		return t.DataCentre == k.cfg.DataCentre
+	}
+	return len(heard) > 0 && rendezvous.Top("heir\x00"+t.Name, 1, heard)[0] == k.cfg.DataCentre
+}
+
+func (k *Keeper) dividedByKey(service string) bool {
+	s := k.service(service)
+	return s != nil && s.HashSlots > 0
+}
+
+// connectedDataCentres lists the data centres that are not cut off from here and have targets for the
+// service's keys, this one included.
+func (k *Keeper) connectedDataCentres(service string) []string {
+	if out, known := k.remote.connectedFor[service]; known {
+		return out
+	}
+	var out []string
+	for _, dc := range k.remote.sortedNames {
+		if !k.isCutOff(dc) && k.hasTargets(service, dc) {
+			out = append(out, dc)
+		}
+	}
+	if k.remote.connectedFor == nil {
+		k.remote.connectedFor = map[string][]string{}
+	}
+	k.remote.connectedFor[service] = out
+	return out
+}
+
+func (k *Keeper) hasTargets(service, dc string) bool {
+	for _, name := range k.names {
+		if t := k.targets[name]; t.Service == service && t.DataCentre == dc && !t.Drain {
+			return true
+		}
+	}
+	return false
+}
+
+// justChanged reports whether the grantor's data centre wrote the record a short while ago.
+// Where each of two data centres hears a third and not the other, both may inherit; without
+// this they take the duty from each other with each renewal.
+func (k *Keeper) justChanged(now time.Duration, target string) bool {
+	at, changed := k.remote.recordChangedAt[target]
+	return changed && now-at < k.cfg.HandBackAfter && k.cfg.omit != omitJustChanged
+}
+
+// hasTakeoverQuorum reports whether the data centres that this one hears, itself included, may
+// take over from one that is cut off: most of all may, and so may the half that has the
+// first by name. The other half, which would else serve nothing after the loss of the
+// first of two, waits three times HandBackAfter for a sign that the others live: they would
+// have taken duties over from it by then.
+//
+// What goes wrong without it: a data centre that is cut off from the others and reaches
+// the store takes its duties back, the others take them again, and the keys are served
+// nowhere while each waits the other out. Or it takes what the others serve.
+func (k *Keeper) hasTakeoverQuorum(now time.Duration, from *remoteDC) bool {
+	all := len(k.remote.sortedNames)
+	heard := all - k.remote.cutOffCount
+	if 2*heard != all {
+		return 2*heard > all
+	}
+	patience := 3 * k.cfg.HandBackAfter
+	return !k.isCutOff(k.remote.sortedNames[0]) || now-from.since >= patience && from.recordSeenAt < from.since
+}
+
+// withinOrderBound reports whether orders to the target arrive within OrderBound, which is taken for
+// granted within a data centre.
+//
+// What goes wrong without it: between regions an order is under way for longer than whoever
+// takes over from this router waits for it, and a grant, whose time counts from receipt,
+// outlasts the authority that it was sent under. So the target is sent no grants and no
+// work until it has answered in time; one that doesn't counts as silent and its units move.
+func (k *Keeper) withinOrderBound(d *duty) bool {
+	return d.meetsOrderBound || !k.isRemote(d) || k.cfg.omit == omitOrderBoundCheck
+}
+
+// noteResponseTime notes an answer to what was sent at a time, and reports whether the target is near.
+func (k *Keeper) noteResponseTime(now time.Duration, d *duty, sentAt time.Duration) bool {
+	near := now-sentAt <= k.cfg.OrderBound
+	if k.isRemote(d) && d.meetsOrderBound != near {
+		d.meetsOrderBound, k.gateStale = near, true
+	}
+	return k.withinOrderBound(d)
+}
+
+// considerRemoteClaim is considerClaim for a target whose grantor is in another data centre.
+func (k *Keeper) considerRemoteClaim(now time.Duration, d *duty) {
+	from := d.record.grantorDC(&d.spec)
+	if k.shouldTakeOverRemote(now, &d.spec, from, d.record.YieldAfter) && k.ranksFirst(d) && k.storeReachable(now) {
+		k.claim(now, d)
+		return
+	}
+	k.abandonClaim(d)
+	if !k.isRemote(d) && k.ranksFirst(d) {
+		k.requestHandBack(now, d)
+	}
+}
+
+// requestHandBack asks the grantor of another data centre for a target of this one, once that data
+// centre was heard for so long that the cut is over.
+func (k *Keeper) requestHandBack(now time.Duration, d *duty) {
+	f := k.remote.dataCentres[d.record.DataCentre]
+	if f == nil || f.cutOff || now-f.since < k.cfg.HandBackAfter {
+		return
+	}
+	d.nextClaimAt = now + k.cfg.LostAfter
+	k.send(d.record.Router, &ownershippb.Peer{Kind: ownershippb.Peer_HAND_BACK, Target: d.spec.Name, Term: d.record.Term})
+}
+
+// handBack gives the duty to the router of the target's own data centre that asks for it.
+// Its successors are for that one to name: this data centre's would not be asked for
+// promises there, nor take over.
+func (k *Keeper) handBack(now time.Duration, d *duty, e PeerMessage) {
+	ready := d.phase == serving && !d.withoutStore && !d.received.active && k.writes[d.key] == nil && now < d.validUntil(k)
+	if ready && k.isRemote(d) && !k.isCutOff(d.spec.DataCentre) && e.Message.GetTerm() == d.term {
+		k.writeNextGrantor(now, d, GrantorRecord{Router: e.From})
+	}
+}
--- a/core/ownership/elsewhere_test.go
+++ b/core/ownership/remote_test.go
@@ -12,40 +12,40 @@
 	"tarragongw/core/ownership/ownershiptest"
 )
 
-// halls are the data centres of these tests; each has two routers and two targets.
-var halls = []string{"dc1", "dc2", "dc3"}
+// dataCentres are the data centres of these tests; each has two routers and two targets.
+var dataCentres = []string{"dc1", "dc2", "dc3"}
 
 const (
 	yieldSoon = 1500 * ms
 	yieldLate = 4 * time.Second
-	// cutAfter is when a silent data centre counts as cut off here.
-	cutAfter = 300 * ms
+	// cutOffAfter is when a silent data centre counts as cut off here.
+	cutOffAfter = 300 * ms
 )
 
-func hallTargets(yield time.Duration, checks ...model.GrantCheck) []ownership.TargetSpec {
-	out := targets(2*len(halls), model.Isolation{Keep: yield == 0, YieldAfter: yield}, checks...)
+func dataCentreTargets(yield time.Duration, checks ...model.GrantCheck) []ownership.TargetSpec {
+	out := targets(2*len(dataCentres), model.Isolation{Keep: yield == 0, YieldAfter: yield}, checks...)
 	for i := range out {
-		out[i].DataCentre = halls[i%len(halls)]
+		out[i].DataCentre = dataCentres[i%len(dataCentres)]
 	}
 	return out
 }
 
-func hallOptions(seed int64, specs []ownership.TargetSpec, rule ownership.Omitted) ownershiptest.Options {
+func dataCentreOptions(seed int64, specs []ownership.TargetSpec, rule ownership.Omitted) ownershiptest.Options {
 	opt := options(seed, specs, rule)
 	opt.RequestEvery = 30 * ms
-	opt.Routers, opt.DataCentres, opt.CutOff = 2*len(halls), halls, cutAfter
+	opt.Routers, opt.DataCentres, opt.CutOff = 2*len(dataCentres), dataCentres, cutOffAfter
 	opt.Keeper = func(self ownership.Router) ownership.Config {
-		dc := halls[int(self.Name[1]-'0')%len(halls)]
+		dc := dataCentres[int(self.Name[1]-'0')%len(dataCentres)]
 		return ownership.Config{Self: self, DataCentre: dc, HandBackAfter: 1500 * ms}.Without(rule)
 	}
 	return opt
 }
 
-// hallFault is one generated fault that concerns a data centre or a router.
-func hallFault(t *rapid.T) func(w *ownershiptest.World, specs []ownership.TargetSpec) {
+// dataCentreFault is one generated fault that concerns a data centre or a router.
+func dataCentreFault(t *rapid.T) func(w *ownershiptest.World, specs []ownership.TargetSpec) {
 	kind := rapid.IntRange(0, 9).Draw(t, "kind")
-	dc := rapid.SampledFrom(halls).Draw(t, "dc")
-	i := rapid.IntRange(0, 2*len(halls)-1).Draw(t, "router")
+	dc := rapid.SampledFrom(dataCentres).Draw(t, "dc")
+	i := rapid.IntRange(0, 2*len(dataCentres)-1).Draw(t, "router")
 	long := time.Duration(rapid.IntRange(100, 5000).Draw(t, "long")) * ms
 	return func(w *ownershiptest.World, specs []ownership.TargetSpec) {
 		switch kind {
@@ -53,11 +53,11 @@
 			w.CutDataCentre(dc, long)
 		case 2, 3:
 			w.CutDataCentre(dc, long)
-			w.CutStoreOf(dc, long*2/3)
+			w.CutStoreFromDataCentre(dc, long*2/3)
 		case 4:
-			w.CutStoreOf(dc, long)
+			w.CutStoreFromDataCentre(dc, long)
 		case 5:
-			w.DeafenTo(dc, long)
+			w.DropHeartbeatsFromOthers(dc, long)
 		case 6:
 			w.KillRouter(i, long)
 		case 7:
@@ -75,15 +75,15 @@
 	}
 }
 
-// hallHistory runs generated faults and returns the world after they have ended.
-func hallHistory(t *rapid.T, rule ownership.Omitted) *ownershiptest.World {
-	first := rapid.IntRange(0, len(kinds)-1).Draw(t, "kinds")
-	specs := hallTargets(yieldSoon, append(append([]model.GrantCheck(nil), kinds[first:]...), kinds[:first]...)...)
-	opt := hallOptions(rapid.Int64().Draw(t, "seed"), specs, rule)
+// runDataCentreHistory runs generated faults and returns the world after they have ended.
+func runDataCentreHistory(t *rapid.T, rule ownership.Omitted) *ownershiptest.World {
+	first := rapid.IntRange(0, len(grantChecks)-1).Draw(t, "kinds")
+	specs := dataCentreTargets(yieldSoon, append(append([]model.GrantCheck(nil), grantChecks[first:]...), grantChecks[:first]...)...)
+	opt := dataCentreOptions(rapid.Int64().Draw(t, "seed"), specs, rule)
 	opt.ReplyLoss = 0.02
 	w := ownershiptest.New(opt)
 	for range rapid.IntRange(1, 5).Draw(t, "faults") {
-		run := hallFault(t)
+		run := dataCentreFault(t)
 		w.After(time.Duration(rapid.IntRange(800, 7000).Draw(t, "at"))*ms, func() { run(w, specs) })
 	}
 	w.Run(11 * time.Second)
@@ -98,7 +98,7 @@
 func TestHoldsAcrossDataCentres(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		w := hallHistory(t, ownership.OmitNone)
+		w := runDataCentreHistory(t, ownership.OmitNone)
 		if len(w.Violations) > 0 {
 			t.Fatalf("%v", w.Violations)
 		}
@@ -108,12 +108,12 @@
 	})
 }
 
-// cutLasts is how long dc1 is cut off in the rows below.
-const cutLasts = 9 * time.Second
+// cutDuration is how long dc1 is cut off in the rows below.
+const cutDuration = 9 * time.Second
 
-// takeovers are ways in which dc1 is out of reach. Each row names the rule without which it
+// cutOffCases are ways in which dc1 is out of reach. Each row names the rule without which it
 // shows two owners, orders that are under way for too long, or duties taken in turn.
-var takeovers = []struct {
+var cutOffCases = []struct {
 	name  string
 	fault func(w *ownershiptest.World)
 	// comesBack says that dc1's targets have their grantors at home at the end.
@@ -121,41 +121,41 @@
 	without   ownership.Omitted
 }{
 	{"lost", func(w *ownershiptest.World) { w.LoseDataCentre("dc1") }, false, ownership.OmitNone},
-	{"targets in reach", func(w *ownershiptest.World) { w.CutDataCentre("dc1", cutLasts); w.PartTargets("dc1", 0) }, true, ownership.OmitNone},
+	{"targets in reach", func(w *ownershiptest.World) { w.CutDataCentre("dc1", cutDuration); w.PartitionTargets("dc1", 0) }, true, ownership.OmitNone},
 	{"targets in reach, but far", func(w *ownershiptest.World) {
-		w.CutDataCentre("dc1", cutLasts)
-		w.PartTargets("dc1", 0)
-		w.Distance = 60 * ms
-	}, true, ownership.OmitNear},
-	{"reaches the store", func(w *ownershiptest.World) { w.CutDataCentre("dc1", cutLasts) }, true, ownership.OmitClaimBack},
+		w.CutDataCentre("dc1", cutDuration)
+		w.PartitionTargets("dc1", 0)
+		w.AddedLatency = 60 * ms
+	}, true, ownership.OmitOrderBoundCheck},
+	{"reaches the store", func(w *ownershiptest.World) { w.CutDataCentre("dc1", cutDuration) }, true, ownership.OmitClaimBack},
 	{"cut off from both", cutFromBoth, true, ownership.OmitYieldWait},
 	{"claimant lost", func(w *ownershiptest.World) {
 		cutFromBoth(w)
-		w.After(cutAfter+300*ms, func() { w.KillRouter(w.Grantor("t0"), cutLasts) })
+		w.After(cutOffAfter+300*ms, func() { w.KillRouter(w.Grantor("t0"), cutDuration) })
 	}, true, ownership.OmitUnproved},
 	{"older configuration there", func(w *ownershiptest.World) {
-		w.Configure(hallTargets(yieldLate, w.Check("t0")), 0, 3)
-		w.After(cutAfter, func() { cutFromBoth(w) })
-		w.After(cutLasts, func() { w.Configure(hallTargets(yieldSoon, w.Check("t0")), 0, 3) })
+		w.Configure(dataCentreTargets(yieldLate, w.GrantCheck("t0")), 0, 3)
+		w.After(cutOffAfter, func() { cutFromBoth(w) })
+		w.After(cutDuration, func() { w.Configure(dataCentreTargets(yieldSoon, w.GrantCheck("t0")), 0, 3) })
 	}, true, ownership.OmitRecordedYield},
 }
 
 func cutFromBoth(w *ownershiptest.World) {
-	w.CutDataCentre("dc1", cutLasts)
-	w.CutStoreOf("dc1", cutLasts)
+	w.CutDataCentre("dc1", cutDuration)
+	w.CutStoreFromDataCentre("dc1", cutDuration)
 }
 
-// takeover runs one of them until shortly before the cut is over.
-func takeover(row int, check model.GrantCheck, rule ownership.Omitted) *ownershiptest.World {
-	w := ownershiptest.New(hallOptions(1, hallTargets(yieldSoon, check), rule))
+// runCutOffCase runs one of them until shortly before the cut is over.
+func runCutOffCase(row int, check model.GrantCheck, rule ownership.Omitted) *ownershiptest.World {
+	w := ownershiptest.New(dataCentreOptions(1, dataCentreTargets(yieldSoon, check), rule))
 	w.Run(2 * time.Second)
-	takeovers[row].fault(w)
-	w.Run(cutLasts - 100*ms)
+	cutOffCases[row].fault(w)
+	w.Run(cutDuration - 100*ms)
 	return w
 }
 
-// claimsOnce says that dc1's two targets were claimed once each.
-func claimsOnce(w *ownershiptest.World) bool { return w.Count(ownership.ClaimedElsewhere) <= 3 }
+// claimedOnce says that dc1's two targets were claimed once each.
+func claimedOnce(w *ownershiptest.World) bool { return w.CountReports(ownership.ClaimedElsewhere) <= 3 }
 
 // Symptom: the keys of a data centre that is gone, or that is cut off, stay unserved
 // although its services yield; or have two owners; or data centres take them from each
@@ -164,23 +164,23 @@
 // and comes back. Cause: nobody elsewhere may hold its duties, or whoever lost one claims
 // it back while it doesn't hear the one that has it, or a wait is too short.
 func TestAnotherDataCentreTakesOver(t *testing.T) {
-	for i, row := range takeovers {
+	for i, row := range cutOffCases {
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
 			var found []string
-			for _, check := range kinds {
-				w := takeover(i, check, ownership.OmitNone)
+			for _, check := range grantChecks {
+				w := runCutOffCase(i, check, ownership.OmitNone)
 				assert.Equal(t, len(w.Unserved(500*ms)), 0, "%+v: unserved %v; %v", check, w.Unserved(500*ms), w.Reports)
-				assert.Assert(t, w.Count(ownership.ClaimedElsewhere) > 0 && claimsOnce(w), "%+v: %v", check, w.Reports)
+				assert.Assert(t, w.CountReports(ownership.ClaimedElsewhere) > 0 && claimedOnce(w), "%+v: %v", check, w.Reports)
 				w.Run(5 * time.Second)
 				assert.Equal(t, len(w.Unserved(500*ms)), 0, "%+v: unserved %v", check, w.Unserved(500*ms))
 				assert.Equal(t, len(w.Violations), 0, "%+v: %v", check, w.Violations)
-				assert.Equal(t, halls[w.Grantor("t0")%len(halls)] == "dc1", row.comesBack, "%+v", check)
+				assert.Equal(t, dataCentres[w.Grantor("t0")%len(dataCentres)] == "dc1", row.comesBack, "%+v", check)
 				if len(found) > 0 || row.without == ownership.OmitNone {
 					continue
 				}
-				bad := takeover(i, check, row.without)
-				if found = append(found, bad.Violations...); !claimsOnce(bad) {
+				bad := runCutOffCase(i, check, row.without)
+				if found = append(found, bad.Violations...); !claimedOnce(bad) {
 					found = append(found, "taken in turn")
 				}
 			}
@@ -194,14 +194,14 @@
 // Cause: each hears most of the data centres and claims what the other has just claimed.
 func TestDataCentresApartDoNotTakeInTurn(t *testing.T) {
 	claims := func(rule ownership.Omitted) int {
-		w := ownershiptest.New(hallOptions(1, hallTargets(yieldSoon, kinds...), rule))
+		w := ownershiptest.New(dataCentreOptions(1, dataCentreTargets(yieldSoon, grantChecks...), rule))
 		w.Run(2 * time.Second)
 		for _, pair := range [][2]int{{0, 1}, {0, 4}, {3, 1}, {3, 4}} {
 			w.CutLink(pair[0], pair[1], 6*time.Second)
 		}
 		w.Run(6 * time.Second)
 		assert.Equal(t, len(w.Violations), 0, "%v", w.Violations)
-		return w.Count(ownership.ClaimedElsewhere)
+		return w.CountReports(ownership.ClaimedElsewhere)
 	}
 	// Four targets, each claimed at most every 1.5 s by either side.
 	most := 4 * 6000 / 1500
@@ -213,7 +213,7 @@
 // Sequence: a target is lost and another one's unit is to move to it all the same.
 // Cause: the unit goes back to the target it was to leave, which doesn't end the move.
 func TestMoveThatGoesBackEnds(t *testing.T) {
-	w := ownershiptest.New(options(1, targets(2, model.Isolation{Keep: true}, kinds[0]), ownership.OmitNone))
+	w := ownershiptest.New(options(1, targets(2, model.Isolation{Keep: true}, grantChecks[0]), ownership.OmitNone))
 	w.Run(time.Second)
 	w.KillTarget("t1", 0)
 	w.Run(3 * time.Second)
--- a/core/ownership/replay_test.go
+++ b/core/ownership/replay_test.go
@@ -17,7 +17,7 @@
 // events and actions, with the records' bytes and orders' contents.
 func digestOf(seed int64) (uint64, int) {
 	h, n := fnv.New64a(), 0
-	opt := options(seed, targets(3, model.Isolation{Keep: true}, kinds...), ownership.OmitNone)
+	opt := options(seed, targets(3, model.Isolation{Keep: true}, grantChecks...), ownership.OmitNone)
 	opt.ReplyLoss = 0.05
 	opt.Trace = func(at time.Duration, router string, what any) {
 		if _, gate := what.(ownership.SetGate); gate {
--- a/core/ownership/shard.go
+++ b/core/ownership/shard.go
@@ -19,7 +19,7 @@
 }
 
 func (s *Shard) encodeSlots() []byte {
-	var d dictionary
+	var d targetIndex
 	m := &ownershippb.SlotShard{Service: s.Service, First: s.Index * ShardSlots, Ops: encodeOps(s.Ops)}
 	for i, st := range s.Slots {
 		if i > 0 && st == s.Slots[i-1] {
@@ -37,7 +37,7 @@
 }
 
 func (s *Shard) encodeRanges() []byte {
-	var d dictionary
+	var d targetIndex
 	m := &ownershippb.RangeShard{Service: s.Service, Bucket: s.Index, Ops: encodeOps(s.Ops)}
 	for i, st := range s.Ranges {
 		m.Ranges = append(m.Ranges, &ownershippb.RangeOwner{Name: s.Names[i], Target: d.add(st.Target),
@@ -102,9 +102,9 @@
 func decodeState(names []string, target, next uint32) (UnitState, error) {
 	var st UnitState
 	var err error
-	if st.Target, err = dictName(names, target); err != nil {
+	if st.Target, err = nameAt(names, target); err != nil {
 		return st, err
 	}
-	st.Next, err = dictName(names, next)
+	st.Next, err = nameAt(names, next)
 	return st, err
 }
--- a/core/ownership/stop_test.go
+++ b/core/ownership/stop_test.go
@@ -12,11 +12,11 @@
 	"tarragongw/core/ownership/ownershiptest"
 )
 
-// stopWorld runs three routers with the targets until each is served, and counts the
+// servedWorld runs three routers with the targets until each is served, and counts the
 // writes of grantor records from then on.
-func stopWorld(seed int64) (w *ownershiptest.World, writes map[string]int) {
+func servedWorld(seed int64) (w *ownershiptest.World, writes map[string]int) {
 	writes = map[string]int{}
-	opt := options(seed, targets(6, model.Isolation{Keep: true}, kinds...), ownership.OmitNone)
+	opt := options(seed, targets(6, model.Isolation{Keep: true}, grantChecks...), ownership.OmitNone)
 	opt.Trace = func(_ time.Duration, _ string, what any) {
 		if cas, ok := what.(ownership.CAS); ok && ownership.IsGrantorKey(cas.Key) {
 			writes[cas.Key]++
@@ -35,7 +35,7 @@
 // Cause: a router that leaves counts as one to hand duties back to.
 func TestWhatALeavingRouterHandedOverStaysAway(t *testing.T) {
 	for seed := range int64(10) {
-		w, writes := stopWorld(seed)
+		w, writes := servedWorld(seed)
 		w.StopRouter(0, time.Hour)
 		w.Run(2 * time.Second)
 		for key, n := range writes {
@@ -55,7 +55,7 @@
 // Cause: what one stopping router gives another is given back at once.
 func TestRoutersThatStopTogetherDoNotPassDutiesAround(t *testing.T) {
 	for seed := range int64(10) {
-		w, writes := stopWorld(seed)
+		w, writes := servedWorld(seed)
 		for i := range 3 {
 			w.StopRouter(i, time.Hour)
 		}
--- a/core/ownership/successor.go
+++ b/core/ownership/successor.go
@@ -26,35 +26,35 @@
 		return out
 	}
 	for _, r := range append([]Router{d.record.Router}, d.record.Successors...) {
-		if r != grantor && len(out) < k.cfg.Successors && k.justLost(now, r) {
+		if r != grantor && len(out) < k.cfg.Successors && k.recentlyLost(now, r) {
 			out = append(out, r)
 		}
 	}
 	return out
 }
 
-// justLost reports whether this life of the router was live within HoldSuccessor and
+// recentlyLost reports whether this life of the router was live within HoldSuccessor and
 // is not now.
-func (k *Keeper) justLost(now time.Duration, r Router) bool {
-	at, gone := k.goneAt[r.Name]
-	return gone && k.seen[r.Name] == r && now-at < k.cfg.HoldSuccessor
+func (k *Keeper) recentlyLost(now time.Duration, r Router) bool {
+	at, gone := k.lostAt[r.Name]
+	return gone && k.lastSeen[r.Name] == r && now-at < k.cfg.HoldSuccessor
 }
 
 // updateSuccessors keeps the list of successors in the record up to date. A record that
 // names nobody gets its first successor at once: until then nobody could take over.
 func (k *Keeper) updateSuccessors(now time.Duration, d *duty) {
-	if now < d.listAfter {
+	if now < d.nextSuccessorWriteAt {
 		return // a write that was refused is not repeated with each step
 	}
 	want := k.successors(now, d, k.cfg.Self)
-	listed := slices.Equal(want, d.record.Successors) || len(d.record.Successors) > 0 && !k.settled(now, want)
+	listed := slices.Equal(want, d.record.Successors) || len(d.record.Successors) > 0 && !k.liveLongEnough(now, want)
 	if listed && d.record.YieldAfter == d.wantedYield() && !d.record.Unproved {
 		return
 	}
 	if listed {
 		want = d.record.Successors
 	}
-	d.listAfter = now + k.cfg.RenewEvery
+	d.nextSuccessorWriteAt = now + k.cfg.RenewEvery
 	op := k.nextOp()
 	next := *d.record
 	next.Successors, next.YieldAfter, next.Ops = want, d.wantedYield(), d.record.Ops.with(op)
@@ -62,28 +62,28 @@
 	k.put(now, d.key, d.revision, op, Update{Grantor: &next})
 }
 
-// settled reports whether the live routers among these have been so long enough to be
+// liveLongEnough reports whether the live routers among these have been so long enough to be
 // written down.
-func (k *Keeper) settled(now time.Duration, routers []Router) bool {
+func (k *Keeper) liveLongEnough(now time.Duration, routers []Router) bool {
 	for _, r := range routers {
-		if at, live := k.liveAt[r.Name]; live && now-at < k.cfg.LostAfter {
+		if at, live := k.liveSince[r.Name]; live && now-at < k.cfg.LostAfter {
 			return false
 		}
 	}
 	return true
 }
 
-// noteGone remembers when routers ceased to be live, for HoldSuccessor. One that left as
+// noteLostRouters remembers when routers ceased to be live, for HoldSuccessor. One that left as
 // announced is gone for good.
-func (k *Keeper) noteGone(now time.Duration, before map[string]time.Duration, leaving map[Router]bool) {
+func (k *Keeper) noteLostRouters(now time.Duration, before map[string]time.Duration, leaving map[Router]bool) {
 	for name := range before {
-		if _, live := k.liveAt[name]; !live && !leaving[k.seen[name]] {
-			k.goneAt[name] = now
+		if _, live := k.liveSince[name]; !live && !leaving[k.lastSeen[name]] {
+			k.lostAt[name] = now
 		}
 	}
-	for name, at := range k.goneAt {
-		if _, live := k.liveAt[name]; live || now-at >= k.cfg.HoldSuccessor {
-			delete(k.goneAt, name)
+	for name, at := range k.lostAt {
+		if _, live := k.liveSince[name]; live || now-at >= k.cfg.HoldSuccessor {
+			delete(k.lostAt, name)
 		}
 	}
 }
--- a/core/ownership/successor_test.go
+++ b/core/ownership/successor_test.go
@@ -22,10 +22,10 @@
 	return ownershiptest.New(opt)
 }
 
-// eachPair runs the events on a pair for each kind of target, as a subtest of its own,
+// forEachGrantCheck runs the events on a pair for each kind of target, as a subtest of its own,
 // once it has run undisturbed for two seconds, and names the grantor of t0.
-func eachPair(t *testing.T, events func(t *testing.T, w *ownershiptest.World, grantor int)) {
-	for _, check := range kinds {
+func forEachGrantCheck(t *testing.T, events func(t *testing.T, w *ownershiptest.World, grantor int)) {
+	for _, check := range grantChecks {
 		t.Run(fmt.Sprintf("%+v", check), func(t *testing.T) {
 			w := pairWorld(check)
 			w.Run(2 * time.Second)
@@ -34,8 +34,8 @@
 	}
 }
 
-// whole fails where a unit was unserved for that long or a rule was broken.
-func whole(t *testing.T, w *ownershiptest.World, unserved time.Duration) {
+// assertServed fails where a unit was unserved for that long or a rule was broken.
+func assertServed(t *testing.T, w *ownershiptest.World, unserved time.Duration) {
 	t.Helper()
 	assert.Equal(t, len(w.Unserved(unserved)), 0, "%v", w.Reports)
 	assert.Equal(t, len(w.Violations), 0, "%v", w.Violations)
@@ -48,14 +48,14 @@
 // Cause: one silence, which the grantor's own end can cause, undoes what lets the
 // successor take over.
 func TestSilentSuccessorStaysOnRecord(t *testing.T) {
-	eachPair(t, func(t *testing.T, w *ownershiptest.World, grantor int) {
+	forEachGrantCheck(t, func(t *testing.T, w *ownershiptest.World, grantor int) {
 		// The successor is heard no more by the grantor alone; it does not claim.
-		w.Deafen(grantor, time.Second)
+		w.DropHeartbeats(grantor, time.Second)
 		w.Run(600 * ms)
 		w.KillRouter(grantor, 0)
 		w.KillTarget("t0", 280*ms)
 		w.Run(3 * time.Second)
-		whole(t, w, time.Second)
+		assertServed(t, w, time.Second)
 	})
 }
 
@@ -65,14 +65,14 @@
 // Cause: a newly met router is written down only once it has lived for a while, also
 // where the record names nobody at all.
 func TestFirstSuccessorIsNamedAtOnce(t *testing.T) {
-	for _, check := range kinds {
+	for _, check := range grantChecks {
 		w := pairWorld(check)
 		w.CutLink(0, 1, 500*ms)
 		w.Run(550 * ms)
 		w.KillRouter(w.Grantor("t0"), 0)
 		w.KillTarget("t0", 280*ms)
 		w.Run(3 * time.Second)
-		whole(t, w, time.Second)
+		assertServed(t, w, time.Second)
 	}
 }
 
@@ -81,12 +81,12 @@
 // Sequence: the other router is lost for good; long after that the store goes down.
 // Cause: a lost router stays on the record for ever.
 func TestLostSuccessorLeavesTheRecordInTheEnd(t *testing.T) {
-	eachPair(t, func(t *testing.T, w *ownershiptest.World, grantor int) {
+	forEachGrantCheck(t, func(t *testing.T, w *ownershiptest.World, grantor int) {
 		w.KillRouter(1-grantor, 0)
 		w.Run(ownership.DefaultHoldSuccessor + time.Second)
 		w.OutageOfStore(3 * time.Second)
 		w.Run(2 * time.Second)
-		whole(t, w, 500*ms)
+		assertServed(t, w, 500*ms)
 	})
 }
 
@@ -95,10 +95,10 @@
 // heartbeat of the others.
 // Cause: a router that was not met yet is taken for one that is lost.
 func TestStartingRouterTakesNothingFromThoseItHasNotMet(t *testing.T) {
-	eachPair(t, func(t *testing.T, w *ownershiptest.World, grantor int) {
+	forEachGrantCheck(t, func(t *testing.T, w *ownershiptest.World, grantor int) {
 		w.KillRouter(1-grantor, 500*ms)
 		w.Run(490 * ms)
-		w.Deafen(1-grantor, 200*ms)
+		w.DropHeartbeats(1-grantor, 200*ms)
 		before := len(w.Reports)
 		w.Run(400 * ms)
 		assert.Equal(t, w.Grantor("t0"), grantor)
@@ -110,7 +110,7 @@
 // Sequence: the store refuses a change of a list of successors without an effect.
 // Cause: a refused write is repeated with the next step.
 func TestRefusedListOfSuccessorsIsNotRepeatedAtOnce(t *testing.T) {
-	opt := options(11, targets(1, model.Isolation{Keep: true}, kinds[0]), ownership.OmitNone)
+	opt := options(11, targets(1, model.Isolation{Keep: true}, grantChecks[0]), ownership.OmitNone)
 	opt.Routers = 2
 	writes := 0
 	opt.Trace = func(_ time.Duration, _ string, what any) {
@@ -131,7 +131,7 @@
 // Sequence: the connections between two routers go silent for some seconds.
 // Cause: each takes the other for lost and takes its duties, again and again.
 func TestRoutersApartTakeADutyOverOnce(t *testing.T) {
-	eachPair(t, func(t *testing.T, w *ownershiptest.World, grantor int) {
+	forEachGrantCheck(t, func(t *testing.T, w *ownershiptest.World, grantor int) {
 		before := len(w.Reports)
 		w.CutLink(0, 1, 5*time.Second)
 		w.Run(5 * time.Second)
@@ -143,7 +143,7 @@
 		}
 		assert.Assert(t, taken["t0"] <= 1 && taken["t1"] <= 1, "%v", taken)
 		w.Run(time.Second)
-		whole(t, w, 500*ms)
+		assertServed(t, w, 500*ms)
 	})
 }
 
@@ -153,12 +153,12 @@
 // Cause: the grantor asks the lost router for promises, and from then on can't prove that
 // it does not act without the store.
 func TestLostSuccessorIsNotAskedForPromises(t *testing.T) {
-	eachPair(t, func(t *testing.T, w *ownershiptest.World, grantor int) {
+	forEachGrantCheck(t, func(t *testing.T, w *ownershiptest.World, grantor int) {
 		w.KillRouter(1-grantor, 0)
 		w.Run(time.Second)
 		w.OutageOfStore(time.Second)
 		w.Run(2 * time.Second)
-		whole(t, w, 500*ms)
+		assertServed(t, w, 500*ms)
 	})
 }
 
@@ -167,14 +167,14 @@
 // lives; it is lost itself before it hears that one again.
 // Cause: the record of the one that took over names nobody.
 func TestSupersededGrantorTakesOverAgain(t *testing.T) {
-	eachPair(t, func(t *testing.T, w *ownershiptest.World, grantor int) {
-		w.Deafen(1-grantor, 2*time.Second)
+	forEachGrantCheck(t, func(t *testing.T, w *ownershiptest.World, grantor int) {
+		w.DropHeartbeats(1-grantor, 2*time.Second)
 		w.Run(900 * ms)
 		assert.Equal(t, w.Grantor("t0"), 1-grantor)
 		w.KillRouter(1-grantor, 0)
 		w.KillTarget("t0", 280*ms)
 		w.Run(3 * time.Second)
-		whole(t, w, time.Second)
+		assertServed(t, w, time.Second)
 	})
 }
 
@@ -184,11 +184,11 @@
 // Cause: a router that never promised anything counts as one that may act without the
 // store.
 func TestSuccessorThatNeverPromisedHasNoRight(t *testing.T) {
-	eachPair(t, func(t *testing.T, w *ownershiptest.World, grantor int) {
+	forEachGrantCheck(t, func(t *testing.T, w *ownershiptest.World, grantor int) {
 		w.KillRouter(1-grantor, 0)
 		w.OutageOfStore(time.Second)
 		w.Run(3 * time.Second)
-		whole(t, w, 500*ms)
+		assertServed(t, w, 500*ms)
 	})
 }
 
--- a/core/ownership/unowned.go
+++ b/core/ownership/unowned.go
@@ -37,7 +37,7 @@
 
 // placeRecord assigns what the record lacks, counting what the others hold.
 func (k *Keeper) placeRecord(now time.Duration, spec *ServiceSpec, key string, candidates []Candidate) {
-	want, revision := k.wanted(spec, key)
+	want, revision := k.recordWithAllUnits(spec, key)
 	if want == nil {
 		return
 	}
@@ -70,8 +70,8 @@
 	k.put(now, key, revision, op, Update{Shard: want}, assigned...)
 }
 
-// wanted returns a copy of the record with all units that the service has.
-func (k *Keeper) wanted(spec *ServiceSpec, key string) (*Shard, uint64) {
+// recordWithAllUnits returns a copy of the record with all units that the service has.
+func (k *Keeper) recordWithAllUnits(spec *ServiceSpec, key string) (*Shard, uint64) {
 	kind, index := shardOf(spec, key)
 	want := &Shard{Service: spec.Name, Kind: kind, Index: index}
 	var revision uint64
--- a/core/ownership/wake.go
+++ b/core/ownership/wake.go
@@ -10,35 +10,35 @@
 // as a pause of this router.
 func (k *Keeper) Wake(now time.Duration) time.Duration {
 	d := k.cfg.tick()
-	if k.calm() {
+	if k.onlyRenewalsDue() {
 		d = max(d, k.nextDue(now+k.cfg.Authority)-now)
 	}
 	k.wakeAt = now + d
 	return d
 }
 
-// calm says that no event can be missing and that only renewals wait.
-func (k *Keeper) calm() bool {
+// onlyRenewalsDue says that no event can be missing and that only renewals wait.
+func (k *Keeper) onlyRenewalsDue() bool {
 	if k.stopping || k.checkUnowned || len(k.moves) > 0 || len(k.writes) > 0 {
 		return false
 	}
-	for _, d := range k.own {
-		if !k.calmDuty(d) {
+	for _, d := range k.dutyList {
+		if !k.onlyRenewalDue(d) {
 			return false
 		}
 	}
 	return true
 }
 
-// calmDuty says that a duty is served here in the ordinary way, or by a live router.
-func (k *Keeper) calmDuty(d *duty) bool {
+// onlyRenewalDue says that a duty is served here in the ordinary way, or by a live router.
+func (k *Keeper) onlyRenewalDue(d *duty) bool {
 	switch d.phase {
 	case idle:
-		return d.seen && d.record != nil && d.record.Router != k.cfg.Self && k.grantorLive(d)
+		return d.recordRead && d.record != nil && d.record.Router != k.cfg.Self && k.grantorLive(d)
 	case serving:
 		// Silence is counted in short steps, so that a pause of this router shows.
-		return !d.storeless && !d.asker.active && d.silentSince == 0 && !d.doubt.sick &&
-			(!d.spec.granted() || d.digest == d.sentDigest)
+		return !d.withoutStore && !d.received.active && d.silentSince == 0 && !d.suspicion.unhealthy &&
+			(!d.spec.takesGrants() || d.digest == d.sentDigest)
 	default:
 		return false
 	}
@@ -47,38 +47,38 @@
 // nextDue returns when the first renewal, or the end of the wait for a reply, is due,
 // or latest.
 func (k *Keeper) nextDue(latest time.Duration) time.Duration {
-	next := min(latest, k.beatBy)
-	for _, d := range k.own {
+	next := min(latest, k.renewTogetherBy)
+	for _, d := range k.dutyList {
 		if d.phase != serving {
 			continue
 		}
 		next = min(next, d.readAt+k.cfg.RenewEvery)
 		switch {
-		case !d.spec.granted():
+		case !d.spec.takesGrants():
 		case d.outstanding != 0:
 			next = min(next, d.sentAt+k.cfg.ReplyTimeout)
 		default:
-			next = min(next, max(d.quietAt, d.sentAt+k.cfg.RenewEvery))
+			next = min(next, max(d.abandonedArrivesBy, d.sentAt+k.cfg.RenewEvery))
 		}
 	}
 	return next
 }
 
-// beatNow says whether a renewal is due. All that would be soon go along with it, so
+// renewalsDue says whether a renewal is due. All that would be soon go along with it, so
 // that the renewals of one router share their wakings and their reads one call.
 //
 // A relay may ask for the next ones sooner. All askers of a data centre then share one
 // read, and none of them ever waits longer for its next renewals.
-func (k *Keeper) beatNow(now time.Duration) bool {
-	if now >= k.beatBy {
-		k.beatBy = never
+func (k *Keeper) renewalsDue(now time.Duration) bool {
+	if now >= k.renewTogetherBy {
+		k.renewTogetherBy = never
 		return true
 	}
-	for _, d := range k.own {
+	for _, d := range k.dutyList {
 		if d.phase != serving {
 			continue
 		}
-		if now-d.readAt >= k.cfg.RenewEvery || d.spec.granted() && d.outstanding == 0 && now-d.sentAt >= k.cfg.RenewEvery {
+		if now-d.readAt >= k.cfg.RenewEvery || d.spec.takesGrants() && d.outstanding == 0 && now-d.sentAt >= k.cfg.RenewEvery {
 			return true
 		}
 	}
@@ -87,10 +87,10 @@
 
 // renewalDue says whether what was last done at the given time is to be done anew.
 func (k *Keeper) renewalDue(now, at time.Duration) bool {
-	return now-at >= k.cfg.RenewEvery || k.beat && now-at >= k.cfg.RenewEvery/2
+	return now-at >= k.cfg.RenewEvery || k.renewTogether && now-at >= k.cfg.RenewEvery/2
 }
 
 // late is by how much this step comes later than it had to.
 func (k *Keeper) late(now time.Duration) time.Duration {
-	return now - max(k.last+k.cfg.tick(), k.wakeAt)
+	return now - max(k.lastStepAt+k.cfg.tick(), k.wakeAt)
 }
--- a/core/ownership/wake_test.go
+++ b/core/ownership/wake_test.go
@@ -14,7 +14,7 @@
 // TestRenewalsShareTheirSteps counts, for a router alone with many targets, the steps
 // in which anything is sent at rest, and sees that no renewal is put off by them.
 func TestRenewalsShareTheirSteps(t *testing.T) {
-	opt := options(3, targets(12, model.Isolation{Keep: true}, kinds...), ownership.OmitNone)
+	opt := options(3, targets(12, model.Isolation{Keep: true}, grantChecks...), ownership.OmitNone)
 	opt.Routers = 1
 	sent := map[time.Duration]bool{}
 	last := map[string]time.Duration{}
@@ -50,7 +50,7 @@
 // Sequence: an order gets no reply; the router sleeps, is paused and counts on.
 // Cause: a pause taken for a sleep that the router asked for.
 func TestPauseWhileATargetIsSilentIsForgiven(t *testing.T) {
-	w := ownershiptest.New(options(5, targets(1, model.Isolation{Keep: true}, kinds[0]), ownership.OmitNone))
+	w := ownershiptest.New(options(5, targets(1, model.Isolation{Keep: true}, grantChecks[0]), ownership.OmitNone))
 	w.Run(3 * time.Second)
 	lost := 0
 	before := len(w.Reports)
--- a/core/ownership/write.go
+++ b/core/ownership/write.go
@@ -11,10 +11,10 @@
 	update Update
 	// assigned is acknowledged once the write landed.
 	assigned []Assigned
-	// unknown means that the reply was lost; it is settled by reading back.
-	unknown bool
-	sentAt  time.Duration
-	readAt  time.Duration
+	// outcomeUnknown means that the reply was lost; it is settled by reading back.
+	outcomeUnknown bool
+	sentAt         time.Duration
+	readAt         time.Duration
 }
 
 // put sends a write; the record's decoded form is applied once it landed.
@@ -29,7 +29,7 @@
 	if u.Grantor != nil {
 		k.refreshGate() // a sole router's authority gets a bound before the write leaves
 	}
-	k.do(CAS{Key: key, Expect: expect, Value: w.value, Op: op})
+	k.emit(CAS{Key: key, Expect: expect, Value: w.value, Op: op})
 }
 
 func (k *Keeper) casResult(now time.Duration, e CASResult) {
@@ -48,7 +48,7 @@
 		k.storeAnswered(now)
 		k.readBack(now, w)
 	case Unavailable:
-		if w.unknown {
+		if w.outcomeUnknown {
 			return
 		}
 		delete(k.writes, e.Key)
@@ -65,17 +65,17 @@
 }
 
 func (k *Keeper) readBack(now time.Duration, w *write) {
-	w.unknown = true
+	w.outcomeUnknown = true
 	w.readAt = now
-	k.do(Read{Key: w.key, SentAt: now})
+	k.emit(Read{Key: w.key, SentAt: now})
 }
 
-// settle decides a write with an unknown outcome by what was read. A record at the
+// resolveUnknownWrite decides a write with an unknown outcome by what was read. A record at the
 // expected revision doesn't prove that the write failed: it may still be under
 // way and land later. The identical write is then repeated at the same revision,
 // of which at most one copy can land.
-func (k *Keeper) settle(now time.Duration, w *write, e StoreRead) {
-	if !w.unknown || e.Outcome != Landed || e.SentAt < w.sentAt {
+func (k *Keeper) resolveUnknownWrite(now time.Duration, w *write, e StoreRead) {
+	if !w.outcomeUnknown || e.Outcome != Landed || e.SentAt < w.sentAt {
 		return
 	}
 	ops, found := recordOps(e)
@@ -84,7 +84,7 @@
 		k.landed(now, w)
 	case e.Revision == w.expect:
 		w.sentAt = now
-		k.do(CAS{Key: w.key, Expect: w.expect, Value: w.value, Op: w.op})
+		k.emit(CAS{Key: w.key, Expect: w.expect, Value: w.value, Op: w.op})
 	default:
 		delete(k.writes, w.key)
 		k.failedWrite(now, w)
@@ -113,7 +113,7 @@
 	delete(k.writes, w.key)
 	if w.update.Revision > 0 {
 		k.apply(now, w.update)
-		k.do(Publish{Key: w.key, Revision: w.update.Revision, Value: w.value})
+		k.emit(Publish{Key: w.key, Revision: w.update.Revision, Value: w.value})
 	}
 	if w.update.Grantor != nil {
 		k.grantorWritten(now, w)
@@ -124,7 +124,7 @@
 		// Where the next owner was lost, the unit may have gone back to the one it was to
 		// leave. The move would not be found done, and begin anew with each write.
 		delete(k.moves, a.Unit)
-		k.do(a)
+		k.emit(a)
 	}
 }
 
@@ -133,7 +133,7 @@
 		k.grantorWriteFailed(now, w)
 		return
 	}
-	delete(k.reads, w.key)
+	delete(k.shardReads, w.key)
 	k.checkUnowned = true
 }
 
@@ -141,11 +141,11 @@
 func (k *Keeper) advanceWrites(now time.Duration) {
 	for _, key := range sortedKeys(k.writes) {
 		w := k.writes[key]
-		if !w.unknown && now-w.sentAt >= k.cfg.ReplyTimeout {
+		if !w.outcomeUnknown && now-w.sentAt >= k.cfg.ReplyTimeout {
 			k.readBack(now, w)
 			continue
 		}
-		if w.unknown && now-w.readAt >= k.cfg.ReplyTimeout {
+		if w.outcomeUnknown && now-w.readAt >= k.cfg.ReplyTimeout {
 			k.readBack(now, w)
 		}
 	}
--- a/core/ownership/yield.go
+++ b/core/ownership/yield.go
@@ -15,8 +15,8 @@
 	if d.record != nil {
 		bound = shorter(bound, d.record.YieldAfter)
 	}
-	if d.storeless {
-		bound = shorter(bound, d.giver.yield)
+	if d.withoutStore {
+		bound = shorter(bound, d.given.yieldAfter)
 	}
 	return bound
 }
