--- a/core/ownership/action.go
+++ b/core/ownership/action.go
@@ -7,25 +7,25 @@
 	"tarragongw/core/routing"
 )
 
-// Action is what Keeper.Step asks the shell to do. It is one of the types of this
-// file. Actions are carried out in order; none is repeated by the shell.
+// Action is what Keeper.Step asks the shell to do. It is one of the types of this file. The
+// shell performs the actions in order and repeats none of them.
 type Action interface{ isAction() }
 
-// Read asks for a record; the shell answers with StoreRead, also when it fails.
+// Read asks for a record. The shell answers with StoreRead, also when the read fails.
 type Read struct {
 	Key string
-	// SentAt comes back in StoreRead. The read must be sent after Step returned, never
-	// answered from a cache.
+	// SentAt is returned in StoreRead. The read must be sent after Step has returned and
+	// must never be answered from a cache.
 	SentAt time.Duration
-	// Relayed says that the read may be left to another router, which sends it to the
-	// store after this step, and that it may be given up: this router asks again.
+	// Relayed means that another router may send the read to the store on behalf of this
+	// one, after this step. Such a read may also be dropped: this router asks again.
 	Relayed bool
 }
 
 // CAS asks for a compare-and-swap; the shell answers with CASResult.
 type CAS struct {
 	Key string
-	// Expect is the revision that the record must be at; zero: absent.
+	// Expect is the revision that the record must be at; zero means that it must be absent.
 	Expect uint64
 	Value  []byte
 	Op     Op
@@ -37,51 +37,51 @@
 	Token uint64
 }
 
-// SendGrant renews what a target holds; the shell answers with GrantResult.
+// SendGrant renews the grants of a target; the shell answers with GrantResult.
 type SendGrant struct {
 	Target string
-	// Until is when the order must have been sent; later the shell drops it and
-	// answers Silent.
+	// Until is the time by which the order must have been sent. After it the shell drops the
+	// order and answers with Silent set.
 	Until    time.Duration
 	Term     uint64
 	Sequence uint64
 	// TTL counts from receipt.
 	TTL time.Duration
-	// Fence raises the target's term and changes no grant; to a target that doesn't
-	// check it is a probe without effect.
+	// Fence raises the target's term and changes no grant. For a target that does not check
+	// terms it is a probe without effect.
 	Fence  bool
 	Full   bool
 	Digest uint64
-	// Units is set where Full is; it is not changed afterwards.
+	// Units is set where Full is set; it is not modified afterwards.
 	Units []GrantUnit
 }
 
-// SendPeer sends a message to a router; nothing answers for its arrival.
+// SendPeer sends a message to another router. Its arrival is not acknowledged.
 type SendPeer struct {
 	To      Router
 	Message *ownershippb.Peer
 }
 
-// ProbeTarget asks whether this router reaches the target, on behalf of another one; the
-// shell answers with TargetProbed.
+// ProbeTarget asks the shell to check whether this router reaches the target, on behalf of
+// the router For. The shell answers with TargetProbed.
 type ProbeTarget struct {
 	Target string
 	For    Router
 }
 
-// CloseSend says that the units get no new work at the target; the shell answers
-// with SendClosed once nothing is in flight, and cuts what exceeds RequestBound.
+// CloseSend stops new work on the units at the target. The shell answers with SendClosed
+// once no request on them is in flight; it cancels requests that exceed RequestBound.
 type CloseSend struct {
 	Target string
 	Units  []routing.Unit
-	// Abort cuts the work in flight at once, because the target is lost.
+	// Abort cancels the requests in flight at once, because the target is lost.
 	Abort bool
 }
 
-// SetGate replaces the snapshot that the request path checks right before a send.
+// SetGate replaces the snapshot that the request path checks right before each send.
 type SetGate struct{ Gate *Gate }
 
-// Publish hands a record to the other routers.
+// Publish sends a record to the other routers.
 type Publish struct {
 	Key string
 	// Revision is zero for a grantor that acts without the store.
@@ -89,7 +89,7 @@
 	Value    []byte
 }
 
-// Assigned acknowledges an assignment: its write is known to have landed.
+// Assigned acknowledges an assignment: its write is known to be in the store.
 type Assigned struct {
 	Unit  routing.Unit
 	From  string
@@ -104,7 +104,7 @@
 	Term   uint64
 }
 
-// ReportKind is one of the list of reports.
+// ReportKind is the kind of a Report.
 type ReportKind uint8
 
 // The reports.
@@ -115,26 +115,26 @@
 	TookOverWithoutStore
 	// Superseded means that another router is the target's grantor.
 	Superseded
-	// HandedOver means that this router gave the duty away.
+	// HandedOver means that this router handed the duty over to another one.
 	HandedOver
-	// TargetLost means that the target's units are moved away.
+	// TargetLost means that the target was declared lost and its units are moved away.
 	TargetLost
-	// Unprovable means that grantor and first successor are lost and that nothing proves
+	// Unprovable means that the grantor and its first successor are lost and nothing proves
 	// that they have stopped; the target's units stay unserved.
 	Unprovable
-	// PromisesOnly means that the store can't be reached and that the grantor goes on by
-	// promises of its first successor.
+	// PromisesOnly means that the store is unreachable and the grantor continues on promises
+	// of its first successor.
 	PromisesOnly
 	// StaleUnits means that a successor can't act without the store because it doesn't
 	// know the units that the grantor served.
 	StaleUnits
-	// LossHeld means that the target is silent and that its units stay for now, because
-	// too many are silent at once or this router may be cut off itself.
+	// LossHeld means that the target does not answer and keeps its units for now, because
+	// too many targets do not answer at once or this router itself may be cut off.
 	LossHeld
-	// LossDismissed means that the target answers, or is another router's, after LossHeld.
+	// LossDismissed means that, after LossHeld, the target answers or has another grantor.
 	LossDismissed
-	// ClaimedElsewhere means that this router takes a target of a data centre over that is
-	// cut off; TookOver follows once nobody there can order it any more.
+	// ClaimedElsewhere means that this router takes over a target of a data centre that is
+	// cut off. TookOver follows once no router there can order the target any more.
 	ClaimedElsewhere
 )
 
--- a/core/ownership/alarm.go
+++ b/core/ownership/alarm.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// pendingRequest is how long the store has owed this router an answer.
+// pendingRequest tracks since when a request to the store has been waiting for an answer.
 type pendingRequest struct {
 	waiting bool
 	since   time.Duration
@@ -16,16 +16,16 @@
 
 func (u *pendingRequest) answered() { u.waiting = false }
 
-// restart begins the wait anew after a pause of this router.
+// restart counts the wait from now after a pause of this router.
 func (u *pendingRequest) restart(now time.Duration) { u.since = now }
 
-// reportStoreUnreachable tells that the store is silent, once it left what this router itself
-// asked without an answer for as long as one answer keeps a grantor going.
+// reportStoreUnreachable reports the store as unreachable if a request that this router
+// itself sent has had no answer for as long as one confirmation lets a grantor send.
 //
-// What goes wrong where the first request for a promise tells it: promises are asked for
-// once the last confirmation is 160 ms old, for whatever reason. On a busy machine that is
-// a pause of this router or of the one that reads for it, and all grantors report a store
-// that answers. Who finds nothing wrong time and again believes the alarm no more.
+// The first request for a promise must not raise this alarm by itself: promises are
+// requested once the last confirmation is 160 ms old, for whatever reason. On a busy
+// machine the reason is a pause of this router or of its relay, and all grantors would
+// report a store that answers. Operators who see repeated false alarms stop believing them.
 func (k *Keeper) reportStoreUnreachable(now time.Duration, d *duty) {
 	if k.storeRequest.waiting && now-k.storeRequest.since >= k.cfg.Authority {
 		d.report(k, PromisesOnly)
--- a/core/ownership/assign.go
+++ b/core/ownership/assign.go
@@ -9,11 +9,11 @@
 // Candidate is a target that may own units.
 type Candidate struct {
 	Name string
-	// Weight is its share relative to the others; it must be positive.
+	// Weight is the candidate's share relative to the others; it must be positive.
 	Weight float64
 }
 
-// Placed is a unit with its present owner.
+// Placed is a unit with its current owner.
 type Placed struct {
 	Unit  routing.Unit
 	Owner string
@@ -28,12 +28,11 @@
 	To   string
 }
 
-// Assign returns the moves that give every unit an eligible owner and even the
-// counts out in proportion to the weights. A unit moves for two reasons only:
-// its owner is not a candidate (or not eligible), which always moves it, or the
-// move brings the most loaded target nearer to its share, of which there are at
-// most budget. The result depends on the arguments alone, so that routers which
-// see the same records decide the same.
+// Assign returns the moves that give every unit an eligible owner and balance the counts in
+// proportion to the weights. A unit moves for two reasons only: its owner is not a
+// candidate (or not eligible), which always moves it, or the move brings the most loaded
+// target nearer to its share, which happens for at most budget units. The result depends on
+// the arguments alone, so that routers which see the same records decide the same.
 func Assign(units []Placed, candidates []Candidate, budget int) []Move {
 	p := newPlacement(units, candidates)
 	moves := p.placeUnowned(units)
@@ -98,7 +97,8 @@
 	return moves
 }
 
-// lowest returns the eligible candidate that is least loaded with one unit more.
+// lowest returns the eligible candidate with the lowest load after it has received one more
+// unit.
 func (p *placement) lowest(u Placed) int {
 	best, load := -1, math.Inf(1)
 	for c := range p.candidates {
@@ -110,8 +110,8 @@
 	return best
 }
 
-// rebalance moves one unit at a time from the most loaded target to the one with most
-// room, while the receiver ends less loaded than the giver was.
+// rebalance moves one unit at a time from the most loaded target to the one with most room,
+// as long as the receiver ends up less loaded than the sender was.
 func (p *placement) rebalance(units []Placed, budget int) []Move {
 	var moves []Move
 	fixed := make([]bool, len(p.candidates))
@@ -146,8 +146,8 @@
 	return best
 }
 
-// movable returns which of the giver's units improves the balance most by moving,
-// and where to. Units that were placed by this very call stay.
+// movable returns which of the units of the target from improves the balance most by
+// moving, and its receiver. Units that this call of Assign has placed stay.
 func (p *placement) movable(units []Placed, from int) (at, to int) {
 	load := float64(p.count[from]) / p.candidates[from].Weight
 	for at := len(p.held[from]) - 1; at >= 0; at-- {
--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// considerClaim decides whether this router takes the duty up. The store's
-// compare-and-swap serialises those who try.
+// considerClaim decides whether this router claims the duty. The store's compare-and-swap
+// serialises concurrent claims.
 func (k *Keeper) considerClaim(now time.Duration, d *duty) {
 	key := d.key
 	if d.phase == claiming && k.actWithoutStore(now, d) {
@@ -46,17 +46,17 @@
 	k.abandonClaim(d)
 }
 
-// justSuperseded reports whether the grantor took the duty over from this router a
-// short while ago, which shows that it lived although it isn't heard. Without this two
-// routers that reach the store but not each other take the duty from each other with
-// each renewal, for as long as they are apart.
+// justSuperseded reports whether the grantor took the duty over from this router a short
+// while ago, which shows that it was alive although no heartbeat of it arrives. Without
+// this check two routers that reach the store but not each other would take the duty from
+// each other with each renewal, as long as the connection between them is down.
 func (k *Keeper) justSuperseded(now time.Duration, d *duty) bool {
 	return d.supersededAt != 0 && now-d.supersededAt < k.cfg.HandBackAfter && !k.hasRestarted(d.record.Router)
 }
 
-// notYetSeen reports whether the router may live although this one, which has just started,
-// has not met it. Without this a router that starts would take duties from grantors
-// that live, or report them lost.
+// notYetSeen reports whether the router may be alive although this one, which has just
+// started, has not seen it yet. Without this check a router that starts would take duties
+// from live grantors or report them lost.
 func (k *Keeper) notYetSeen(now time.Duration, r Router) bool {
 	_, met := k.lastSeen[r.Name]
 	return !met && now-k.liveSince[k.cfg.Self.Name] < k.cfg.LostAfter
@@ -73,7 +73,7 @@
 	}
 }
 
-// abandonClaim goes back to promising when the grantor turned out to live before
+// abandonClaim returns to giving promises when the grantor turned out to be live before
 // this router acted.
 func (k *Keeper) abandonClaim(d *duty) {
 	if d.phase == claiming && !d.withoutStore {
@@ -98,7 +98,7 @@
 	return ok && s == k.cfg.Self
 }
 
-// mayClaim is asked where the recorded grantor is not live.
+// mayClaim reports whether this router may claim the duty of a grantor that is not live.
 func (k *Keeper) mayClaim(d *duty) bool {
 	s, ok := d.firstSuccessor()
 	if ok && s == k.cfg.Self {
@@ -114,20 +114,21 @@
 	return false
 }
 
-// bothRestarted reports whether later lives prove the end of the recorded grantor and
-// of its first successor.
+// bothRestarted reports whether later instances prove that the recorded grantor and its
+// first successor have ended.
 func (k *Keeper) bothRestarted(d *duty) bool {
 	s, ok := d.firstSuccessor()
 	return k.hasRestarted(d.record.Router) && (!ok || k.hasRestarted(s))
 }
 
-// oldAuthority is how long from now the authority of others may have effects, once
-// the claim is in the store; never where nothing bounds it.
+// oldAuthority returns how long from now the authority of other routers may have effects,
+// once the claim is in the store; never where nothing bounds it.
 //
-// What goes wrong where only the recorded grantor counts: a router claims, is to wait the
-// long YieldAfter of the one before it out and is lost meanwhile. Its first successor waits
-// no longer than its own predecessor's authority, and the one before acts still. So a claim
-// is marked as unproved until its router serves.
+// It is not enough to wait for the recorded grantor alone. A router that claims the duty,
+// has to wait for the long YieldAfter of the grantor before it, and is lost during that
+// wait would be replaced by its first successor, which waits only for that router's
+// authority while the earlier grantor still acts. A claim is therefore marked as unproved
+// until its router serves.
 func (k *Keeper) oldAuthority(d *duty) time.Duration {
 	switch {
 	case k.cfg.omit == omitWaitOut || d.record == nil:
@@ -135,7 +136,7 @@
 	case d.record.Router == k.cfg.Self && !d.successorStopped:
 		return never
 	case d.record.Unproved && k.waitForAllGrantors(d) == never && d.deadConfirmed:
-		return k.cfg.waitOut() // the operators' word is the only remedy here
+		return k.cfg.waitOut() // only the operators' confirmation can end this wait
 	case d.record.Unproved && k.cfg.omit != omitUnproved:
 		return k.waitForAllGrantors(d)
 	case d.record.Router == k.cfg.Self || k.bothRestarted(d):
@@ -147,7 +148,7 @@
 	}
 }
 
-// waitForAllGrantors is the wait that outlasts all grantors that there have been.
+// waitForAllGrantors returns the wait after which no earlier grantor can act any more.
 func (k *Keeper) waitForAllGrantors(d *duty) time.Duration {
 	y := d.recordedYield(k)
 	switch {
@@ -160,8 +161,8 @@
 	}
 }
 
-// claim writes the next epoch of the record with this router as grantor. From here
-// on it promises nothing to the old one.
+// claim writes the next epoch of the record with this router as grantor. From here on this
+// router gives the old grantor no promises.
 func (k *Keeper) claim(now time.Duration, d *duty) {
 	if d.phase == idle {
 		d.phase, d.promisesStoppedAt = claiming, now
@@ -175,14 +176,15 @@
 		next.Term, next.Ops = nextEpoch(d.record.Term), d.record.Ops.with(op)
 		next.Unproved = d.record.Unproved || d.oldAuthorityWait > k.cfg.waitOut()
 		if next.Unproved {
-			// Whoever takes over before the proof has to outlast the one before too.
+			// A router that takes over before the proof must also wait for the grantor before
+			// this one.
 			next.YieldAfter = longer(next.YieldAfter, d.record.YieldAfter)
 		}
 	}
 	k.put(now, d.key, d.revision, op, Update{Grantor: next})
 }
 
-// grantorWritten goes on after a write of the grantor record landed.
+// grantorWritten is called when a write of the grantor record is known to be in the store.
 func (k *Keeper) grantorWritten(now time.Duration, w *write) {
 	g := w.update.Grantor
 	d := k.duties[g.Target]
@@ -193,7 +195,8 @@
 	case g.Router != k.cfg.Self:
 		k.report(HandedOver, g.Target, g.Term)
 	case d.withoutStore:
-		// The units stay: nobody else could order since this router took over.
+		// The units stay assigned: no other router can have ordered the target since this one
+		// took over.
 		d.withoutStore, d.term, d.until = false, g.Term, 0
 		k.confirm(now, d, w.sentAt)
 	case d.phase == claiming:
@@ -205,7 +208,7 @@
 	}
 }
 
-// grantorWriteFailed goes back to where the write started; the record is read anew.
+// grantorWriteFailed restores the phase before the write; the record is read again.
 func (k *Keeper) grantorWriteFailed(now time.Duration, w *write) {
 	d := k.duties[w.update.Grantor.Target]
 	if d == nil || d.withoutStore || d.phase != claiming {
@@ -216,24 +219,24 @@
 	}
 }
 
-// raiseTerm takes the next epoch of a record that names this router already. Its
-// successor may have acted without the store under a higher term of this epoch, so
-// that a target that checks refuses this router's own. proved says that it has
-// stopped; otherwise only the target's word that it took the new term will do.
+// raiseTerm claims the next epoch of a record that already names this router. Its successor
+// may have acted without the store under a higher term of this epoch, so that a target that
+// checks refuses this router's own term. successorStopped means that the successor is known
+// to have stopped; otherwise the only proof is that the target accepts the new term.
 func (k *Keeper) raiseTerm(now time.Duration, d *duty, proved bool) {
 	k.drop(d, d.reported)
 	d.termRaisePending, d.successorStopped = true, proved
 	k.considerClaim(now, d)
 }
 
-// takeHandOver takes up a duty that the record gives to this router: its writer
-// stopped before it wrote, so only orders under way are waited out.
+// takeHandOver takes up a duty that the record gives to this router. The writer of the
+// record stopped before it wrote, so only orders under way have to be waited for.
 func (k *Keeper) takeHandOver(now time.Duration, d *duty) {
 	d.phase, d.promisesStoppedAt = claiming, now
 	wait := k.cfg.OrderBound + k.cfg.slack()
 	if d.record.Unproved {
-		// A hand-over is never unproved: this is an own claim whose wait was broken off, as
-		// where the target left the configuration for a moment.
+		// A hand-over is never unproved: this is this router's own claim whose wait was
+		// interrupted, for example because the target left the configuration for a moment.
 		wait = k.waitForAllGrantors(d)
 	}
 	k.startProof(now, d, wait)
--- a/core/ownership/config.go
+++ b/core/ownership/config.go
@@ -6,13 +6,14 @@
 	"tarragongw/core/model"
 )
 
-// Config is one router's settings. Times are on the monotonic clock that counts
-// suspension.
+// Config holds the settings of one router. Times are on a monotonic clock that also runs
+// while the machine is suspended.
 type Config struct {
-	// Self is this life of this router.
+	// Self is this instance of this router.
 	Self Router
-	// DataCentre is where the router is. It is grantor for targets of it and, while another
-	// data centre is cut off, for those of that one which yield.
+	// DataCentre is the router's data centre. The router is grantor for targets of this data
+	// centre and, while another data centre is cut off, for targets there whose service
+	// yields.
 	DataCentre string
 	// Authority (default 320 ms) is how long one confirmation lets the grantor send.
 	Authority time.Duration
@@ -20,34 +21,37 @@
 	RenewEvery time.Duration
 	// OrderBound (default 50 ms) is the longest that a sent order may be under way.
 	OrderBound time.Duration
-	// RequestBound (default 5 s) is the longest that work goes on at a target once its
-	// unit was closed; the shell cuts what is longer.
+	// RequestBound (default 5 s) is the longest that work continues at a target once its
+	// unit was closed; the shell cancels work that takes longer.
 	RequestBound time.Duration
-	// ReplyTimeout (default 150 ms) is when a reply of the store or of a target counts
-	// as lost.
+	// ReplyTimeout (default 150 ms) is the time after which a reply of the store or of a
+	// target counts as lost.
 	ReplyTimeout time.Duration
-	// LostAfter (default 300 ms) is the silence towards grants that makes a target lost.
+	// LostAfter (default 300 ms) is how long a target may leave grants unanswered before it
+	// counts as lost.
 	LostAfter time.Duration
-	// HandBackAfter (default 10 s) is how long a better-ranked router is live before it
+	// HandBackAfter (default 10 s) is how long a better-ranked router must be live before it
 	// is handed a duty.
 	HandBackAfter time.Duration
-	// HoldSuccessor (default 10 s) is how long a router that is heard no more keeps its
-	// place among the successors of a grantor, where no other takes it.
+	// HoldSuccessor (default 10 s) is how long a router that is no longer live keeps its
+	// place in a grantor's list of successors, if no other router takes it.
 	HoldSuccessor time.Duration
-	// MaxLostShare (default 0.5) is the share of a router's targets that it declares lost
-	// within LossWindow (default 2 s) by its own evidence alone; one it always may.
+	// MaxLostShare (default 0.5) is the share of its targets that a router may declare lost
+	// on its own evidence alone within LossWindow (default 2 s); it may always declare one.
 	MaxLostShare float64
 	LossWindow   time.Duration
-	// ClockRate (default 0.01) bounds the difference of two clocks' rates.
+	// ClockRate (default 0.01) bounds the relative difference between the rates of two
+	// clocks.
 	ClockRate float64
 	// Successors (default 2, at most TermPlaces-1) is the length of the successor list.
 	Successors int
 
-	// omit drops one check; only tests set it, to see that its absence is caught.
+	// omit disables one rule. Only tests set it, to verify that the missing rule is
+	// detected.
 	omit omission
 }
 
-// omission names a check that a test may omit.
+// omission names the rule that a test disables.
 type omission uint8
 
 const (
@@ -112,23 +116,24 @@
 	}
 }
 
-// stretch lengthens a duration that another clock measures by the margin.
+// stretch lengthens a duration that another clock measures, by the bound on the difference
+// of the clocks' rates.
 func (c *Config) stretch(d time.Duration) time.Duration {
 	return d + time.Duration(float64(d)*c.ClockRate)
 }
 
-// shrink shortens a duration that another clock waits out.
+// shrink shortens a duration that another clock waits for, by the same bound.
 func (c *Config) shrink(d time.Duration) time.Duration {
 	return d - time.Duration(float64(d)*c.ClockRate)
 }
 
-// slack is how long the shell may hold an order back.
+// slack is how long the shell may delay an order.
 func (c *Config) slack() time.Duration { return c.OrderBound / 2 }
 
 // waitOut is how long the authority of another router may still have effects.
 func (c *Config) waitOut() time.Duration { return c.stretch(c.Authority) + c.OrderBound }
 
-// TargetSpec is what the core needs to know of a target.
+// TargetSpec is what the package needs to know about a target.
 type TargetSpec struct {
 	Name       string
 	Service    string
@@ -136,7 +141,7 @@
 	Grants     model.GrantCheck
 	// Isolation is that of the target's service.
 	Isolation model.Isolation
-	// Drain marks a target that is leaving.
+	// Drain means that the target is to be drained: its units are moved away.
 	Drain bool
 	// Weight is the target's share relative to others; zero counts as one.
 	Weight float64
@@ -149,7 +154,7 @@
 	Eligible []string
 }
 
-// ServiceSpec is what the core needs to know of a service divided by key.
+// ServiceSpec is what the package needs to know about a service that is divided by key.
 type ServiceSpec struct {
 	Name      string
 	HashSlots uint32
--- a/core/ownership/duty.go
+++ b/core/ownership/duty.go
@@ -2,19 +2,21 @@
 
 import "time"
 
-// phase is where a router stands with the grantor duty of one target.
+// phase is the state of a router with regard to the grantor duty of one target.
 type phase uint8
 
 const (
-	// idle: another router is the grantor, or none.
+	// idle: another router is the grantor, or there is none.
 	idle phase = iota
 	// claiming: this router has begun to take over.
 	claiming
-	// waiting: the record names this router; the old authority is waited out.
+	// waiting: the record names this router, which waits until the old authority has ended.
 	waiting
-	// fencing: the record names this router; the target is to accept the new term.
+	// fencing: the record names this router, and the target has not yet accepted the new
+	// term.
 	fencing
-	// loading: it is proved that nobody else orders; the units are read.
+	// loading: it is proved that no other router orders the target; the units are being
+	// read.
 	loading
 	// serving: this router grants and sends.
 	serving
@@ -24,7 +26,8 @@
 type duty struct {
 	spec TargetSpec
 	key  string
-	// record and revision are the last of the store; seen is set once it was read.
+	// record and revision are the latest that this router knows from the store; recordRead
+	// is set once the record was read.
 	record     *GrantorRecord
 	revision   uint64
 	recordRead bool
@@ -32,54 +35,60 @@
 	term       uint64
 	// until bounds the authority; see validUntil.
 	until time.Duration
-	// confirmedAt is when the last read was sent that found this router's term.
+	// confirmedAt is when the latest read that found this router's term was sent.
 	confirmedAt time.Duration
 	readAt      time.Duration
-	// takenAt is when this router took the duty up last.
+	// takenAt is when this router last took up the duty.
 	takenAt time.Duration
-	// oldAuthorityWait is how long the authority of others outlasts a claim that is in the
-	// store; claimAfter is when the next attempt to claim may start.
+	// oldAuthorityWait is how long the authority of other routers may outlast a claim that
+	// is in the store; nextClaimAt is when the next attempt to claim may start.
 	oldAuthorityWait time.Duration
 	nextClaimAt      time.Duration
 	// nextSuccessorWriteAt is when the next change of the list of successors may be written.
 	nextSuccessorWriteAt time.Duration
-	// supersededAt is when this router learnt that another one took the duty over, while
-	// that one isn't heard; zero otherwise.
+	// supersededAt is when this router learnt that another router had taken over the duty,
+	// as long as no heartbeat of that router arrives; zero otherwise.
 	supersededAt time.Duration
-	// oldGrantsWait is how long the grants of others may outlast waitUntil.
+	// oldGrantsWait is how long grants of other routers may remain valid after waitUntil.
 	oldGrantsWait time.Duration
-	// waitUntil is when the old authority has provably ended, or never.
+	// waitUntil is when the old authority is proved to have ended, or never.
 	waitUntil time.Duration
-	// promisesStoppedAt is when this router, as first successor, stopped to promise.
+	// promisesStoppedAt is when this router, as first successor, stopped giving promises.
 	promisesStoppedAt time.Duration
-	// withoutStore is set while this router acts under a successor's term.
+	// withoutStore is set while this router acts under a successor's term, without the
+	// store.
 	withoutStore bool
-	// loadFrom is when the record was known to name this router; reads of the units
-	// sent before don't count.
+	// loadFrom is when it was known that the record names this router; reads of the units
+	// that were sent earlier don't count.
 	loadFrom      time.Duration
 	deadConfirmed bool
-	// termRaisePending asks for the next epoch although the record names this router.
+	// termRaisePending asks for the next epoch although the record already names this
+	// router.
 	termRaisePending bool
-	// successorStopped says that the successor which acted has stopped; see raiseTerm.
+	// successorStopped means that the successor that acted has stopped; see raiseTerm.
 	successorStopped bool
 	reported         ReportKind
-	// takenWhileStopping says that the duty came when this router was already stopping.
+	// takenWhileStopping means that this router was already stopping when it received the
+	// duty.
 	takenWhileStopping bool
-	// grantorIsLive says whether the grantor of the record liveOf is live in the view liveIn.
+	// grantorIsLive is whether the grantor of liveCheckRecord is live in the member view
+	// liveCheckView.
 	grantorIsLive   bool
 	liveCheckRecord *GrantorRecord
 	liveCheckView   uint64
-	// ranked are the live routers in the target's order; nil when they changed.
+	// ranked lists the live routers in the target's order; nil after they changed.
 	ranked    []Router
 	received  receivedPromises
 	given     givenPromises
 	suspicion lossSuspicion
-	// meetsOrderBound says that a target of another data centre answers within OrderBound; see isNear.
+	// meetsOrderBound means that a target of another data centre answers within OrderBound;
+	// see withinOrderBound.
 	meetsOrderBound bool
-	// probing is set while a probe of this router is under way, probedAt when it was sent.
+	// probing is set while a probe by this router is under way; probedAt is when it was
+	// sent.
 	probing  bool
 	probedAt time.Duration
-	// reachProbes are those of the routers that the duty may be handed to.
+	// reachProbes are the probes by the routers that the duty may be handed to.
 	reachProbes map[Router]reachProbe
 	grants
 }
@@ -90,8 +99,8 @@
 
 const noReport = ReportKind(255)
 
-// validUntil is the end of the authority on this router's clock. Where the duty
-// yields it never exceeds YieldAfter since the store was last seen to agree.
+// validUntil is the end of the authority on this router's clock. Where the service yields,
+// it is never later than YieldAfter after the last confirmation by the store.
 func (d *duty) validUntil(k *Keeper) time.Duration {
 	if k.cfg.omit == omitValidity {
 		return never
@@ -106,9 +115,9 @@
 	return until
 }
 
-// isSoleRouter reports whether nobody may take over from this router without an
-// operator: the record has no successor and the service keeps its owners. A write
-// under way may name one, who may then claim the duty.
+// isSoleRouter reports whether no router may take over from this one without an operator:
+// the record has no successor and the service keeps its owners. A write under way may name
+// a successor, which may then claim the duty.
 func (k *Keeper) isSoleRouter(d *duty) bool {
 	if d.withoutStore || d.record == nil || d.phase < waiting || d.yieldAfter() > 0 {
 		return false
@@ -158,9 +167,9 @@
 	k.sendRead(now, d)
 }
 
-// mayUseRelay says that this router only looks on while others may take the duty up. All
-// routers of the data centre do so when a grantor is lost, and reading by themselves
-// they would be a burst of calls to the store just when the successor needs it.
+// mayUseRelay reports whether this router only observes while others may take up the duty.
+// All routers of the data centre do so when a grantor is lost; if each read the record
+// itself, the store would get a burst of calls just when the successor needs it.
 func (k *Keeper) mayUseRelay(d *duty) bool {
 	return d.phase == idle && d.recordRead && d.record != nil && d.record.Router != k.cfg.Self &&
 		!k.isFirstSuccessor(d) && !k.ranksFirst(d)
@@ -172,8 +181,8 @@
 	k.emit(Read{Key: d.key, SentAt: now})
 }
 
-// relayRead reads by itself what is not of this data centre, whose relays read no other
-// records.
+// relayRead sends a read through the relay. Records of other data centres are read
+// directly, because the relays of this data centre don't read them.
 func (k *Keeper) relayRead(now time.Duration, d *duty) {
 	if k.isRemote(d) {
 		k.sendRead(now, d)
@@ -183,7 +192,7 @@
 	k.emit(Read{Key: d.key, SentAt: now, Relayed: true})
 }
 
-// learnGrantor takes in a record of the store, by whatever way it came.
+// learnGrantor applies a record of the store, whichever way it arrived.
 func (k *Keeper) learnGrantor(now time.Duration, g *GrantorRecord, revision uint64) {
 	d := k.duties[g.Target]
 	if d == nil || revision <= d.revision {
@@ -202,7 +211,7 @@
 	}
 }
 
-// drop ends the duty here.
+// drop ends the duty at this router.
 func (k *Keeper) drop(d *duty, kind ReportKind) {
 	d.report(k, kind)
 	d.phase, d.withoutStore, d.promisesStoppedAt, d.until, d.meetsOrderBound = idle, false, 0, 0, false
@@ -212,9 +221,9 @@
 	k.gateStale = true
 }
 
-// grantorRead uses a read of the grantor record as a confirmation: what it found
-// was in force when the read was sent or later, so nobody else can have
-// authority before SentAt plus the wait-out.
+// grantorRead treats a read of the grantor record as a confirmation: the record that it
+// found was in force when the read was sent or later, so no other router can have authority
+// before SentAt plus the wait-out.
 func (k *Keeper) grantorRead(now time.Duration, e StoreRead) {
 	d := k.dutyOf(e.Key)
 	if d == nil {
@@ -237,9 +246,10 @@
 	k.confirm(now, d, e.SentAt)
 }
 
-// grantedBy reports whether an older record than the known one names this router under the
-// present term. Terms only grow, so the duty was held here from then on. A read that
-// met a write of this router's own, as of a new successor, would else confirm nothing.
+// grantedBy reports whether a record older than the known one names this router under the
+// present term. Terms only grow, so this router has held the duty since then. Without this
+// check a read that overlaps a write of this router itself, such as a new list of
+// successors, would confirm nothing.
 func (d *duty) grantedBy(k *Keeper, e StoreRead) bool {
 	g, err := DecodeGrantor(e.Value)
 	return err == nil && g.Router == k.cfg.Self && g.Term == d.term
@@ -247,8 +257,8 @@
 
 func (k *Keeper) dutyOf(key string) *duty { return k.dutyByKey[key] }
 
-// confirm extends the authority by a read of the store, unless this router relies
-// on promises: its successor may then act without the store.
+// confirm extends the authority by a read of the store, unless this router relies on
+// promises: its successor may then act without the store.
 func (k *Keeper) confirm(now time.Duration, d *duty, sentAt time.Duration) {
 	d.confirmedAt = max(d.confirmedAt, sentAt)
 	if d.received.active && d.received.echo == 0 {
@@ -268,8 +278,8 @@
 	}
 }
 
-// renewAuthority asks the store for the record at each interval, and the first
-// successor for a promise once the store has not confirmed it for a while.
+// renewAuthority reads the record at each interval, and requests a promise from the first
+// successor once the store has not confirmed the record for a while.
 func (k *Keeper) renewAuthority(now time.Duration, d *duty) {
 	if !k.renewalDue(now, d.readAt) {
 		return
@@ -282,9 +292,10 @@
 	k.askPromise(now, d)
 }
 
-// recentlyConfirmed says that the duty is served in the ordinary way, so that its next
-// confirmation may come by a relay. Once confirmations stay away, for whatever reason,
-// this router reads by itself: no fault of a relay can end an authority.
+// recentlyConfirmed reports whether the duty is served in the normal way, so that its next
+// confirmation may come through a relay. Once confirmations are missing, for whatever
+// reason, this router reads the record itself, so that no fault of a relay can end an
+// authority.
 func (k *Keeper) recentlyConfirmed(now time.Duration, d *duty) bool {
 	return d.phase == serving && !d.withoutStore && !d.received.active && now-d.confirmedAt <= 2*k.cfg.RenewEvery
 }
--- a/core/ownership/event.go
+++ b/core/ownership/event.go
@@ -7,10 +7,10 @@
 	"tarragongw/core/routing"
 )
 
-// Event is what Keeper.Step takes in. It is one of the types of this file.
+// Event is an input of Keeper.Step. It is one of the types of this file.
 type Event interface{ isEvent() }
 
-// Tick makes time pass; the shell sends one when Wake says so at the latest.
+// Tick lets the keeper act on the time; the shell sends one no later than Wake says.
 type Tick struct{}
 
 // Configured is a new revision of the operators' model: all targets of all data
@@ -20,26 +20,26 @@
 	Services []ServiceSpec
 }
 
-// Members is the membership's view of the live routers of this data centre,
-// with this router itself.
+// Members is the membership's view of the live routers of this data centre, including this
+// router.
 type Members struct {
 	Live []Router
-	// Leaving are those of Live that are about to stop. They keep what they have and
-	// are given nothing.
+	// Leaving are those of Live that are about to stop. They keep their duties and are given
+	// no new ones.
 	Leaving []Router
 	// Elsewhere are the other data centres.
 	Elsewhere []FarDataCentre
 }
 
-// FarDataCentre is another data centre. CutOff is the membership's statement that nothing
-// has been heard of it for long, neither directly nor by a third; it stays false while
-// this router doubts itself.
+// FarDataCentre is another data centre. CutOff is set by the membership once it has had no
+// sign of that data centre for long, neither directly nor through a third one; it stays
+// false while this router suspects that it is cut off itself.
 type FarDataCentre struct {
 	Name   string
 	CutOff bool
 }
 
-// Outcome is what is known about a call to the store.
+// Outcome is what is known about the effect of a call to the store.
 type Outcome uint8
 
 const (
@@ -56,18 +56,18 @@
 // StoreRead answers a Read.
 type StoreRead struct {
 	Key string
-	// SentAt is that of the Read.
+	// SentAt is the SentAt of the Read.
 	SentAt time.Duration
-	// Outcome is Landed for an answer, with Revision zero where the key is absent.
+	// Outcome is Landed if the store answered; Revision is zero if the key is absent.
 	Outcome  Outcome
 	Revision uint64
 	Value    []byte
-	// Earlier is by how much the next relayed read of the key should come sooner than
-	// RenewEvery after this one; more than half of RenewEvery counts as half.
+	// Earlier is how much sooner than RenewEvery after this read the next relayed read of
+	// the key should be sent; more than half of RenewEvery counts as half.
 	Earlier time.Duration
 }
 
-// StoreChanged is a record learnt by watch, list or from a peer. It proves nothing
+// StoreChanged is a record received by a watch, a list or from a peer. It proves nothing
 // about the present.
 type StoreChanged struct {
 	Key      string
@@ -75,8 +75,7 @@
 	Value    []byte
 }
 
-// GrantorClaimed is a grantor record that a router published which acts without
-// the store.
+// GrantorClaimed is a grantor record published by a router that acts without the store.
 type GrantorClaimed struct{ Record *GrantorRecord }
 
 // CASResult answers a CAS.
@@ -91,16 +90,16 @@
 type GrantResult struct {
 	Target   string
 	Sequence uint64
-	// Silent means that no reply came.
+	// Silent means that no reply arrived.
 	Silent   bool
 	Accepted bool
 	// Term is the highest term that the target has seen.
 	Term uint64
-	// Busy are revoked units on which work is still in flight.
+	// Busy lists revoked units on which work is still in flight.
 	Busy []routing.Unit
 }
 
-// TargetHealth is the verdict of health checks on a target.
+// TargetHealth is the result of the health checks of a target.
 type TargetHealth struct {
 	Target string
 	Lost   bool
@@ -113,14 +112,14 @@
 	Reached bool
 }
 
-// SendClosed says that no work of this router on the units is in flight at the target.
+// SendClosed means that no work of this router on the units is in flight at the target.
 type SendClosed struct {
 	Target string
 	Units  []routing.Unit
 }
 
-// MovesRequested asks for moves of units from targets whose grantor this router is;
-// the others are ignored.
+// MovesRequested asks for moves of units from targets whose grantor is this router; other
+// moves are ignored.
 type MovesRequested struct{ Moves []Move }
 
 // PeerMessage is a message of another router.
@@ -129,11 +128,11 @@
 	Message *ownershippb.Peer
 }
 
-// DeadConfirmed is the operator's word that the target's grantor and its first
+// DeadConfirmed is an operator's confirmation that the target's grantor and its first
 // successor are both dead and won't come back.
 type DeadConfirmed struct{ Target string }
 
-// Stop begins a planned stop: duties are handed over.
+// Stop starts a planned stop: duties are handed over.
 type Stop struct{}
 
 func (Tick) isEvent()           {}
--- a/core/ownership/gate.go
+++ b/core/ownership/gate.go
@@ -8,8 +8,8 @@
 	"tarragongw/core/routing"
 )
 
-// Gate is an immutable snapshot of what this router may send. It is safe for use
-// by many goroutines.
+// Gate is an immutable snapshot of what this router may send. It is safe for concurrent
+// use.
 type Gate struct {
 	table  *Table
 	rights map[string]sendRight
@@ -20,11 +20,10 @@
 	until time.Duration
 }
 
-// MaySend reports whether a request on the unit may be sent to the target now. It
-// must be called right before the first byte is written: a router that was paused
-// since the look-up may have been superseded, which would give the target two
-// senders or the unit two owners; the validity bound on the router's own clock
-// shows it here.
+// MaySend reports whether a request on the unit may be sent to the target now. It must be
+// called right before the first byte is written: a router that was suspended since the
+// look-up may have been superseded, and the target would then have two senders or the unit
+// two owners. The end of the right on the router's own clock reveals this.
 func (g *Gate) MaySend(now time.Duration, target string, unit routing.Unit, token uint64) bool {
 	if g == nil {
 		return false
@@ -37,8 +36,8 @@
 	return ok && st.Target == target && st.Token == token && !st.Releasing
 }
 
-// Term returns the term under which this router sends to the target; zero means
-// that it doesn't.
+// Term returns the term under which this router sends to the target; zero means that it
+// does not send to it.
 func (g *Gate) Term(target string) uint64 {
 	if g == nil {
 		return 0
@@ -46,7 +45,7 @@
 	return g.rights[target].term
 }
 
-// Targets ranges over the targets that this router sends to, in no order.
+// Targets iterates over the targets that this router sends to, in no particular order.
 func (g *Gate) Targets() iter.Seq[string] {
 	if g == nil {
 		return func(func(string) bool) {}
@@ -57,9 +56,9 @@
 // Table returns the ownership that the gate checks against.
 func (g *Gate) Table() *Table { return g.table }
 
-// Lapsed reports whether the right to send to the target has run out by this router's clock
-// and was neither renewed nor given up in order. That is what a router finds that was
-// suspended: it has not come to the end of its right yet.
+// Lapsed reports whether the right to send to the target has expired by this router's clock
+// and was neither renewed nor given up in an orderly way. This is the state of a router
+// that was suspended and has not yet processed the end of its right.
 func (g *Gate) Lapsed(now time.Duration, target string) bool {
 	if g == nil {
 		return false
@@ -68,8 +67,8 @@
 	return ok && now >= h.until
 }
 
-// Until returns when the right to send to the target ends by this router's clock, and whether
-// there is one.
+// Until returns when the right to send to the target ends by this router's clock, and
+// whether the router has such a right.
 func (g *Gate) Until(target string) (time.Duration, bool) {
 	if g == nil {
 		return 0, false
@@ -78,8 +77,8 @@
 	return h.until, ok
 }
 
-// Holds reports whether this router may send to the target now, whatever the unit;
-// it is the check for services that are not divided by key.
+// Holds reports whether this router may send to the target now, regardless of the unit. It
+// is the check for services that are not divided by key.
 func (g *Gate) Holds(now time.Duration, target string) bool {
 	if g == nil {
 		return false
--- a/core/ownership/grant.go
+++ b/core/ownership/grant.go
@@ -6,40 +6,40 @@
 	"tarragongw/core/routing"
 )
 
-// grants is the grantor's side of one target's grants.
+// grants is the state of one target's grants at its grantor.
 type grants struct {
 	sequence uint64
-	// outstanding is the sequence that waits for a reply, or zero.
+	// outstanding is the sequence of the order that waits for a reply, or zero.
 	outstanding uint64
 	sentAt      time.Duration
 	sentDigest  uint64
-	// sentFence means that the last order was a fence or a probe.
+	// sentFence means that the latest order was a fence or a probe.
 	sentFence bool
-	// arrivesBy is when the last order has arrived or never will, quietAt the same for
-	// one that was given up.
+	// arrivesBy is the time after which the latest order has either arrived or never will;
+	// abandonedArrivesBy is the same for an order whose reply timed out.
 	arrivesBy          time.Duration
 	abandonedArrivesBy time.Duration
-	// sentTable is the ownership that the last order was made from.
+	// sentTable is the ownership that the latest order was built from.
 	sentTable *Table
-	// acceptedDigest is that of the set that the target accepted under this term.
+	// acceptedDigest is the digest of the set that the target accepted under this term.
 	acceptedDigest uint64
-	// grantsExpireAt is when all that was granted has lapsed, if nothing more is sent.
+	// grantsExpireAt is when everything granted so far has expired, if nothing more is sent.
 	grantsExpireAt time.Duration
-	// silentSince is when the first order was sent that got no reply, or zero.
+	// silentSince is when the first order that got no reply was sent, or zero.
 	silentSince time.Duration
-	// units is the set to grant; unitsKnown is reset when the table changes.
+	// units is the set to grant; unitsCurrent is cleared when the table changes.
 	units        []GrantUnit
 	digest       uint64
 	unitsCurrent bool
-	// releasesScanned and planned are the tables that were last searched for moves.
+	// releasesScanned and leavingPlanned are the tables that were last searched for moves.
 	releasesScanned *Table
 	leavingPlanned  *Table
 }
 
-// takesGrants reports whether the target knows grants at all.
+// takesGrants reports whether the target takes grants at all.
 func (t *TargetSpec) takesGrants() bool { return t.Grants.ChecksTokens || t.Grants.Expires }
 
-// collectUnits collects what the target serves from the table.
+// collectUnits collects from the table the units that the target serves.
 func (k *Keeper) collectUnits(d *duty) {
 	if d.unitsCurrent {
 		return
@@ -54,8 +54,8 @@
 	d.digest = digestUnits(d.units)
 }
 
-// advanceGrants renews at each interval, at once where the set changed, and counts
-// missing replies.
+// advanceGrants renews the grants at each interval, or at once if the set changed, and
+// notes missing replies.
 func (k *Keeper) advanceGrants(now time.Duration, d *duty) {
 	if !d.spec.takesGrants() {
 		if d.silentSince != 0 || !k.withinOrderBound(d) {
@@ -65,8 +65,8 @@
 	}
 	k.noteReplyTimeout(now, d)
 	if k.lostTargets[d.spec.Name] || d.suspicion.withheld || !k.withinOrderBound(d) {
-		// A grant to a lost target may reach it late and would have to lapse anew before
-		// its units can move; a probe changes nothing.
+		// A grant to a lost target may reach it late; its units could then not move before
+		// the grant has expired again. A probe changes nothing.
 		k.sendFence(now, d)
 		return
 	}
@@ -77,9 +77,9 @@
 	}
 }
 
-// maySendEarly reports whether an order may be sent while an earlier one may be
-// under way. A target that doesn't check would obey the earlier one last: it
-// would hold a released unit again after it had confirmed the release.
+// maySendEarly reports whether an order may be sent while an earlier one may still be under
+// way. A target that does not check terms might apply the earlier one last: it would hold a
+// released unit again after it had confirmed the release.
 func (k *Keeper) maySendEarly(now time.Duration, d *duty) bool {
 	return d.spec.Grants.ChecksTokens || d.outstanding == 0 && now >= d.abandonedArrivesBy
 }
@@ -92,22 +92,22 @@
 	g.abandonedArrivesBy = g.arrivesBy
 }
 
-// noteReplyTimeout notes an order that was left unanswered for too long.
+// noteReplyTimeout notes that an order got no reply within ReplyTimeout.
 func (k *Keeper) noteReplyTimeout(now time.Duration, d *duty) {
 	if d.outstanding != 0 && now-d.sentAt >= k.cfg.ReplyTimeout {
 		d.noteNoReply()
 	}
 }
 
-// sendFence raises the term of a target that checks, and probes any other.
+// sendFence raises the term of a target that checks terms, and probes any other target.
 func (k *Keeper) sendFence(now time.Duration, d *duty) {
 	if d.outstanding == 0 && now >= d.abandonedArrivesBy && (d.sequence == 0 || now-d.sentAt >= k.cfg.RenewEvery) {
 		k.sendGrant(now, d, true)
 	}
 }
 
-// sendGrant sends one order. Its time-to-live ends before this router's authority,
-// so that waiting the authority out also waits the grants out.
+// sendGrant sends one order. Its TTL ends before this router's authority, so that a router
+// that waits for the end of the authority also waits for the end of the grants.
 func (k *Keeper) sendGrant(now time.Duration, d *duty, fence bool) {
 	slack := k.cfg.slack()
 	left := min(d.validUntil(k), now+k.cfg.Authority) - now
@@ -168,7 +168,7 @@
 }
 
 // handleHigherTerm is called when the target has seen a higher term: another router is its
-// grantor, or a successor of this one was for a while.
+// grantor, or a successor of this router was for a while.
 func (k *Keeper) handleHigherTerm(now time.Duration, d *duty, term uint64) {
 	if d.phase == serving && !d.received.active && term < nextEpoch(d.term) && !d.withoutStore {
 		k.raiseTerm(now, d, true)
--- a/core/ownership/handover.go
+++ b/core/ownership/handover.go
@@ -6,8 +6,8 @@
 	"tarragongw/core/ownership/ownershippb"
 )
 
-// considerHandOver gives the duty to a better-ranked router, to the next one at a
-// planned stop, or keeps the list of successors up to date.
+// considerHandOver hands the duty over to a better-ranked router, or to the next one at a
+// planned stop; otherwise it keeps the list of successors up to date.
 func (k *Keeper) considerHandOver(now time.Duration, d *duty) {
 	if d.withoutStore || d.received.active || k.writes[d.key] != nil || now >= d.validUntil(k) {
 		return
@@ -19,7 +19,7 @@
 	k.updateSuccessors(now, d)
 }
 
-// handOverReceiver is who the duty should be handed to now.
+// handOverReceiver returns the router that the duty should be handed over to now.
 func (k *Keeper) handOverReceiver(now time.Duration, d *duty) (Router, bool) {
 	for _, r := range k.rank(d) {
 		if r == k.cfg.Self {
@@ -29,7 +29,8 @@
 			continue
 		}
 		if k.leaving[r] && (!k.stopping || d.takenWhileStopping) {
-			// Of two that stop and have only each other, one keeps what it was given.
+			// If two routers stop at the same time and have only each other, each keeps the
+			// duties that the other handed to it.
 			continue
 		}
 		if k.stopping || now-max(k.liveSince[r.Name], d.takenAt) >= k.cfg.HandBackAfter && k.reachesTarget(now, d, r) {
@@ -39,33 +40,34 @@
 	return Router{}, false
 }
 
-// handOver stops first and writes then, so that the new grantor only has to wait
-// for orders under way.
+// handOver stops serving before it writes the record, so that the new grantor only has to
+// wait for orders under way.
 func (k *Keeper) handOver(now time.Duration, d *duty, to Router) {
 	k.writeNextGrantor(now, d, GrantorRecord{Router: to, Successors: k.successors(now, d, to), DataCentre: k.dataCentreForRecord(d)})
 }
 
-// writeNextGrantor fills in what is the same for every next grantor.
+// writeNextGrantor completes the record of the next grantor, stops serving and writes the
+// record.
 func (k *Keeper) writeNextGrantor(now time.Duration, d *duty, next GrantorRecord) {
 	op := k.nextOp()
 	next.Target, next.Term = d.spec.Name, nextEpoch(d.record.Term)
 	next.YieldAfter, next.Ops = d.wantedYield(), d.record.Ops.with(op)
-	k.drop(d, d.reported) // that it is handed over is told once the record says so
+	k.drop(d, d.reported) // HandedOver is reported once the record is written
 	k.refreshGate()
 	k.put(now, d.key, d.revision, op, Update{Grantor: &next})
 }
 
-// reachProbe is what another router said of its way to a target: when it was asked, and when it
-// last said that it reaches the target.
+// reachProbe is what is known about whether another router reaches a target: when that
+// router was asked, and when it last answered that it reaches the target.
 type reachProbe struct{ askedAt, reachedAt time.Duration }
 
-// reachesTarget reports whether the router said a moment ago that it reaches the target;
-// else it is asked, now and then.
+// reachesTarget reports whether the router answered a moment ago that it reaches the
+// target. If not, the router is asked, at limited intervals.
 //
-// What goes wrong without it: a router that is parted from its targets alone gives their
-// duties to one that reaches them, gets them back after HandBackAfter and gives them away
-// again. One notices targets whose grantor changes again and again, with a pause of their
-// keys each time.
+// Without this check, a router that reaches everything but its targets would hand their
+// duties to a router that reaches them, get them back after HandBackAfter and hand them
+// over again. The grantors of these targets would change repeatedly, with a pause in
+// serving their keys each time.
 func (k *Keeper) reachesTarget(now time.Duration, d *duty, r Router) bool {
 	w, asked := d.reachProbes[r]
 	switch {
@@ -82,8 +84,8 @@
 	return false
 }
 
-// noteReachProbe takes in the answer of a router that a duty may be handed to. It says nothing of
-// the target itself, which this router reaches.
+// noteReachProbe applies the answer of a router that the duty may be handed to. The answer
+// says nothing about the state of the target, which this router reaches itself.
 func (d *duty) noteReachProbe(now time.Duration, from Router, reached bool) bool {
 	w, asked := d.reachProbes[from]
 	if !asked || d.silentSince != 0 {
--- a/core/ownership/remote.go
+++ b/core/ownership/remote.go
@@ -9,36 +9,38 @@
 	"tarragongw/core/rendezvous"
 )
 
-// remoteDC is what this router holds of another data centre.
+// remoteDC is what this router knows about another data centre.
 type remoteDC struct {
 	cutOff bool
 	// since is when cutOff last changed.
 	since time.Duration
-	// recordSeenAt is when a new grantor record last named one of its routers.
+	// recordSeenAt is when a new grantor record last named a router of that data centre.
 	recordSeenAt time.Duration
 }
 
-// remoteState is the part of a keeper in targets of other data centres. A target has a duty
-// here while a router of this data centre is on record as its grantor, or while this
-// router is to take it over.
+// remoteState is what a keeper knows about other data centres and their targets. This
+// router has a duty for a remote target while a router of this data centre is recorded as
+// its grantor, or while this router is to take it over.
 type remoteState struct {
 	dataCentres map[string]*remoteDC
-	// sortedNames are all data centres, this one included, in order of their names.
+	// sortedNames lists all data centres by name, including this one.
 	sortedNames []string
-	// cutOffCount counts those that are cut off.
+	// cutOffCount is the number of data centres that are cut off.
 	cutOffCount int
-	// recordChangedAt is when the record of a target was last news, noted while any is cut off.
+	// recordChangedAt is when each target's grantor record last changed; it is kept while
+	// any data centre is cut off.
 	recordChangedAt map[string]time.Duration
-	// scanPending asks for a look at the records and at who is heir; lookAt is when the next
-	// one is due while a data centre is cut off.
+	// scanPending requests a scan for duties to take up or to end. nextScanAt is when the
+	// next scan is due while a data centre is cut off.
 	scanPending bool
 	nextScanAt  time.Duration
-	// connectedFor is what heard returned, by service, since the last look.
+	// connectedFor caches the result of connectedDataCentres by service until the next scan.
 	connectedFor map[string][]string
 }
 
-// remoteScanInterval is how often the targets of data centres that are cut off are looked at where
-// nothing else asks for it. A look takes a step for each target and live router.
+// remoteScanInterval is how often the targets of data centres that are cut off are scanned
+// if nothing else requests a scan. The cost of a scan grows with the number of targets
+// times the number of live routers.
 const remoteScanInterval = time.Second
 
 func (k *Keeper) setRemote(now time.Duration, data []FarDataCentre) {
@@ -72,8 +74,8 @@
 	return f != nil && f.cutOff
 }
 
-// dataCentreForRecord is what a record in which a router of this data centre is the grantor says
-// of where that one is.
+// dataCentreForRecord returns the DataCentre field of a record whose grantor is a router of
+// this data centre.
 func (k *Keeper) dataCentreForRecord(d *duty) string {
 	if d.spec.DataCentre == k.cfg.DataCentre {
 		return ""
@@ -88,14 +90,14 @@
 	return cmp.Or(g.DataCentre, t.DataCentre)
 }
 
-// grantorIsRemote reports whether the recorded grantor is in another data centre, which
-// repairs the loss of its routers itself.
+// grantorIsRemote reports whether the recorded grantor is in another data centre. That data
+// centre handles the loss of its routers itself.
 func (k *Keeper) grantorIsRemote(d *duty) bool {
 	return d.record != nil && d.record.grantorDC(&d.spec) != k.cfg.DataCentre
 }
 
-// noteRemoteWrite notes that routers of a data centre wrote a record, which shows that one lived that
-// is cut off from here.
+// noteRemoteWrite notes that a router of a data centre wrote a record. If that data centre
+// is cut off from this one, the write shows that it is still alive.
 func (k *Keeper) noteRemoteWrite(now time.Duration, g *GrantorRecord) {
 	t, ok := k.targets[g.Target]
 	if !ok {
@@ -113,7 +115,7 @@
 	}
 }
 
-// scanRemoteTargets takes up and gives up duties for targets of other data centres.
+// scanRemoteTargets takes up and ends duties for targets of other data centres.
 func (k *Keeper) scanRemoteTargets(now time.Duration) {
 	e := &k.remote
 	if !e.scanPending && (e.cutOffCount == 0 || now < e.nextScanAt) {
@@ -130,7 +132,7 @@
 		d := k.duties[name]
 		switch concerned := k.needsRemoteDuty(now, &t); {
 		case d == nil && concerned:
-			k.duties[name] = newDuty(t) // which reads its record first
+			k.duties[name] = newDuty(t) // it reads its record first
 			changed = true
 		case d != nil && !concerned && d.phase == idle && k.writes[d.key] == nil:
 			k.removeRemoteDuty(name)
@@ -142,7 +144,8 @@
 	}
 }
 
-// needsRemoteDuty reports whether this router has a part in a target of another data centre.
+// needsRemoteDuty reports whether this router needs a duty for a target of another data
+// centre.
 func (k *Keeper) needsRemoteDuty(now time.Duration, t *TargetSpec) bool {
 	g, known := k.table.grantors[t.Name]
 	if !known {
@@ -152,8 +155,8 @@
 	return from == k.cfg.DataCentre || k.shouldTakeOverRemote(now, t, from, g.yieldAfter) && k.highestRanked(t.Name) == k.cfg.Self
 }
 
-// highestRanked is who ranks first for a target among the live routers. Without sorting them:
-// all of a data centre's targets are looked at.
+// highestRanked returns the router that ranks first for a target among the live routers. It
+// does not sort them, because it is called for all targets of a data centre.
 func (k *Keeper) highestRanked(target string) Router {
 	var first Router
 	var most uint64
@@ -165,18 +168,18 @@
 	return first
 }
 
-// removeRemoteDuty forgets a target that another data centre has; what this router held of
-// its loss counts no more.
+// removeRemoteDuty removes the duty for a target whose grantor is in another data centre,
+// and what this router knew about its loss.
 func (k *Keeper) removeRemoteDuty(name string) {
 	delete(k.duties, name)
 	k.setLost(name, false)
 	k.gateStale = true
 }
 
-// shouldTakeOverRemote reports whether this data centre is the one that takes the target over now from a
-// grantor in the data centre from. All that it asks for only keeps data centres from
-// taking a duty from each other in turn, or from a data centre that serves; that nobody has
-// two owners is kept by the wait after the claim.
+// shouldTakeOverRemote reports whether this data centre is the one that takes the target
+// over now from a grantor in the data centre from. These conditions only prevent data
+// centres from taking a duty from each other in turn, or from a data centre that serves.
+// That no unit has two owners is guaranteed by the wait after the claim.
 func (k *Keeper) shouldTakeOverRemote(now time.Duration, t *TargetSpec, from string, yield time.Duration) bool {
 	if from == k.cfg.DataCentre || yield == 0 || !k.isCutOff(from) || len(k.live) == 0 || !k.dividedByKey(t.Service) {
 		return false
@@ -196,8 +199,8 @@
 	return s != nil && s.HashSlots > 0
 }
 
-// connectedDataCentres lists the data centres that are not cut off from here and have targets for the
-// service's keys, this one included.
+// connectedDataCentres lists the data centres that are not cut off from this one and have
+// targets for the service's keys, including this one.
 func (k *Keeper) connectedDataCentres(service string) []string {
 	if out, known := k.remote.connectedFor[service]; known {
 		return out
@@ -225,22 +228,24 @@
 }
 
 // justChanged reports whether the grantor's data centre wrote the record a short while ago.
-// Where each of two data centres hears a third and not the other, both may inherit; without
-// this they take the duty from each other with each renewal.
+// If two data centres are connected to a third one and not to each other, both have a
+// quorum; without this check they would take the duty from each other with each renewal.
 func (k *Keeper) justChanged(now time.Duration, target string) bool {
 	at, changed := k.remote.recordChangedAt[target]
 	return changed && now-at < k.cfg.HandBackAfter && k.cfg.omit != omitJustChanged
 }
 
-// hasTakeoverQuorum reports whether the data centres that this one hears, itself included, may
-// take over from one that is cut off: most of all may, and so may the half that has the
-// first by name. The other half, which would else serve nothing after the loss of the
-// first of two, waits three times HandBackAfter for a sign that the others live: they would
-// have taken duties over from it by then.
+// hasTakeoverQuorum reports whether the data centres connected to this one, itself
+// included, may take over from one that is cut off. A majority may, and so may the half
+// that contains the data centre that is first by name. The other half, which would
+// otherwise serve nothing after the loss of the first of two, waits three times
+// HandBackAfter for a sign that the others are alive: by then they would have taken over
+// its duties.
 //
-// What goes wrong without it: a data centre that is cut off from the others and reaches
-// the store takes its duties back, the others take them again, and the keys are served
-// nowhere while each waits the other out. Or it takes what the others serve.
+// Without this check, a data centre that is cut off from the others and reaches the store
+// would take its duties back, the others would take them again, and the keys would be
+// unserved while each waits for the other's authority to end. Or it would take the duties
+// that the others serve.
 func (k *Keeper) hasTakeoverQuorum(now time.Duration, from *remoteDC) bool {
 	all := len(k.remote.sortedNames)
 	heard := all - k.remote.cutOffCount
@@ -251,18 +256,20 @@
 	return !k.isCutOff(k.remote.sortedNames[0]) || now-from.since >= patience && from.recordSeenAt < from.since
 }
 
-// withinOrderBound reports whether orders to the target arrive within OrderBound, which is taken for
-// granted within a data centre.
+// withinOrderBound reports whether orders to the target arrive within OrderBound, which is
+// assumed within a data centre.
 //
-// What goes wrong without it: between regions an order is under way for longer than whoever
-// takes over from this router waits for it, and a grant, whose time counts from receipt,
-// outlasts the authority that it was sent under. So the target is sent no grants and no
-// work until it has answered in time; one that doesn't counts as silent and its units move.
+// Between regions an order may be under way for longer than a router that takes over from
+// this one waits for it, and a grant, whose TTL counts from receipt, may outlast the
+// authority that it was sent under. The target is therefore sent no grants and no requests
+// until it has answered in time. A target that does not is treated as one that does not
+// answer, and its units move.
 func (k *Keeper) withinOrderBound(d *duty) bool {
 	return d.meetsOrderBound || !k.isRemote(d) || k.cfg.omit == omitOrderBoundCheck
 }
 
-// noteResponseTime notes an answer to what was sent at a time, and reports whether the target is near.
+// noteResponseTime records the answer to a message that was sent at sentAt, and reports
+// whether orders to the target arrive within OrderBound.
 func (k *Keeper) noteResponseTime(now time.Duration, d *duty, sentAt time.Duration) bool {
 	near := now-sentAt <= k.cfg.OrderBound
 	if k.isRemote(d) && d.meetsOrderBound != near {
@@ -271,7 +278,8 @@
 	return k.withinOrderBound(d)
 }
 
-// considerRemoteClaim is considerClaim for a target whose grantor is in another data centre.
+// considerRemoteClaim is considerClaim for a target whose grantor is in another data
+// centre.
 func (k *Keeper) considerRemoteClaim(now time.Duration, d *duty) {
 	from := d.record.grantorDC(&d.spec)
 	if k.shouldTakeOverRemote(now, &d.spec, from, d.record.YieldAfter) && k.ranksFirst(d) && k.storeReachable(now) {
@@ -284,8 +292,8 @@
 	}
 }
 
-// requestHandBack asks the grantor of another data centre for a target of this one, once that data
-// centre was heard for so long that the cut is over.
+// requestHandBack asks a grantor in another data centre for a target of this one, once that
+// data centre has been connected for long enough that the partition is over.
 func (k *Keeper) requestHandBack(now time.Duration, d *duty) {
 	f := k.remote.dataCentres[d.record.DataCentre]
 	if f == nil || f.cutOff || now-f.since < k.cfg.HandBackAfter {
@@ -295,9 +303,9 @@
 	k.send(d.record.Router, &ownershippb.Peer{Kind: ownershippb.Peer_HAND_BACK, Target: d.spec.Name, Term: d.record.Term})
 }
 
-// handBack gives the duty to the router of the target's own data centre that asks for it.
-// Its successors are for that one to name: this data centre's would not be asked for
-// promises there, nor take over.
+// handBack hands the duty over to the router of the target's own data centre that asks for
+// it. That router names its own successors: successors in this data centre would neither be
+// asked for promises there nor take over.
 func (k *Keeper) handBack(now time.Duration, d *duty, e PeerMessage) {
 	ready := d.phase == serving && !d.withoutStore && !d.received.active && k.writes[d.key] == nil && now < d.validUntil(k)
 	if ready && k.isRemote(d) && !k.isCutOff(d.spec.DataCentre) && e.Message.GetTerm() == d.term {
