--- a/core/ownership/handover.go
+++ b/core/ownership/handover.go
@@ -29,8 +29,8 @@
 			continue
 		}
 		if k.leaving[r] && (!k.stopping || d.takenWhileStopping) {
-			// If two routers stop at the same time and have only each other, each keeps the
-			// duties that the other handed to it.
+			// If two routers stop at the same time and have only each other, a duty that one
+			// of them received while stopping stays there.
 			continue
 		}
 		if k.stopping || now-max(k.liveSince[r.Name], d.takenAt) >= k.cfg.HandBackAfter && k.reachesTarget(now, d, r) {
--- a/core/ownership/keeper.go
+++ b/core/ownership/keeper.go
@@ -9,33 +9,37 @@
 	"tarragongw/core/routing"
 )
 
-// never is a time that does not come.
+// never is a time that is never reached.
 const never = time.Duration(math.MaxInt64)
 
-// Keeper is one router's part in ownership: it takes up, keeps and gives away the
-// grantor duty of targets, and carries units from one owner to the next. It is
-// not safe for concurrent use; the request path uses the Gate.
+// Keeper is the part of one router in ownership: it takes up, keeps and hands over the
+// grantor duty of targets, and moves units from one owner to the next. It is not safe for
+// concurrent use; the request path uses the Gate.
 type Keeper struct {
 	cfg      Config
 	table    *Table
 	gate     *Gate
 	services []ServiceSpec
 	targets  map[string]TargetSpec
-	// names lists the targets sorted, since the order of a map is not deterministic.
+	// names lists the targets in sorted order, because the order of a map is not
+	// deterministic.
 	names []string
 	live  []Router
-	// liveSet holds the same, views counts how often it changed.
+	// liveSet holds the same routers as live; memberViews counts its changes.
 	liveSet     map[Router]bool
 	memberViews uint64
-	lastSeen    map[string]Router
-	liveSince   map[string]time.Duration
-	// lostAt is when routers ceased to be live without having announced it; see noteGone.
+	// lastSeen holds the latest known instance of each router, by name.
+	lastSeen  map[string]Router
+	liveSince map[string]time.Duration
+	// lostAt is when routers ceased to be live without having announced it; see
+	// noteLostRouters.
 	lostAt map[string]time.Duration
 	remote remoteState
 	// leaving are the live routers that are about to stop.
 	leaving map[Router]bool
 	duties  map[string]*duty
-	// dutyList lists the duties sorted by target, byKey has them by their record's key.
+	// dutyList lists the duties sorted by target; dutyByKey has them by the store key of
+	// their record.
 	dutyList    []*duty
 	dutyByKey   map[string]*duty
 	moves       map[routing.Unit]*move
@@ -45,29 +49,32 @@
 	// declaredAt is when targets were declared lost within LossWindow.
 	declaredAt []time.Duration
 	opCount    uint64
-	// lastStepAt is the time of the last step; a long gap means that this router was paused.
+	// lastStepAt is the time of the latest step; a long gap means that this router was
+	// paused.
 	lastStepAt time.Duration
-	// wakeAt is when the next step was asked for; beat is set in a step that renews.
+	// wakeAt is when the next step was requested; renewTogether is set in a step that
+	// renews.
 	wakeAt        time.Duration
 	renewTogether bool
-	// renewTogetherBy is when the next renewals are due at the latest, as a relay asked for; never
-	// where none did.
+	// renewTogetherBy is the latest time for the next renewals as requested by a relay, or
+	// never.
 	renewTogetherBy time.Duration
 	stopping        bool
 	// storeAnsweredAt is when the store last answered anything.
 	storeAnsweredAt time.Duration
-	// storeRequest is what the store owes this router.
+	// storeRequest tracks an unanswered request to the store.
 	storeRequest pendingRequest
-	// storeRegainedAt is when the store last answered after a silence; see outside.
+	// storeRegainedAt is when the store last answered after it had been unreachable; see
+	// storeReachable.
 	storeRegainedAt time.Duration
-	// gateStale means that the gate is out of date, checkUnowned that units without an owner
-	// are to be looked for.
+	// gateStale means that the gate is out of date; checkUnowned requests a search for units
+	// without an owner.
 	gateStale    bool
 	checkUnowned bool
 	actions      []Action
 }
 
-// NewKeeper returns the keeper of a router that knows nothing yet.
+// NewKeeper returns a keeper that has received no events yet.
 func NewKeeper(cfg Config) *Keeper {
 	return &Keeper{cfg: cfg.withDefaults(), table: NewTable(), targets: map[string]TargetSpec{},
 		lastSeen: map[string]Router{}, liveSince: map[string]time.Duration{}, lostAt: map[string]time.Duration{}, duties: map[string]*duty{}, dutyByKey: map[string]*duty{},
@@ -75,7 +82,7 @@
 		lostTargets: map[string]bool{}, renewTogetherBy: never}
 }
 
-// Table returns the ownership as known now.
+// Table returns the ownership as this router knows it now.
 func (k *Keeper) Table() *Table { return k.table }
 
 // MaySend is the check right before a send; see Gate.MaySend.
@@ -83,8 +90,8 @@
 	return k.gate.MaySend(now, target, unit, token)
 }
 
-// Step takes in one event and returns what is to be done, in order. now must not
-// go back.
+// Step processes one event and returns the actions to perform, in order. now must not
+// decrease.
 func (k *Keeper) Step(now time.Duration, e Event) []Action {
 	k.actions = nil
 	k.noticePause(now)
@@ -98,8 +105,8 @@
 
 func (k *Keeper) emit(a Action) { k.actions = append(k.actions, a) }
 
-// noticePause forgives silence that this router's own pause caused: after a pause
-// every reply looks late, and without this all targets would be lost at once.
+// noticePause restarts the waits for replies after a pause of this router. After a pause
+// every reply looks late, and without this all targets would be declared lost at once.
 func (k *Keeper) noticePause(now time.Duration) {
 	late := k.late(now)
 	k.lastStepAt = now
@@ -149,7 +156,7 @@
 	}
 }
 
-// advance does what time and the new state ask for.
+// advance performs what has become due or possible.
 func (k *Keeper) advance(now time.Duration) {
 	k.scanRemoteTargets(now)
 	k.renewTogether = k.renewalsDue(now)
@@ -190,7 +197,7 @@
 	k.schedulePlanning()
 }
 
-// listDuties brings own and byKey in line with duties.
+// listDuties rebuilds dutyList and dutyByKey from duties.
 func (k *Keeper) listDuties() {
 	k.dutyList = k.dutyList[:0]
 	clear(k.dutyByKey)
@@ -234,8 +241,9 @@
 
 func (k *Keeper) isLive(r Router) bool { return k.liveSet[r] }
 
-// grantorLive reports whether the recorded grantor is live. Each step asks it of every
-// target of the data centre, so the answer is kept until members or record change.
+// grantorLive reports whether the recorded grantor is live. Each step calls it for every
+// target of the data centre, so the answer is cached until the members or the record
+// change.
 func (k *Keeper) grantorLive(d *duty) bool {
 	if d.liveCheckRecord != d.record || d.liveCheckView != k.memberViews {
 		d.liveCheckRecord, d.liveCheckView = d.record, k.memberViews
@@ -244,16 +252,16 @@
 	return d.grantorIsLive
 }
 
-// hasRestarted reports whether a later life of the router was met, which proves that
-// the given one has ended.
+// hasRestarted reports whether a later instance of the router was seen, which proves that
+// the given instance has ended.
 func (k *Keeper) hasRestarted(r Router) bool { return k.lastSeen[r.Name].Incarnation > r.Incarnation }
 
-// learn takes in a record from the store.
+// learn applies a record from the store.
 func (k *Keeper) learn(now time.Duration, key string, revision uint64, value []byte) {
 	switch {
 	case IsGrantorKey(key):
 		if d := k.dutyOf(key); d != nil && revision <= d.revision {
-			return // a confirmation, nearly always of what is known
+			return // a confirmation, nearly always of the known record
 		}
 		if g, err := DecodeGrantor(value); err == nil && revision > 0 {
 			k.apply(now, Update{Revision: revision, Grantor: g})
--- a/core/ownership/loss.go
+++ b/core/ownership/loss.go
@@ -6,25 +6,26 @@
 	"tarragongw/core/ownership/ownershippb"
 )
 
-// lossSuspicion is what speaks for and against the loss of one target.
+// lossSuspicion is the evidence for and against the loss of one target.
 type lossSuspicion struct {
-	// unhealthy is the verdict of health checks, given at sickAt.
+	// unhealthy is the result of the health checks, received at unhealthyAt.
 	unhealthy   bool
 	unhealthyAt time.Duration
 	// firstAskedAt and askedAt are when other routers were first and last asked whether they
-	// reach the target; zero: they weren't.
+	// reach the target; zero if they were not.
 	firstAskedAt time.Duration
 	askedAt      time.Duration
-	// unreachableAt and reachedAt are when a router last said that it doesn't, or that it does;
-	// reachedBy is the one that does.
+	// unreachableAt and reachedAt are when another router last answered that it does not
+	// reach the target, or that it does; reachedBy is the router that reaches it.
 	unreachableAt time.Duration
 	reachedAt     time.Duration
 	reachedBy     Router
-	// withheld means that the loss is not declared although the evidence is there.
+	// withheld means that the loss is not declared although there is evidence for it.
 	withheld bool
 }
 
-// suspectSince is since when the target is in doubt; zero: it is not.
+// suspectSince returns since when the target has been suspected of being lost; zero if it
+// is not.
 func (d *duty) suspectSince() time.Duration {
 	if d.silentSince != 0 {
 		return d.silentSince
@@ -32,9 +33,10 @@
 	return d.suspicion.unhealthyAt
 }
 
-// hasOwnEvidence says whether this router's own evidence makes the target lost. A silence counts
-// from when the store answers again: whoever was cut off heard neither. A verdict of
-// health checks waits for one tick, since those on several targets come one by one.
+// hasOwnEvidence reports whether this router's own evidence shows that the target is lost.
+// Missing replies count only from when the store answers again, because a router that was
+// cut off got replies from neither. A failed health check counts after one tick, because
+// the results for several targets arrive one by one.
 func (k *Keeper) hasOwnEvidence(now time.Duration, d *duty) bool {
 	silent := d.silentSince != 0 && now-d.silentSince >= k.cfg.LostAfter
 	sick := d.suspicion.unhealthy && now-d.suspicion.unhealthyAt >= k.cfg.tick()
@@ -53,7 +55,7 @@
 	}
 }
 
-// clearLoss takes back all doubt in a target.
+// clearLoss clears the loss of a target and all suspicion, because the target answers.
 func (k *Keeper) clearLoss(d *duty) {
 	if k.lostTargets[d.spec.Name] {
 		k.announceLoss(d, false)
@@ -69,12 +71,12 @@
 	d.suspicion = lossSuspicion{}
 }
 
-// advanceLosses declares targets lost, not too many at once.
+// advanceLosses declares targets lost, with a limit on how many at once.
 //
-// What goes wrong without a cap: a router whose own link fails, or that is parted from
-// the targets alone, hears none of them. It declares all lost and gives their units to
-// the few that are left, or to those of other data centres, and takes them back a
-// moment later; each move costs the units' service.
+// Without the limit, a router whose own link fails, or that is partitioned from its targets
+// alone, would get no replies from any of them. It would declare all of them lost, move
+// their units to the few other targets or to other data centres, and move them back a
+// moment later; each move interrupts the service of the units.
 func (k *Keeper) advanceLosses(now time.Duration) {
 	for len(k.declaredAt) > 0 && now-k.declaredAt[0] >= k.cfg.LossWindow {
 		k.declaredAt = k.declaredAt[1:]
@@ -98,7 +100,8 @@
 	}
 }
 
-// countSuspects counts the targets that this router is grantor of, and those in doubt.
+// countSuspects counts the targets whose grantor is this router, and those of them that are
+// suspected of being lost.
 func (k *Keeper) countSuspects() (held, doubted int) {
 	for _, d := range k.dutyList {
 		if d.phase < waiting {
@@ -112,14 +115,15 @@
 	return held, doubted
 }
 
-// decideLoss declares the target lost, gives its duty away or holds the verdict. It reports
-// whether it declared on this router's own evidence, of which room is left so much.
+// decideLoss declares the target lost, hands its duty over, or withholds the loss. It
+// reports whether it declared the loss on this router's own evidence; room is how many such
+// declarations are still allowed.
 func (k *Keeper) decideLoss(now time.Duration, d *duty, room int) bool {
 	since := d.suspectSince()
 	switch {
 	case !k.storeReachable(now):
-		// Whoever hears neither the targets nor the store may be cut off itself, and can
-		// move nothing anyway.
+		// A router that hears from neither the targets nor the store may be cut off itself,
+		// and could not move any units anyway.
 		k.withholdLoss(d)
 	case d.suspicion.reachedAt > since:
 		k.withholdLoss(d)
@@ -145,7 +149,8 @@
 	k.storeRequest.answered()
 }
 
-// storeReachable reports whether the store, which is no target, answered just now.
+// storeReachable reports whether the store answered recently. The store is independent of
+// the targets, so its answers show that this router is not cut off itself.
 func (k *Keeper) storeReachable(now time.Duration) bool {
 	return now-k.storeAnsweredAt <= 2*k.cfg.RenewEvery+k.cfg.ReplyTimeout
 }
@@ -156,9 +161,9 @@
 	k.announceLoss(d, true)
 }
 
-// announceLoss tells the data centre's routers what became of a target, of which they hear
-// nothing else. Without this a router gives units to a target that was lost at the same
-// time, and they have to move once more.
+// announceLoss tells the other routers of the data centre that a target was lost or that it
+// answers again; they have no other source for it. Without this a router would assign units
+// to a target that was lost at the same time, and the units would have to move once more.
 func (k *Keeper) announceLoss(d *duty, lost bool) {
 	for _, r := range k.live {
 		if r != k.cfg.Self {
@@ -167,8 +172,8 @@
 	}
 }
 
-// isSuspect reports whether the target is a bad choice for units: silent to this router,
-// or lost by the word of another one a short while ago.
+// isSuspect reports whether the target is a bad choice for units: it does not answer this
+// router, or another router reported a short while ago that it does not reach it.
 func (k *Keeper) isSuspect(now time.Duration, target string) bool {
 	d := k.duties[target]
 	if d == nil {
@@ -185,7 +190,8 @@
 	}
 }
 
-// handOverIfReady hands the duty to a router that reaches the target where this one doesn't.
+// handOverIfReady hands the duty over to a router that reaches the target when this one
+// does not.
 func (k *Keeper) handOverIfReady(now time.Duration, d *duty, to Router) {
 	ready := d.phase == serving && !d.withoutStore && !d.received.active && k.writes[d.key] == nil
 	if ready && now < d.validUntil(k) && k.isLive(to) && !k.leaving[to] {
@@ -193,10 +199,11 @@
 	}
 }
 
-// probersAsked is how many other routers are asked whether they reach a target.
+// probersAsked is the number of other routers that are asked whether they reach a target.
 const probersAsked = 2
 
-// askOtherRouters asks the next routers in line whether they reach a silent target.
+// askOtherRouters asks the next routers in the target's order whether they reach a target
+// that does not answer.
 func (k *Keeper) askOtherRouters(now time.Duration, d *duty) {
 	if d.suspicion.askedAt != 0 && now-d.suspicion.askedAt < k.cfg.ReplyTimeout {
 		return
@@ -214,9 +221,10 @@
 	}
 }
 
-// probeSelf looks at a target that takes no grants while the old authority is waited out,
-// and goes on while it is silent. Health checks begin once this router serves: where the
-// target was lost along with its grantor, its keys would wait for both in turn.
+// probeSelf probes a target that takes no grants while this router waits for the end of the
+// old authority, and for as long as the target does not answer. Health checks start only
+// once this router serves; if the target was lost along with its grantor, its keys would
+// otherwise wait first for the old authority and then for the health checks.
 func (k *Keeper) probeSelf(now time.Duration, d *duty) {
 	if d.probing && now-d.probedAt < k.cfg.LostAfter || now-d.probedAt < k.cfg.RenewEvery {
 		return
@@ -238,7 +246,7 @@
 	}
 }
 
-// probeForRouter looks on behalf of another router.
+// probeForRouter probes the target on behalf of another router.
 func (k *Keeper) probeForRouter(now time.Duration, d *duty, from Router) {
 	if !k.storeReachable(now) {
 		k.sendRead(now, d) // a router without duties has no other reason to ask the store
@@ -246,8 +254,8 @@
 	k.emit(ProbeTarget{Target: d.spec.Name, For: from})
 }
 
-// targetProbed tells the router that asked. One that may be cut off itself doesn't say
-// that it misses a target.
+// targetProbed sends the result of a probe to the router that asked for it. A router that
+// may be cut off itself does not report that it fails to reach a target.
 func (k *Keeper) targetProbed(now time.Duration, e TargetProbed) {
 	if e.For == k.cfg.Self {
 		if d := k.duties[e.Target]; d != nil && d.probing {
--- a/core/ownership/move.go
+++ b/core/ownership/move.go
@@ -7,21 +7,23 @@
 	"tarragongw/core/routing"
 )
 
-// move carries one unit from a target whose grantor this router is to the next
-// owner. Only that grantor writes units out of a target, and in two writes: the
-// first (releasing) is visible to a grantor that takes over, which then doesn't
-// grant the unit again; the second names the new owner.
+// move moves one unit from a target whose grantor is this router to the next owner. Only
+// that grantor writes units out of a target, in two writes: the first (releasing) is
+// visible to a grantor that takes over, which then does not grant the unit again; the
+// second names the new owner.
 type move struct {
 	unit routing.Unit
 	from string
 	to   string
-	// releasedAt is when this router learnt that the first write landed.
+	// releasedAt is when this router learnt that the first write is in the store.
 	releasedAt time.Duration
-	// grantExpiresAt is when the target's grant of the unit has lapsed by itself.
+	// grantExpiresAt is when the target's grant of the unit expires without any further
+	// order.
 	grantExpiresAt time.Duration
-	// confirmed means the target accepted a set without the unit and is done with it.
+	// confirmed means that the target accepted a set without the unit and has no work on it
+	// in flight.
 	confirmed bool
-	// drained means that no work of this router is in flight.
+	// drained means that no work of this router on the unit is in flight.
 	drained bool
 }
 
@@ -126,7 +128,7 @@
 	return a.Range < b.Range
 }
 
-// adoptReleasing goes on with moves that an earlier grantor began.
+// adoptReleasing continues moves that an earlier grantor started.
 func (k *Keeper) adoptReleasing(d *duty) {
 	if d.releasesScanned == k.table {
 		return
@@ -172,21 +174,22 @@
 	}
 }
 
-// mayWrite reports whether this router is the single writer of units leaving the
-// target. A router whose authority lapsed is not, even if nobody has told it yet.
+// mayWrite reports whether this router is the single writer of units that leave the target.
+// A router whose authority has expired is not, even if it has not been notified of that
+// yet.
 func (k *Keeper) mayWrite(now time.Duration, d *duty) bool {
 	return !d.withoutStore && !d.received.active && now < d.validUntil(k)
 }
 
-// oldOwnerStopped reports whether the old owner provably doesn't serve the unit any more.
+// oldOwnerStopped reports whether the old owner provably no longer serves the unit.
 func (k *Keeper) oldOwnerStopped(now time.Duration, d *duty, m *move) bool {
 	if k.cfg.omit == omitConfirm {
 		return m.drained || k.lostTargets[m.from]
 	}
 	if d.confirmedAt < m.releasedAt {
-		// Without a confirmation of the record that was asked for after the first write
-		// landed, a grantor that took over in between may have read the units before it,
-		// and grants this one again.
+		// Without a confirmation of the grantor record that was requested after the first
+		// write, a grantor that took over in between may have read the units before that
+		// write and may grant this one again.
 		return false
 	}
 	drained := m.drained || now >= m.releasedAt+k.cfg.RequestBound
@@ -204,7 +207,8 @@
 	}
 }
 
-// currentReceiver is the next owner, chosen anew where the one meant is lost or leaves.
+// currentReceiver returns the next owner; another one is chosen if the planned one is lost
+// or is being drained.
 func (k *Keeper) currentReceiver(d *duty, m *move) string {
 	candidates := k.candidates(d.spec.Service, k.cfg.DataCentre)
 	for _, c := range candidates {
@@ -224,7 +228,7 @@
 	return ""
 }
 
-// closeSends tells the shell after the gate was replaced, and asks for the
+// closeSends tells the shell to stop sending, after the gate was replaced, and requests the
 // confirmation that the second write needs.
 func (k *Keeper) closeSends(now time.Duration, closing map[string][]routing.Unit) {
 	if len(closing) == 0 {
--- a/core/ownership/packed.go
+++ b/core/ownership/packed.go
@@ -6,30 +6,31 @@
 	"tarragongw/core/routing"
 )
 
-// packedShard is an ownership record as the table keeps it. Every router keeps all of
-// them: a unit takes 12 bytes besides its record's list of targets, where a UnitState
-// with its two names takes 56. It is not changed once made.
+// packedShard is an ownership record in the form that the table keeps. Every router keeps
+// all records: a unit takes 12 bytes plus its record's list of targets, where a UnitState
+// with its two names takes 56. A packedShard is not modified after it was built.
 type packedShard struct {
 	service string
 	kind    routing.UnitKind
 	index   uint32
 	// names are the key ranges, sorted; nil for slots.
 	names []string
-	// targets are numbered from one; zero stands for none.
+	// targets are numbered from one; zero means none.
 	targets []string
-	// owners and tokens run in parallel, one for each unit. An owner with isMoving has
-	// an entry in moving.
+	// owners and tokens run in parallel, one entry for each unit. An owner with the bit
+	// hasRelease has an entry in releases.
 	owners []uint32
 	tokens []uint64
-	// releases holds what few units have, by their place.
+	// releases holds the state of units that are being released, by position; few units have
+	// it.
 	releases map[int]release
 	ops      Ops
 }
 
-// hasRelease is the bit of an owner's number that spares the other units a look into moving.
+// hasRelease is a bit in an owner's number; units without it need no look-up in releases.
 const hasRelease = 1 << 31
 
-// release is a unit's next owner by number, and whether it is being released.
+// release is the number of a unit's next owner, and whether the unit is being released.
 type release struct {
 	next       uint32
 	inProgress bool
@@ -61,7 +62,7 @@
 	return p
 }
 
-// unpack returns a copy of the record that may be changed.
+// unpack returns a copy of the record that may be modified.
 func (p *packedShard) unpack() *Shard {
 	s := &Shard{Service: p.service, Kind: p.kind, Index: p.index, Ops: p.ops, Names: append([]string(nil), p.names...)}
 	units := make([]UnitState, len(p.owners))
@@ -93,7 +94,7 @@
 	return st
 }
 
-// place returns where the unit is, or -1.
+// place returns the position of the unit, or -1.
 func (p *packedShard) place(u routing.Unit) int {
 	if u.Service != p.service || u.Kind != p.kind {
 		return -1
--- a/core/ownership/plan.go
+++ b/core/ownership/plan.go
@@ -6,7 +6,7 @@
 	"tarragongw/core/routing"
 )
 
-// schedulePlanning looks anew for units to place and to move away.
+// schedulePlanning requests a new search for units to place and to move away.
 func (k *Keeper) schedulePlanning() {
 	k.checkUnowned = true
 	for _, d := range k.dutyList {
@@ -14,7 +14,7 @@
 	}
 }
 
-// planLeaving moves everything off a target that is lost or draining.
+// planLeaving plans moves of all units off a target that is lost or draining.
 func (k *Keeper) planLeaving(d *duty) {
 	leaving := d.spec.Drain || k.lostTargets[d.spec.Name]
 	if !leaving {
@@ -37,9 +37,9 @@
 	}
 }
 
-// candidates are the targets that may take units over: those of the data centre,
-// or of all where it has none left. Doubtful ones are left out where others remain, and
-// so are, before these, those of data centres that are cut off.
+// candidates returns the targets that may take over units: those of the data centre, or all
+// targets if it has none left. Targets that are suspected of being lost, and then those of
+// data centres that are cut off, are used only if there are no others.
 func (k *Keeper) candidates(service, dataCentre string) []Candidate {
 	var home, all, doubtful, cutOff []Candidate
 	for _, name := range k.names {
@@ -72,7 +72,7 @@
 	return cutOff
 }
 
-// placed lists the units that the candidates or the leaving target own, or are to.
+// placed lists the units whose current or next owner is a candidate or the leaving target.
 func (k *Keeper) placed(spec *ServiceSpec, candidates []Candidate, leaving string) []Placed {
 	index := map[string]int{}
 	for i, c := range candidates {
@@ -91,8 +91,8 @@
 	return out
 }
 
-// eligibleFor returns the indexes of the candidates that may own a range; nil
-// means all, also where none of those named is left out of the candidates.
+// eligibleFor returns the indexes of the candidates that may own a range. nil means that
+// all may; if none of the eligible targets is a candidate, the result is empty and not nil.
 func eligibleFor(spec *ServiceSpec, u routing.Unit, index map[string]int) []int {
 	if u.Kind != routing.RangeUnit {
 		return nil
--- a/core/ownership/promise.go
+++ b/core/ownership/promise.go
@@ -9,52 +9,56 @@
 	"tarragongw/core/ownership/ownershippb"
 )
 
-// receivedPromises is the grantor's side of promises. While it is active the grantor's
-// authority comes from its first successor alone: that one may then act without
-// the store, so a read of the store proves nothing about it. Without this rule a
-// grantor that reaches the store and a successor that doesn't would both send.
+// receivedPromises is the grantor's side of promises. While it is active, the grantor's
+// authority comes from its first successor alone: the successor may then act without the
+// store, so a read of the store proves nothing about it. Without this rule a grantor that
+// reaches the store and a successor that does not would both send.
 type receivedPromises struct {
 	active   bool
 	sequence uint64
-	// echo is the stamp of the successor's last promise since active was set; zero: none
-	// came, and the successor has no right to act without the store.
+	// echo is the stamp of the successor's latest promise since active was set. Zero means
+	// that none arrived; the successor then has no right to act without the store.
 	echo uint64
-	// reportedConfirmedAt is the latest time of a confirmation by the store that a request told of.
+	// reportedConfirmedAt is the latest confirmation by the store that a request has
+	// reported to the successor.
 	reportedConfirmedAt time.Duration
-	// sentAt holds when the last requests were sent, by sequence modulo its length.
+	// sentAt holds when the latest requests were sent, by sequence modulo its length.
 	sentAt [8]time.Duration
 }
 
-// givenPromises is the first successor's side.
+// givenPromises is the first successor's side of promises.
 type givenPromises struct {
 	term uint64
-	// active means that the grantor relies on promises, so that this router may act
-	// without the store once it has stopped to promise and waited.
+	// active means that the grantor relies on promises, so that this router may act without
+	// the store once it has stopped giving promises and has waited.
 	active bool
-	// requestSequence and ended are the highest sequences of a request and of an end.
+	// requestSequence and endSequence are the highest sequences of a PROMISE_REQUEST and of
+	// a PROMISE_END.
 	requestSequence uint64
 	endSequence     uint64
 	digest          uint64
 	// yieldAfter is the YieldAfter in the grantor's record.
 	yieldAfter time.Duration
-	// confirmedAt is when the store last agreed with the grantor, at the latest.
+	// confirmedAt is a time that is not later than the store's last confirmation of the
+	// grantor.
 	confirmedAt time.Duration
 }
 
-// askPromise is called at each interval of renewal.
+// askPromise is called at each renewal interval.
 func (k *Keeper) askPromise(now time.Duration, d *duty) {
 	s, ok := d.firstSuccessor()
 	if !ok || d.withoutStore || d.record.Unproved || k.writes[d.key] != nil {
-		// A write of the record under way may give the successor's place to another
-		// router, whose claim in the store a promise of the old one wouldn't hold up. And a
-		// successor that is asked may act once the asker's authority is over, which proves
-		// nothing while that one itself waits for others to stop.
+		// A write of the record under way may replace the successor by another router, and a
+		// promise of the old one would not delay that router's claim in the store. And while
+		// this router waits for others to stop, it must not ask: a successor that is asked
+		// may act once this router's authority has ended, which proves nothing about those
+		// others.
 		return
 	}
 	if !d.received.active && (now-d.confirmedAt <= 2*k.cfg.RenewEvery || !k.isLive(s)) {
-		// A router that is lost gives no promise. Asked all the same, it could not be proved
-		// later not to act without the store, and the target would stay unserved after the
-		// store is back; not asked, it has no right to act.
+		// A lost router gives no promise. If it were asked, it could not be proved later that
+		// it does not act without the store, and the target would stay unserved after the
+		// store is back. A router that is not asked has no right to act.
 		return
 	}
 	if d.received.active && k.successorCannotAct(now, d, s) {
@@ -82,19 +86,20 @@
 		UnitsDigest: k.unitsDigest(d), Echo: a.echo, YieldAfterNs: int64(d.record.YieldAfter)})
 }
 
-// successorCannotAct reports whether the successor that was asked provably can't act
-// without the store any more: it has ended, or its right has run out.
+// successorCannotAct reports whether the successor that was asked for promises provably
+// can't act without the store any more: it has ended, or its right has expired.
 func (k *Keeper) successorCannotAct(now time.Duration, d *duty, s Router) bool {
 	if k.hasRestarted(s) || d.deadConfirmed {
 		return true
 	}
-	yield := d.record.YieldAfter // no write changes it while promises are relied on
+	yield := d.record.YieldAfter // no write changes it while this router relies on promises
 	return yield > 0 && !k.isLive(s) && now >= d.received.reportedConfirmedAt+k.cfg.stretch(yield)+k.cfg.waitOut()
 }
 
-// handleLostSuccessor is called where the store answers again and the successor that
-// was asked for promises is lost; it may act without the store. A target that
-// checks is fenced; for another one nothing proves that it has stopped.
+// handleLostSuccessor is called when the store answers again and the successor that was
+// asked for promises is lost; that successor may act without the store. A target that
+// checks terms is fenced; for any other target nothing proves that the successor has
+// stopped.
 func (k *Keeper) handleLostSuccessor(now time.Duration, d *duty) {
 	if d.spec.Grants.ChecksTokens {
 		k.raiseTerm(now, d, false)
@@ -145,8 +150,8 @@
 	return k.isFirstSuccessor(d) && d.record.Router == e.From && d.record.Term == e.Message.GetTerm()
 }
 
-// givePromise promises not to act without the store for Authority from now. A
-// successor that has begun to take over gives none.
+// givePromise promises not to act without the store for the duration of Authority from now.
+// A successor that has begun to take over refuses.
 func (k *Keeper) givePromise(now time.Duration, d *duty, e PeerMessage) {
 	m := e.Message
 	reply := &ownershippb.Peer{Kind: ownershippb.Peer_PROMISE, Target: m.Target, Term: m.Term, Sequence: m.Sequence,
@@ -163,9 +168,10 @@
 	if m.Sequence <= g.endSequence {
 		return
 	}
-	// Until the grantor has got a promise it doesn't rely on any, and may go back to the
-	// store without a word. Were the right to act given by the first request, a successor
-	// that is lost in the first moments of an outage could never be proved not to use it.
+	// Until the grantor has received a promise it relies on none, and may return to the
+	// store without notifying this router. If the first request already gave the right to
+	// act, nothing could prove that a successor lost at the start of an outage does not use
+	// that right.
 	g.active = g.active || m.Echo != 0
 	if m.Sequence > g.requestSequence {
 		g.requestSequence, g.digest, g.yieldAfter = m.Sequence, m.UnitsDigest, time.Duration(m.YieldAfterNs)
@@ -174,16 +180,16 @@
 	k.send(e.From, reply)
 }
 
-// lastConfirmedAt is a time on the successor's own clock at or before which the store last
-// agreed with the asker. It counts from the stamp that the request echoes: from
-// the receipt of a request that was long under way, the time would come out late
-// and the successor would go on after a third router took over.
+// lastConfirmedAt returns a time on the successor's own clock that is not later than the
+// store's last confirmation of the requesting grantor. It counts from the stamp that the
+// request echoes. Counted from the receipt of a request that was long under way, the time
+// would be too late, and the successor would continue after a third router took over.
 func lastConfirmedAt(m *ownershippb.Peer) time.Duration {
 	at := time.Duration(m.Echo)*time.Millisecond - time.Duration(m.StoreSilenceMs+m.StoreSilenceMs/50+1)*time.Millisecond
 	return max(at, 0)
 }
 
-// takePromise extends the authority from when the request was sent.
+// takePromise extends the authority, counted from when the request was sent.
 func (k *Keeper) takePromise(now time.Duration, d *duty, e PeerMessage) {
 	m, a := e.Message, &d.received
 	s, ok := d.firstSuccessor()
@@ -197,12 +203,12 @@
 	a.echo = max(a.echo, m.Stamp)
 	k.extend(d, a.sentAt[m.Sequence%uint64(len(a.sentAt))]+k.cfg.shrink(k.cfg.Authority))
 	if first && k.writes[d.key] == nil {
-		k.requestPromise(now, d, s) // tells the successor at once that it may act if need be
+		k.requestPromise(now, d, s) // tells the successor at once that it has the right to act
 	}
 }
 
-// endGivenPromises gives up the right to act without the store. A late request of before
-// is ignored, since its sequence is not above the end's.
+// endGivenPromises gives up the right to act without the store. An earlier request that
+// arrives late is ignored, because its sequence is not above that of the end.
 func (k *Keeper) endGivenPromises(d *duty, e PeerMessage) {
 	m, g := e.Message, &d.given
 	if !k.mayPromise(d, e) || d.phase != idle {
@@ -218,8 +224,8 @@
 	k.send(e.From, &ownershippb.Peer{Kind: ownershippb.Peer_PROMISE_ENDED, Target: m.Target, Term: m.Term, Sequence: m.Sequence})
 }
 
-// actWithoutStore takes the duty up under the term reserved for the first
-// successor, where the grantor relied on promises and the last one has run out.
+// actWithoutStore takes up the duty under the term reserved for the first successor, if the
+// grantor relied on promises and the last promise has expired.
 func (k *Keeper) actWithoutStore(now time.Duration, d *duty) bool {
 	g := &d.given
 	if !g.active || !k.isFirstSuccessor(d) || g.term != d.record.Term || k.stopping {
@@ -244,14 +250,15 @@
 	return true
 }
 
-// writeClaimMadeWithoutStore writes the duty to the store first thing when it answers again.
+// writeClaimMadeWithoutStore writes the duty to the store as soon as the store answers
+// again.
 func (k *Keeper) writeClaimMadeWithoutStore(now time.Duration, d *duty) {
 	if d.withoutStore && k.writes[d.key] == nil && now >= d.nextClaimAt {
 		k.claim(now, d)
 	}
 }
 
-// unitsDigest is over what the target serves: its units and their tokens.
+// unitsDigest returns a digest of the units that the target serves and their tokens.
 func (k *Keeper) unitsDigest(d *duty) uint64 {
 	k.collectUnits(d)
 	return d.digest
--- a/core/ownership/proof.go
+++ b/core/ownership/proof.go
@@ -5,10 +5,9 @@
 	"time"
 )
 
-// startProof starts the proof that nobody else orders the target, once the record
-// names this router. wait is how long the authority of others may still have
-// effects; never where nothing bounds it, and then only the target's own refusal
-// of the old term is a proof.
+// startProof starts the proof that no other router orders the target, once the record names
+// this router. wait is how long the authority of others may still have effects. If nothing
+// bounds it, wait is never, and the only proof is that the target refuses the old term.
 func (k *Keeper) startProof(now time.Duration, d *duty, wait time.Duration) {
 	d.term, d.promisesStoppedAt, d.reported = d.record.Term, 0, noReport
 	d.takenWhileStopping, d.takenAt = k.stopping, now
@@ -16,12 +15,13 @@
 	d.received = receivedPromises{sequence: d.received.sequence}
 	d.waitUntil = never
 	if wait != never {
-		// A grant never outlasts the authority that it was sent under, so waiting that out
-		// leaves no grant to lapse.
+		// A grant never outlasts the authority that it was sent under, so after a wait for
+		// the whole authority no grant of it can still be valid.
 		d.waitUntil, d.oldGrantsWait = now+wait, max(0, k.cfg.waitOut()-wait)
 	}
-	// Reads from now on will do, since the record names this router: an old grantor
-	// that released a unit later than that finds no confirmation for its second write.
+	// Reads sent from now on are recent enough, because the record names this router: an old
+	// grantor that released a unit later than this gets no confirmation for its second
+	// write.
 	d.loadFrom = now
 	d.phase = waiting
 	if d.spec.Grants.ChecksTokens {
@@ -31,7 +31,8 @@
 	k.advanceProof(now, d)
 }
 
-// advanceProof goes on once the old authority has provably ended, or sends the fence.
+// advanceProof continues once the old authority has provably ended; until then it sends the
+// fence.
 func (k *Keeper) advanceProof(now time.Duration, d *duty) {
 	k.allRecordsRead(now, d)
 	if now >= d.waitUntil {
@@ -46,7 +47,7 @@
 	k.probeSelf(now, d)
 }
 
-// startLoad goes on with the reads of the units that enter began.
+// startLoad continues the reads of the units that startProof began.
 func (k *Keeper) startLoad(now time.Duration, d *duty, lapse time.Duration) {
 	d.phase = loading
 	d.grantsExpireAt = lapse
@@ -54,7 +55,7 @@
 	k.advanceLoad(now, d)
 }
 
-// advanceLoad serves once all of the service's records were read.
+// advanceLoad starts serving once all of the service's records were read.
 func (k *Keeper) advanceLoad(now time.Duration, d *duty) {
 	if !k.allRecordsRead(now, d) {
 		return
@@ -65,7 +66,8 @@
 	k.advanceGrants(now, d)
 }
 
-// allRecordsRead reads what was not read since loadFrom, and reports whether all was.
+// allRecordsRead requests the records that were not read since loadFrom, and reports
+// whether all were read.
 func (k *Keeper) allRecordsRead(now time.Duration, d *duty) bool {
 	spec := k.service(d.spec.Service)
 	if spec == nil {
@@ -89,7 +91,7 @@
 	return nil
 }
 
-// shardKeys lists the store keys of the service's records.
+// shardKeys returns the store keys of the service's records.
 func shardKeys(s *ServiceSpec) []string {
 	var keys []string
 	for first := uint32(0); first < s.HashSlots; first += ShardSlots {
@@ -104,16 +106,16 @@
 	return keys
 }
 
-// shardRead is the last read of an ownership record.
+// shardRead is the latest read of an ownership record.
 type shardRead struct {
 	sentAt time.Duration
-	// pending is set until the answer comes.
+	// pending is set until the answer arrives.
 	pending bool
-	// landedAt is when the last read that was answered had been sent, or -1.
+	// landedAt is when the latest answered read was sent, or -1.
 	landedAt time.Duration
 }
 
-// ensureRead reports whether a read sent at from or later was answered, and sends
+// ensureRead reports whether a read that was sent at from or later was answered, and sends
 // one if not.
 func (k *Keeper) ensureRead(now time.Duration, key string, from time.Duration) bool {
 	r := k.shardReads[key]
--- a/core/ownership/rank.go
+++ b/core/ownership/rank.go
@@ -6,9 +6,9 @@
 	"tarragongw/core/rendezvous"
 )
 
-// Rank orders the routers for a target by rendezvous hashing: the first is to be
-// its grantor, the rest its successors. The loss of one router leaves the order
-// of the others as it was.
+// Rank orders the routers for a target by rendezvous hashing: the first one is to be its
+// grantor, the others its successors. The loss of one router does not change the order of
+// the others.
 func Rank(target string, routers []Router) []Router {
 	out := append([]Router(nil), routers...)
 	sort.Slice(out, func(i, j int) bool {
@@ -21,7 +21,7 @@
 	return out
 }
 
-// rank returns the live routers in the order of the target of d.
+// rank returns the live routers in the order of the duty's target.
 func (k *Keeper) rank(d *duty) []Router {
 	if d.ranked == nil {
 		d.ranked = k.rankLive(d.spec.Name)
@@ -29,10 +29,10 @@
 	return d.ranked
 }
 
-// rankLive ranks the live routers, those that leave after all others. A router that is
-// about to stop would else be handed back by its heir what it has just handed over,
-// again and again until it is gone: the record is written a hundred times a second
-// meanwhile and nobody serves the target for long.
+// rankLive ranks the live routers, with those that are about to stop after all others.
+// Otherwise a router that is about to stop would be handed back the duties that it has just
+// handed over, repeatedly until it has stopped: the record would be written a hundred times
+// a second, and the target would hardly be served meanwhile.
 func (k *Keeper) rankLive(name string) []Router {
 	ranked := Rank(name, k.live)
 	sort.SliceStable(ranked, func(i, j int) bool { return !k.leaving[ranked[i]] && k.leaving[ranked[j]] })
--- a/core/ownership/record.go
+++ b/core/ownership/record.go
@@ -16,12 +16,12 @@
 
 // Sizes of the records.
 const (
-	// ShardSlots is the number of hash slots in one record. With every slot in a run
-	// of its own a record stays below 64 KB.
+	// ShardSlots is the number of hash slots in one record. Even if every slot is a run of
+	// its own, a record stays below 64 KB.
 	ShardSlots = 2048
 	// RangeBuckets is the number of records that hold a service's key ranges.
 	RangeBuckets = 16
-	// maxOps bounds the writers remembered in a record.
+	// maxOps bounds the number of writers remembered in a record.
 	maxOps = 32
 )
 
@@ -32,20 +32,20 @@
 	RangePrefix   = "own/ranges/"
 )
 
-// GrantorKey is the store key of a target's grantor record.
+// GrantorKey returns the store key of a target's grantor record.
 func GrantorKey(dataCentre, target string) string { return GrantorPrefix + dataCentre + "/" + target }
 
-// SlotKey is the store key of the record that holds the slot.
+// SlotKey returns the store key of the record that holds the slot.
 func SlotKey(service string, slot uint32) string {
 	return SlotPrefix + service + "/" + strconv.FormatUint(uint64(slot/ShardSlots), 10)
 }
 
-// RangeKey is the store key of the record that holds the key range.
+// RangeKey returns the store key of the record that holds the key range.
 func RangeKey(service, name string) string {
 	return RangePrefix + service + "/" + strconv.FormatUint(uint64(rangeBucket(name)), 10)
 }
 
-// UnitKey is the store key of the record that holds the unit.
+// UnitKey returns the store key of the record that holds the unit.
 func UnitKey(u routing.Unit) string {
 	if u.Kind == routing.RangeUnit {
 		return RangeKey(u.Service, u.Range)
@@ -55,24 +55,24 @@
 
 func rangeBucket(name string) uint32 { return uint32(rendezvous.Weight(name, "") % RangeBuckets) }
 
-// Router is one life of one router.
+// Router is one instance of a router.
 type Router struct {
 	Name        string
 	Incarnation uint64
 }
 
-// Op identifies one write; it is kept in the record so that a write whose reply
-// was lost is settled by reading back.
+// Op identifies one write. It is kept in the record so that the outcome of a write whose
+// reply was lost can be determined by reading the record.
 type Op struct {
 	Router   Router
 	Sequence uint64
 }
 
-// Ops are the last operations of a record's writers, the most recent last.
+// Ops are the latest operations of a record's writers, the most recent one last.
 type Ops []Op
 
-// Landed reports whether the write took effect. It is exact while the writer has
-// at most one write of the record outstanding and is among the last 32 writers.
+// Landed reports whether the write took effect. It is exact as long as the writer has at
+// most one write of the record outstanding and is among the last 32 writers.
 func (o Ops) Landed(op Op) bool {
 	for _, e := range o {
 		if e.Router == op.Router {
@@ -82,7 +82,7 @@
 	return false
 }
 
-// with returns a copy in which op is its writer's last.
+// with returns a copy in which op is the latest operation of its writer.
 func (o Ops) with(op Op) Ops {
 	out := make(Ops, 0, len(o)+1)
 	for _, e := range o {
@@ -104,31 +104,31 @@
 	// the successor that acts without the store; it grows with each change of grantor.
 	Term   uint64
 	Router Router
-	// Successors may take over in this order; only the first gives promises.
+	// Successors may take over in this order; only the first one gives promises.
 	Successors []Router
-	// DataCentre is where Router is, if not in the target's own data centre.
+	// DataCentre is the data centre of Router, if it is not the target's own.
 	DataCentre string
-	// YieldAfter bounds how long the grantor and its first successor go on after the store
-	// last agreed; zero: nothing bounds it. See yieldAfter.
+	// YieldAfter bounds how long the grantor and its first successor continue after the last
+	// confirmation by the store; zero means that nothing bounds it. See yieldAfter.
 	YieldAfter time.Duration
-	// Unproved means that Router has not proved yet that all grantors before it have
+	// Unproved means that Router has not yet proved that all grantors before it have
 	// stopped; see oldAuthority.
 	Unproved bool
 	Ops      Ops
 }
 
-// TermPlaces is how many terms one epoch of a record reserves: place 0 is the
-// grantor's own, place i that of its i-th successor.
+// TermPlaces is how many terms one epoch of a record reserves: place 0 is the grantor's
+// own, place i is that of its i-th successor.
 const TermPlaces = 8
 
 // nextEpoch returns the first term of the next epoch.
 func nextEpoch(term uint64) uint64 { return (term/TermPlaces + 1) * TermPlaces }
 
-// UnitState is the ownership of one unit as in its record.
+// UnitState is the ownership of one unit as stored in its record.
 type UnitState struct {
 	Target string
 	Token  uint64
-	// Releasing means that Target takes no new work; Next is who is to own the unit.
+	// Releasing means that Target takes no new work; Next is the next owner of the unit.
 	Releasing bool
 	Next      string
 }
@@ -147,7 +147,7 @@
 	Ops    Ops
 }
 
-// Key is the store key of the record.
+// Key returns the store key of the record.
 func (s *Shard) Key() string {
 	n := strconv.FormatUint(uint64(s.Index), 10)
 	if s.Kind == routing.RangeUnit {
@@ -156,7 +156,7 @@
 	return SlotPrefix + s.Service + "/" + n
 }
 
-// at returns the state of the unit for change, or nil.
+// at returns a pointer to the state of the unit so that it can be modified, or nil.
 func (s *Shard) at(u routing.Unit) *UnitState {
 	if u.Service != s.Service || u.Kind != s.Kind {
 		return nil
@@ -185,7 +185,7 @@
 	}
 }
 
-// targetIndex numbers target names from one in order of first use.
+// targetIndex numbers target names from one, in order of first use.
 type targetIndex struct {
 	names []string
 	index map[string]uint32
@@ -237,7 +237,7 @@
 func marshal(m proto.Message) []byte {
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
-		panic(err) // only invalid UTF-8 in a name, which the model refuses
+		panic(err) // only for invalid UTF-8 in a name, which the model rejects
 	}
 	return b
 }
@@ -250,7 +250,7 @@
 	return Router{Name: r.GetName(), Incarnation: r.GetIncarnation()}
 }
 
-// Encode returns the record's bytes.
+// Encode returns the encoded record.
 func (g *GrantorRecord) Encode() []byte {
 	m := &ownershippb.GrantorRecord{Target: g.Target, Term: g.Term, Router: encodeRouter(g.Router), Ops: encodeOps(g.Ops),
 		DataCentre: g.DataCentre, YieldAfterNs: int64(g.YieldAfter), Unproved: g.Unproved}
--- a/core/ownership/shard.go
+++ b/core/ownership/shard.go
@@ -10,7 +10,7 @@
 	"tarragongw/core/routing"
 )
 
-// Encode returns the record's bytes.
+// Encode returns the encoded record.
 func (s *Shard) Encode() []byte {
 	if s.Kind == routing.RangeUnit {
 		return s.encodeRanges()
@@ -47,7 +47,7 @@
 	return marshal(m)
 }
 
-// DecodeShard decodes the ownership record under the store key.
+// DecodeShard decodes the ownership record that is stored under the key.
 func DecodeShard(key string, b []byte) (*Shard, error) {
 	if strings.HasPrefix(key, RangePrefix) {
 		return decodeRanges(b)
--- a/core/ownership/successor.go
+++ b/core/ownership/successor.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// successors lists who may take over from the grantor: the live routers in the order
-// of the target and, where these are too few, the grantor and successors on record that
-// were lost a short while ago.
+// successors lists the routers that may take over from the grantor: the live routers in the
+// target's order and, if these are too few, the recorded grantor and successors that were
+// lost a short while ago.
 //
-// What goes wrong without the second: a router whose own links fail hears the others
-// no more, writes them off and is lost itself. Nobody is then on record to take over
-// from it; a target that doesn't check stays unserved (reported as unprovable), and
-// so does one that checks and is lost too. The same goes for a router that takes a duty
-// over from a grantor which lives and is then lost itself. The two don't take the duty
-// from each other in turn while they are apart; see justSuperseded.
+// Without the recently lost routers, a router whose own links fail would receive no
+// heartbeats of the others, remove them from its records and then be lost itself. No
+// recorded router could take over from it; a target that does not check terms would stay
+// unserved (reported as unprovable), and so would one that checks them and is lost too. The
+// same holds for a router that takes a duty over from a grantor that is still alive and is
+// then lost itself. The two do not take the duty from each other in turn while the
+// connection between them is down; see justSuperseded.
 func (k *Keeper) successors(now time.Duration, d *duty, grantor Router) []Router {
 	var out []Router
 	for _, r := range k.rank(d) {
@@ -33,18 +34,18 @@
 	return out
 }
 
-// recentlyLost reports whether this life of the router was live within HoldSuccessor and
-// is not now.
+// recentlyLost reports whether this instance of the router was live within HoldSuccessor
+// and is not live now.
 func (k *Keeper) recentlyLost(now time.Duration, r Router) bool {
 	at, gone := k.lostAt[r.Name]
 	return gone && k.lastSeen[r.Name] == r && now-at < k.cfg.HoldSuccessor
 }
 
-// updateSuccessors keeps the list of successors in the record up to date. A record that
-// names nobody gets its first successor at once: until then nobody could take over.
+// updateSuccessors keeps the list of successors in the record up to date. A record without
+// a successor gets its first one at once, because until then no router could take over.
 func (k *Keeper) updateSuccessors(now time.Duration, d *duty) {
 	if now < d.nextSuccessorWriteAt {
-		return // a write that was refused is not repeated with each step
+		return // a refused write is not repeated in each step
 	}
 	want := k.successors(now, d, k.cfg.Self)
 	listed := slices.Equal(want, d.record.Successors) || len(d.record.Successors) > 0 && !k.liveLongEnough(now, want)
@@ -62,8 +63,8 @@
 	k.put(now, d.key, d.revision, op, Update{Grantor: &next})
 }
 
-// liveLongEnough reports whether the live routers among these have been so long enough to be
-// written down.
+// liveLongEnough reports whether the live ones of these routers have been live for long
+// enough to be recorded.
 func (k *Keeper) liveLongEnough(now time.Duration, routers []Router) bool {
 	for _, r := range routers {
 		if at, live := k.liveSince[r.Name]; live && now-at < k.cfg.LostAfter {
@@ -73,8 +74,8 @@
 	return true
 }
 
-// noteLostRouters remembers when routers ceased to be live, for HoldSuccessor. One that left as
-// announced is gone for good.
+// noteLostRouters records when routers ceased to be live, for HoldSuccessor. A router that
+// left as announced is not recorded, because it will not return.
 func (k *Keeper) noteLostRouters(now time.Duration, before map[string]time.Duration, leaving map[Router]bool) {
 	for name := range before {
 		if _, live := k.liveSince[name]; !live && !leaving[k.lastSeen[name]] {
--- a/core/ownership/table.go
+++ b/core/ownership/table.go
@@ -7,21 +7,22 @@
 	"tarragongw/core/routing"
 )
 
-// Table is an immutable snapshot of ownership and grantors. Apply makes a new one
-// that shares what did not change; a record never goes back to an older revision.
+// Table is an immutable snapshot of ownership and grantors. Apply returns a new one that
+// shares unchanged parts with the old one; a record never returns to an older revision.
 type Table struct {
 	services map[string]*serviceTable
 	grantors map[string]grantorEntry
 }
 
-// grantorEntry is what every router keeps of a target's grantor record. Its writers are
-// left out: only who may write the record needs them, and that is a router with a duty
-// for the target, which keeps the whole record. A duty that begins later reads it first.
+// grantorEntry is what every router keeps of a target's grantor record. The record's
+// writers are omitted: only a router that may write the record needs them, and such a
+// router has a duty for the target, which keeps the whole record. A duty that starts later
+// reads the record first.
 type grantorEntry struct {
 	revision, term uint64
-	// routers are the grantor and its successors in order.
+	// routers are the grantor and its successors, in order.
 	routers []Router
-	// dataCentre and yieldAfter are those of the record.
+	// dataCentre and yieldAfter are copied from the record.
 	dataCentre string
 	yieldAfter time.Duration
 }
@@ -43,12 +44,12 @@
 	shard    *packedShard
 }
 
-// Update is one record as read from the store or told by a peer.
+// Update is one record as read from the store or received from a peer.
 type Update struct {
-	// Revision is the store's revision of the record; zero for a grantor that acts
-	// without the store.
+	// Revision is the store's revision of the record; zero for a grantor that acts without
+	// the store.
 	Revision uint64
-	// Exactly one of Shard and Grantor is set; neither is changed afterwards.
+	// Exactly one of Shard and Grantor is set; neither is modified afterwards.
 	Shard   *Shard
 	Grantor *GrantorRecord
 }
@@ -56,8 +57,8 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{} }
 
-// Apply returns the table with the updates that are newer than what it holds, and
-// how many were.
+// Apply returns the table with those of the updates that are newer than its content, and
+// their number.
 func (t *Table) Apply(updates ...Update) (*Table, int) {
 	out := &Table{services: t.services, grantors: t.grantors}
 	var applied int
@@ -154,7 +155,7 @@
 	return t.shard(u.Service, u.Kind, u.Slot/ShardSlots)
 }
 
-// State returns the unit's state; ok is false where no record knows the unit.
+// State returns the unit's state; ok is false if no record contains the unit.
 func (t *Table) State(u routing.Unit) (state UnitState, ok bool) {
 	e := t.unitShard(u)
 	if e == nil {
@@ -167,8 +168,8 @@
 	return e.shard.state(place), true
 }
 
-// Lookup returns the unit's owner and that target's grantor; the zero values mean
-// that there is none.
+// Lookup returns the unit's owner and that target's grantor, or zero values if there is
+// none.
 func (t *Table) Lookup(u routing.Unit) (routing.Owner, routing.Grantor) {
 	st, ok := t.State(u)
 	if !ok {
@@ -186,11 +187,11 @@
 	return routing.Grantor{Router: e.routers[0].Name, Incarnation: e.routers[0].Incarnation, Term: e.term, DataCentre: e.dataCentre}
 }
 
-// Routers returns the target's grantor and its successors in order, or nil. It must not
-// be changed.
+// Routers returns the target's grantor and its successors in order, or nil. The slice must
+// not be modified.
 func (t *Table) Routers(target string) []Router { return t.grantors[target].routers }
 
-// EachUnit calls f for each unit of the service in order of kind, record and place.
+// EachUnit calls f for each unit of the service, ordered by kind, record and position.
 func (t *Table) EachUnit(service string, f func(routing.Unit, UnitState)) {
 	st := t.services[service]
 	if st == nil {
@@ -208,7 +209,7 @@
 	}
 }
 
-// Services returns the names of the services with records, sorted.
+// Services returns the sorted names of the services that have records.
 func (t *Table) Services() []string { return sortedKeys(t.services) }
 
 func sortedKeys[V any](m map[string]V) []string {
--- a/core/ownership/unowned.go
+++ b/core/ownership/unowned.go
@@ -7,10 +7,10 @@
 	"tarragongw/core/routing"
 )
 
-// advanceUnowned gives units without an owner to a target. For each record the
-// router that ranks first tries; others that think they do too are told apart by
-// the compare-and-swap. A unit without an owner has no sender, so any router may
-// write it.
+// advanceUnowned assigns units without an owner to a target. For each record the router
+// that ranks first tries; if several routers believe that they rank first, the
+// compare-and-swap decides. A unit without an owner has no sender, so any router may write
+// it.
 func (k *Keeper) advanceUnowned(now time.Duration) {
 	if !k.checkUnowned || len(k.live) == 0 || k.stopping {
 		return
@@ -35,7 +35,8 @@
 	}
 }
 
-// placeRecord assigns what the record lacks, counting what the others hold.
+// placeRecord assigns the units of the record that have no owner, taking into account the
+// units that the targets already own.
 func (k *Keeper) placeRecord(now time.Duration, spec *ServiceSpec, key string, candidates []Candidate) {
 	want, revision := k.recordWithAllUnits(spec, key)
 	if want == nil {
@@ -70,7 +71,8 @@
 	k.put(now, key, revision, op, Update{Shard: want}, assigned...)
 }
 
-// recordWithAllUnits returns a copy of the record with all units that the service has.
+// recordWithAllUnits returns a copy of the record that contains all units of the service,
+// and the record's revision.
 func (k *Keeper) recordWithAllUnits(spec *ServiceSpec, key string) (*Shard, uint64) {
 	kind, index := shardOf(spec, key)
 	want := &Shard{Service: spec.Name, Kind: kind, Index: index}
--- a/core/ownership/wake.go
+++ b/core/ownership/wake.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// tick is the interval of ticks while anything is under way.
+// tick is the interval of ticks while anything but renewals is under way.
 func (c *Config) tick() time.Duration { return c.RenewEvery / 4 }
 
-// Wake returns how long after now the next Tick is due, at least RenewEvery/4. The
-// shell may send it earlier or at each RenewEvery/4; what it sends much later counts
-// as a pause of this router.
+// Wake returns how long after now the next Tick is due, at least RenewEvery/4. The shell
+// may send it earlier, or at each RenewEvery/4; a Tick that comes much later counts as a
+// pause of this router.
 func (k *Keeper) Wake(now time.Duration) time.Duration {
 	d := k.cfg.tick()
 	if k.onlyRenewalsDue() {
@@ -17,7 +17,7 @@
 	return d
 }
 
-// onlyRenewalsDue says that no event can be missing and that only renewals wait.
+// onlyRenewalsDue reports whether nothing but renewals is pending and no event is expected.
 func (k *Keeper) onlyRenewalsDue() bool {
 	if k.stopping || k.checkUnowned || len(k.moves) > 0 || len(k.writes) > 0 {
 		return false
@@ -30,13 +30,14 @@
 	return true
 }
 
-// onlyRenewalDue says that a duty is served here in the ordinary way, or by a live router.
+// onlyRenewalDue reports whether a duty is served in the normal way, by this router or by
+// another live one.
 func (k *Keeper) onlyRenewalDue(d *duty) bool {
 	switch d.phase {
 	case idle:
 		return d.recordRead && d.record != nil && d.record.Router != k.cfg.Self && k.grantorLive(d)
 	case serving:
-		// Silence is counted in short steps, so that a pause of this router shows.
+		// While a reply is missing, steps are short, so that a pause of this router is noticed.
 		return !d.withoutStore && !d.received.active && d.silentSince == 0 && !d.suspicion.unhealthy &&
 			(!d.spec.takesGrants() || d.digest == d.sentDigest)
 	default:
@@ -64,11 +65,12 @@
 	return next
 }
 
-// renewalsDue says whether a renewal is due. All that would be soon go along with it, so
-// that the renewals of one router share their wakings and their reads one call.
+// renewalsDue reports whether a renewal is due. All renewals that would soon be due are
+// then done in the same step, so that the renewals of one router share their wake-ups and
+// their reads share one call.
 //
-// A relay may ask for the next ones sooner. All askers of a data centre then share one
-// read, and none of them ever waits longer for its next renewals.
+// A relay may ask for the next renewals sooner. All routers of a data centre that use the
+// relay then share one read, and none of them ever waits longer for its next renewals.
 func (k *Keeper) renewalsDue(now time.Duration) bool {
 	if now >= k.renewTogetherBy {
 		k.renewTogetherBy = never
@@ -85,12 +87,13 @@
 	return false
 }
 
-// renewalDue says whether what was last done at the given time is to be done anew.
+// renewalDue reports whether a renewal that was last done at the given time is to be
+// repeated now.
 func (k *Keeper) renewalDue(now, at time.Duration) bool {
 	return now-at >= k.cfg.RenewEvery || k.renewTogether && now-at >= k.cfg.RenewEvery/2
 }
 
-// late is by how much this step comes later than it had to.
+// late returns by how much this step comes later than it was due.
 func (k *Keeper) late(now time.Duration) time.Duration {
 	return now - max(k.lastStepAt+k.cfg.tick(), k.wakeAt)
 }
--- a/core/ownership/write.go
+++ b/core/ownership/write.go
@@ -9,15 +9,17 @@
 	value  []byte
 	op     Op
 	update Update
-	// assigned is acknowledged once the write landed.
+	// assigned is acknowledged once the write is known to be in the store.
 	assigned []Assigned
-	// outcomeUnknown means that the reply was lost; it is settled by reading back.
+	// outcomeUnknown means that the reply was lost; the outcome is determined by reading the
+	// record.
 	outcomeUnknown bool
 	sentAt         time.Duration
 	readAt         time.Duration
 }
 
-// put sends a write; the record's decoded form is applied once it landed.
+// put sends a write; the decoded form of the record is applied once the write is in the
+// store.
 func (k *Keeper) put(now time.Duration, key string, expect uint64, op Op, u Update, assigned ...Assigned) {
 	w := &write{key: key, expect: expect, op: op, update: u, assigned: assigned, sentAt: now}
 	if u.Shard != nil {
@@ -27,7 +29,7 @@
 	}
 	k.writes[key] = w
 	if u.Grantor != nil {
-		k.refreshGate() // a sole router's authority gets a bound before the write leaves
+		k.refreshGate() // bounds the authority of a sole router before the write is sent
 	}
 	k.emit(CAS{Key: key, Expect: expect, Value: w.value, Op: op})
 }
@@ -43,8 +45,8 @@
 		w.update.Revision = e.Revision
 		k.landed(now, w)
 	case Conflict:
-		// A conflict that answers a repeated write may be with the first copy of itself,
-		// so it is settled by reading back like a lost reply.
+		// A repeated write may conflict with its own first copy, so the outcome of a conflict
+		// is determined by reading the record, as for a lost reply.
 		k.storeAnswered(now)
 		k.readBack(now, w)
 	case Unavailable:
@@ -70,10 +72,10 @@
 	k.emit(Read{Key: w.key, SentAt: now})
 }
 
-// resolveUnknownWrite decides a write with an unknown outcome by what was read. A record at the
-// expected revision doesn't prove that the write failed: it may still be under
-// way and land later. The identical write is then repeated at the same revision,
-// of which at most one copy can land.
+// resolveUnknownWrite determines the outcome of a write from a read of the record. A record
+// at the expected revision does not prove that the write failed: the write may still be
+// under way and land later. The identical write is then repeated at the same revision, and
+// at most one of the copies can land.
 func (k *Keeper) resolveUnknownWrite(now time.Duration, w *write, e StoreRead) {
 	if !w.outcomeUnknown || e.Outcome != Landed || e.SentAt < w.sentAt {
 		return
@@ -121,8 +123,9 @@
 	}
 	k.checkUnowned = true
 	for _, a := range w.assigned {
-		// Where the next owner was lost, the unit may have gone back to the one it was to
-		// leave. The move would not be found done, and begin anew with each write.
+		// If the next owner was lost, the unit may have gone back to the target that it was
+		// to leave. The move would then not be recognised as done, and would start again with
+		// each write.
 		delete(k.moves, a.Unit)
 		k.emit(a)
 	}
@@ -137,7 +140,8 @@
 	k.checkUnowned = true
 }
 
-// advanceWrites treats a write without an answer as unknown and asks again.
+// advanceWrites treats a write that got no answer in time as having an unknown outcome, and
+// repeats reads that got no answer.
 func (k *Keeper) advanceWrites(now time.Duration) {
 	for _, key := range sortedKeys(k.writes) {
 		w := k.writes[key]
--- a/core/ownership/yield.go
+++ b/core/ownership/yield.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// yieldAfter is how long this router goes on with the duty after the store last agreed;
-// zero: nothing bounds it.
+// yieldAfter is how long this router continues with the duty after the last confirmation by
+// the store; zero means that nothing bounds it.
 //
-// What goes wrong where each goes by its own configuration: operators let a service yield,
-// or yield sooner, while its grantor is cut off and doesn't learn of it. Who takes over
-// waits the new time and the grantor goes on for the old one: two owners. So the time
-// that binds both is in the grantor record, which the claim replaces. A shorter one is
-// gone by from when it is known here, a longer one from when it is in the record.
+// The bound must not come from each router's own configuration alone. If operators let a
+// service yield, or yield sooner, while its grantor is cut off and does not get the new
+// configuration, the router that takes over waits for the new time and the grantor
+// continues for the old one, which gives a unit two owners. The time that binds both is
+// therefore in the grantor record, which the claim replaces. A shorter time applies as soon
+// as this router knows it, a longer one once it is in the record.
 func (d *duty) yieldAfter() time.Duration {
 	bound := d.wantedYield()
 	if d.record != nil {
@@ -21,7 +22,8 @@
 	return bound
 }
 
-// wantedYield is the YieldAfter that the configuration asks for; zero: keep.
+// wantedYield is the YieldAfter according to the configuration; zero means that the service
+// keeps its owners.
 func (d *duty) wantedYield() time.Duration {
 	if d.spec.Isolation.Keep {
 		return 0
@@ -29,7 +31,7 @@
 	return d.spec.Isolation.YieldAfter
 }
 
-// shorter returns the shorter of two bounds, of which zero is none.
+// shorter returns the shorter of two bounds; zero means no bound.
 func shorter(a, b time.Duration) time.Duration {
 	if a == 0 || b != 0 && b < a {
 		return b
@@ -37,7 +39,7 @@
 	return a
 }
 
-// longer returns the longer of two bounds, of which zero is none.
+// longer returns the longer of two bounds; zero means no bound.
 func longer(a, b time.Duration) time.Duration {
 	if a == 0 || b == 0 {
 		return 0
@@ -45,7 +47,7 @@
 	return max(a, b)
 }
 
-// recordedYield is the bound that a claim waits out.
+// recordedYield is the YieldAfter whose end a claim has to wait for.
 func (d *duty) recordedYield(k *Keeper) time.Duration {
 	if k.cfg.omit == omitRecordedYield {
 		return d.wantedYield()
