--- a/core/ownership/ownershiptest/check.go
+++ b/core/ownership/ownershiptest/check.go
@@ -9,7 +9,7 @@
 	"tarragongw/core/routing"
 )
 
-// sendRequests sends one request on each unit from every router that may.
+// sendRequests sends one request on each unit from every running router that may send it.
 func (w *World) sendRequests() {
 	for _, u := range w.Units() {
 		for _, r := range w.routers {
@@ -56,8 +56,8 @@
 	w.after(way, func() { w.execute(t, u, owner.Token, term, r.self) })
 }
 
-// execute is a target's decision on a request, and the check that what it runs
-// has a single owner and, where it doesn't check, a single sender.
+// execute is a target's handling of a request. It also checks that each unit is executed by
+// a single owner and that a target that does not check terms has a single sender.
 func (w *World) execute(t *fakeTarget, u routing.Unit, token, term uint64, from ownership.Router) {
 	if !t.up() || !t.holds(w.now, u, token) {
 		return
@@ -87,7 +87,7 @@
 	w.served[u] = &serviceTimes{lastRun: w.now}
 }
 
-// checkGrants looks for a unit that two targets hold at the same time.
+// checkGrants reports a unit that two targets hold at the same time.
 func (w *World) checkGrants(t *fakeTarget) {
 	if !t.spec.Grants.Expires || w.now >= t.expires {
 		return
@@ -105,6 +105,7 @@
 	}
 }
 
+// checkAcknowledged checks that an acknowledged assignment is in the store.
 func (w *World) checkAcknowledged(a ownership.Assigned) {
 	e := assignment{a.Unit, a.Token, a.To}
 	w.acknowledged = append(w.acknowledged, e)
@@ -116,15 +117,15 @@
 	}
 }
 
-// Track starts to measure the longest time between two runs of each unit.
+// Track starts to measure the longest time between two executions on each unit.
 func (w *World) Track() {
 	for _, s := range w.served {
 		s.measuring, s.longestGap = true, 0
 	}
 }
 
-// Gap returns the longest time that the unit was not served since Track, at least
-// the time since its last run.
+// Gap returns the longest time that the unit was not served since Track, and at least the
+// time since it was last served.
 func (w *World) Gap(u routing.Unit) time.Duration {
 	s := w.served[u]
 	if s == nil {
@@ -133,7 +134,7 @@
 	return max(s.longestGap, w.now-s.lastRun)
 }
 
-// Unserved lists the units that did not run within the last d.
+// Unserved lists the units that were not served within the last d.
 func (w *World) Unserved(d time.Duration) []string {
 	var out []string
 	for _, u := range w.Units() {
@@ -145,11 +146,11 @@
 	return out
 }
 
-// TargetLost reports whether the target was ended for good.
+// TargetLost reports whether the target was stopped for good.
 func (w *World) TargetLost(name string) bool { return w.targets[name] != nil && w.targets[name].dead }
 
-// Owner returns the unit's owner as in the store.
+// Owner returns the unit's owner according to the store.
 func (w *World) Owner(u routing.Unit) string { return w.store.owners[u].to }
 
-// StoreCalls returns the writes and reads that the store took.
+// StoreCalls returns how many writes and reads the store has handled.
 func (w *World) StoreCalls() (writes, reads int) { return w.store.writes, w.store.reads }
--- a/core/ownership/ownershiptest/fault.go
+++ b/core/ownership/ownershiptest/fault.go
@@ -7,7 +7,7 @@
 	"tarragongw/core/ownership"
 )
 
-// PauseRouter stops a router for d; what reaches it meanwhile waits.
+// PauseRouter suspends a router for d; events for it are queued meanwhile.
 func (w *World) PauseRouter(i int, d time.Duration) {
 	r := w.routers[i]
 	if r.dead || r.paused {
@@ -20,7 +20,7 @@
 			return
 		}
 		r.paused = false
-		// Work that was about to be sent goes on before any news is taken in.
+		// Requests that were about to be sent are sent before any queued event is processed.
 		for _, u := range w.Units() {
 			w.requestFrom(r, u)
 		}
@@ -32,7 +32,8 @@
 	})
 }
 
-// KillRouter ends a router; with restart above zero a new life starts then.
+// KillRouter kills a router. If restart is above zero, a new instance starts after that
+// time.
 func (w *World) KillRouter(i int, restart time.Duration) {
 	r := w.routers[i]
 	if r.dead {
@@ -44,10 +45,10 @@
 	}
 }
 
-// stopDelay is the time from the news that a router leaves to its stop.
+// stopDelay is the time from the announcement of a router's stop to the stop.
 const stopDelay = 20 * time.Millisecond
 
-// StopRouter is a planned stop: the router announces it, hands its duties over and ends
+// StopRouter is a planned stop: the router announces it, hands its duties over and exits
 // after d.
 func (w *World) StopRouter(i int, d time.Duration) {
 	r := w.routers[i]
@@ -56,7 +57,8 @@
 	w.after(d, func() { w.KillRouter(i, 0) })
 }
 
-// Relay is the router that the given one asks for confirmations, or -1.
+// Relay returns the index of the router that the given one uses as its relay for
+// confirmations, or -1.
 func (w *World) Relay(i int) int {
 	for _, o := range w.routers {
 		if r := w.routers[i]; r.confirmCore != nil && o.self.Name == r.confirmCore.Relay() {
@@ -66,74 +68,76 @@
 	return -1
 }
 
-// ConfirmStats are the counts of a router's relaying in its present life.
+// ConfirmStats returns the relay statistics of a router's present instance.
 func (w *World) ConfirmStats(i int) confirm.Stats { return w.routers[i].confirmCore.Stats() }
 
-// FreezeTarget stops a target for d; it returns as if nothing had happened.
+// FreezeTarget suspends a target for d; afterwards it continues with its old state.
 func (w *World) FreezeTarget(name string, d time.Duration) {
 	t := w.targets[name]
 	t.frozen = true
 	w.after(d, func() { t.frozen = false })
 }
 
-// KillTarget ends a target for good. The routers' health checks, which for
-// targets without grants are all there is, notice after detect.
+// KillTarget kills a target for good. The routers' health checks, which are the only sign
+// of it for targets without grants, detect it after detect.
 func (w *World) KillTarget(name string, detect time.Duration) {
 	w.targets[name].dead = true
 	w.after(detect, func() { w.ReportHealth(name, true) })
 }
 
-// ReportHealth gives all routers a verdict on a target.
+// ReportHealth gives all routers a health check result for a target.
 func (w *World) ReportHealth(name string, lost bool) {
 	for _, r := range w.routers {
 		r.step(ownership.TargetHealth{Target: name, Lost: lost})
 	}
 }
 
-// ReportHealthFrom gives one router a verdict on all targets, as its own checks would.
+// ReportHealthFrom gives one router a health check result for all targets, as its own
+// checks would.
 func (w *World) ReportHealthFrom(i int, lost bool) {
 	for _, name := range w.names {
 		w.routers[i].step(ownership.TargetHealth{Target: name, Lost: lost})
 	}
 }
 
-// CutStore keeps a router from the store for d.
+// CutStore cuts the connection of a router to the store for d.
 func (w *World) CutStore(i int, d time.Duration) {
 	r := w.routers[i]
 	r.storeCut = true
 	w.after(d, func() { r.storeCut = false })
 }
 
-// CutLink keeps two routers from each other for d.
+// CutLink cuts the connection between two routers for d.
 func (w *World) CutLink(a, b int, d time.Duration) {
 	key := [2]int{min(a, b), max(a, b)}
 	w.cutLinks[key] = true
 	w.after(d, func() { delete(w.cutLinks, key) })
 }
 
-// DropHeartbeats keeps a router from hearing the others as live for d; they go on hearing it.
+// DropHeartbeats drops the heartbeats to a router for d, so that it does not see the others
+// as live; they still see it.
 func (w *World) DropHeartbeats(i int, d time.Duration) {
 	w.deafUntil[i] = w.now + d
 }
 
-// CutTargets keeps a router from reaching any target for d.
+// CutTargets cuts the connections of a router to all targets for d.
 func (w *World) CutTargets(i int, d time.Duration) {
 	w.targetsUnreachableUntil[i] = w.now + d
 }
 
-// RefuseWrites makes the store refuse all writes at once for d.
+// RefuseWrites makes the store refuse all writes immediately for d.
 func (w *World) RefuseWrites(d time.Duration) {
 	w.refusingWrites = true
 	w.after(d, func() { w.refusingWrites = false })
 }
 
-// Island keeps a router from the store and from all other routers for d.
+// Island cuts the connections of a router to the store and to all other routers for d.
 func (w *World) Island(i int, d time.Duration) {
 	w.CutStore(i, d)
 	w.CutPeers(i, d)
 }
 
-// CutPeers keeps a router from all other routers for d.
+// CutPeers cuts the connections of a router to all other routers for d.
 func (w *World) CutPeers(i int, d time.Duration) {
 	for _, o := range w.routers {
 		if o.index != i {
@@ -148,7 +152,7 @@
 	w.after(d, func() { w.StoreDown = false })
 }
 
-// Drain marks the target as leaving in the configuration of all routers.
+// Drain marks the target as draining in the configuration of all routers.
 func (w *World) Drain(name string) {
 	targets := append([]ownership.TargetSpec(nil), w.opt.Targets...)
 	for i := range targets {
@@ -162,15 +166,14 @@
 	}
 }
 
-// Request asks all routers for moves; the grantors of the targets carry them out.
+// Request asks all routers for moves; the grantors of the targets perform them.
 func (w *World) Request(moves ...ownership.Move) {
 	for _, r := range w.routers {
 		r.step(ownership.MovesRequested{Moves: moves})
 	}
 }
 
-// Grantor returns the index of the router that is the target's grantor in the
-// store, or -1.
+// Grantor returns the index of the target's grantor according to the store, or -1.
 func (w *World) Grantor(target string) int {
 	rec := w.store.records[ownership.GrantorKey(w.targets[target].spec.DataCentre, target)]
 	g, err := ownership.DecodeGrantor(rec.value)
--- a/core/ownership/ownershiptest/relay.go
+++ b/core/ownership/ownershiptest/relay.go
@@ -9,7 +9,8 @@
 	"tarragongw/core/ownership"
 )
 
-// dataCentre is that of all routers and targets of a world.
+// dataCentre is the data centre of all routers and targets if Options.DataCentres is not
+// set.
 const dataCentre = "dc1"
 
 func (r *router) startConfirmCore() {
@@ -19,7 +20,8 @@
 	}
 }
 
-// requestRelayedReads hands the reads of one step that may be relayed to the relaying core.
+// requestRelayedReads passes those reads of one step that may be relayed to the confirm
+// core.
 func (r *router) requestRelayedReads(actions []ownership.Action) {
 	if r.confirmCore == nil {
 		return
@@ -51,7 +53,8 @@
 	return names
 }
 
-// stepConfirmCore takes an event of this life through the relaying core.
+// stepConfirmCore passes an event to the confirm core of this instance and performs the
+// actions.
 func (r *router) stepConfirmCore(e confirm.Event) {
 	if r.dead {
 		return
@@ -74,8 +77,8 @@
 	r.confirmTickDue = r.local() + r.confirmCore.Wake(r.local())
 }
 
-// sendConfirm loses some messages and brings some twice, the second time late; they
-// reach whatever life of the router runs then.
+// sendConfirm delivers a message. It drops some messages and duplicates others with a
+// delay; they reach whichever instance of the router runs at that time.
 func (w *World) sendConfirm(r *router, a confirm.Send) {
 	e := confirm.Received{From: confirm.Router(r.self), Message: a.Message}
 	for _, o := range w.routers {
@@ -89,7 +92,8 @@
 	}
 }
 
-// listGrantors lists the grantor records; one call in 16 is answered late.
+// listGrantors lists the grantor records. If replies may be lost, one call in 16 is
+// answered late.
 func (w *World) listGrantors(r *router, id uint64) {
 	answer := func(d time.Duration, e confirm.Listed) {
 		life := r.confirmCore
@@ -114,7 +118,7 @@
 	})
 }
 
-// grantors returns the grantor records in order of target.
+// grantors returns the grantor records sorted by target.
 func (s *store) grantors() []confirm.Record {
 	var out []confirm.Record
 	for key, rec := range s.records {
--- a/core/ownership/ownershiptest/remote.go
+++ b/core/ownership/ownershiptest/remote.go
@@ -16,8 +16,8 @@
 	return all[r.index%len(all)]
 }
 
-// otherDataCentres is what the router holds of the other data centres: one of which it has heard
-// no router for CutOff is cut off.
+// otherDataCentres is the router's view of the other data centres. A data centre is cut off
+// if no heartbeat of its routers has arrived within CutOff.
 func (r *router) otherDataCentres() []ownership.FarDataCentre {
 	var out []ownership.FarDataCentre
 	for _, dc := range r.world.opt.DataCentres {
@@ -42,7 +42,7 @@
 	return w.AddedLatency
 }
 
-// routersIn lists the routers of a data centre.
+// routersIn returns the indexes of the routers of a data centre.
 func (w *World) routersIn(dc string) []int {
 	var out []int
 	for _, r := range w.routers {
@@ -53,8 +53,8 @@
 	return out
 }
 
-// CutDataCentre keeps a data centre's routers from those of the others, and the routers of
-// either side from the targets of the other, for d.
+// CutDataCentre cuts the connections between a data centre's routers and those of the
+// others, and between the routers of either side and the targets of the other, for d.
 func (w *World) CutDataCentre(dc string, d time.Duration) {
 	w.PartitionTargets(dc, d)
 	for _, i := range w.routersIn(dc) {
@@ -66,18 +66,20 @@
 	}
 }
 
-// PartitionTargets keeps the routers of either side from the targets of the other for d.
+// PartitionTargets cuts the connections between the routers of either side and the targets
+// of the other for d.
 func (w *World) PartitionTargets(dc string, d time.Duration) { w.partitionedUntil[dc] = w.now + d }
 
-// CutStoreFromDataCentre keeps a data centre from the store for d.
+// CutStoreFromDataCentre cuts the connections of a data centre's routers to the store for
+// d.
 func (w *World) CutStoreFromDataCentre(dc string, d time.Duration) {
 	for _, i := range w.routersIn(dc) {
 		w.CutStore(i, d)
 	}
 }
 
-// DropHeartbeatsFromOthers keeps a data centre's routers from hearing those of the others for d; they go on
-// being heard.
+// DropHeartbeatsFromOthers drops the heartbeats from other data centres' routers to those
+// of this one for d; heartbeats in the other direction still arrive.
 func (w *World) DropHeartbeatsFromOthers(dc string, d time.Duration) {
 	for _, i := range w.routersIn(dc) {
 		for _, o := range w.routers {
@@ -88,7 +90,7 @@
 	}
 }
 
-// LoseDataCentre ends a data centre's routers and targets for good.
+// LoseDataCentre kills a data centre's routers and targets for good.
 func (w *World) LoseDataCentre(dc string) {
 	for _, i := range w.routersIn(dc) {
 		w.KillRouter(i, 0)
@@ -100,7 +102,7 @@
 	}
 }
 
-// Configure gives routers a configuration; the others go on with theirs.
+// Configure gives the routers a configuration; the others keep theirs.
 func (w *World) Configure(targets []ownership.TargetSpec, routers ...int) {
 	for _, i := range routers {
 		w.routers[i].targets = targets
@@ -108,10 +110,10 @@
 	}
 }
 
-// GrantCheck is what the target checks.
+// GrantCheck returns what the target checks of its grants.
 func (w *World) GrantCheck(target string) model.GrantCheck { return w.targets[target].spec.Grants }
 
-// CountReports is the number of reports of a kind.
+// CountReports returns the number of reports of a kind.
 func (w *World) CountReports(kind ownership.ReportKind) int {
 	n := 0
 	for _, r := range w.Reports {
--- a/core/ownership/ownershiptest/sim.go
+++ b/core/ownership/ownershiptest/sim.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// sim runs functions in order of time; equal times in order of insertion.
+// sim runs functions in order of time; functions with equal times run in order of
+// insertion.
 type sim struct {
 	now      time.Duration
 	queue    eventQueue
--- a/core/ownership/ownershiptest/store.go
+++ b/core/ownership/ownershiptest/store.go
@@ -12,7 +12,7 @@
 	value    []byte
 }
 
-// assignment is one assignment that landed in the store.
+// assignment is one assignment of a unit that was written to the store.
 type assignment struct {
 	unit  routing.Unit
 	token uint64
@@ -21,7 +21,7 @@
 
 type store struct {
 	records map[string]record
-	// owners is the last assignment of each unit, log all of them.
+	// owners holds the latest assignment of each unit, assignments all of them.
 	owners      map[routing.Unit]assignment
 	assignments map[assignment]bool
 	writes      int
@@ -32,7 +32,8 @@
 	return &store{records: map[string]record{}, owners: map[routing.Unit]assignment{}, assignments: map[assignment]bool{}}
 }
 
-// cas returns the outcome; it reports a violation where a token does not grow.
+// cas performs a compare-and-swap and returns its outcome and the record's revision. The
+// error reports a violation: a unit changed its owner without a higher token.
 func (s *store) cas(c ownership.CAS) (ownership.Outcome, uint64, error) {
 	s.writes++
 	old := s.records[c.Key]
--- a/core/ownership/ownershiptest/target.go
+++ b/core/ownership/ownershiptest/target.go
@@ -7,7 +7,7 @@
 	"tarragongw/core/routing"
 )
 
-// fakeTarget is one server; its clock is the world's.
+// fakeTarget is one server. Its clock is the world's clock.
 type fakeTarget struct {
 	spec     ownership.TargetSpec
 	dead     bool
@@ -17,7 +17,8 @@
 	digest   uint64
 	expires  time.Duration
 	units    map[routing.Unit]uint64
-	// highestTerm is the highest term of a request that ran, orderedBy its router.
+	// highestTerm is the highest term of an executed request, highestTermFrom the router
+	// that sent it.
 	highestTerm     uint64
 	highestTermFrom ownership.Router
 }
@@ -36,7 +37,7 @@
 	return ok && (got == token || !t.spec.Grants.ChecksTokens)
 }
 
-// grant takes in an order as targets of its kind do.
+// grant applies an order as real targets with the same checks do.
 func (t *fakeTarget) grant(now time.Duration, g ownership.SendGrant) (accepted bool) {
 	if t.spec.Grants.ChecksTokens {
 		if g.Term < t.term || g.Term == t.term && g.Sequence <= t.sequence {
--- a/core/ownership/ownershiptest/world.go
+++ b/core/ownership/ownershiptest/world.go
@@ -14,28 +14,29 @@
 	"tarragongw/core/routing"
 )
 
-// Options describe a world.
+// Options configure a World.
 type Options struct {
 	Seed     int64
 	Routers  int
 	Targets  []ownership.TargetSpec
 	Services []ownership.ServiceSpec
-	// Keeper makes a router's settings from its identity.
+	// Keeper returns a router's settings for its identity.
 	Keeper func(self ownership.Router) ownership.Config
-	// Detect is the membership's time to notice a loss or a return.
+	// Detect is how long the membership takes to detect a loss or a return.
 	Detect time.Duration
-	// DataCentres, if set, are those of the routers in turn; otherwise all are in one.
+	// DataCentres, if set, are assigned to the routers in turn; otherwise all routers are in
+	// one data centre.
 	DataCentres []string
-	// CutOff is how long nothing is heard of a data centre until it counts as cut off.
+	// CutOff is how long no heartbeat of a data centre arrives before it counts as cut off.
 	CutOff time.Duration
-	// ReplyLoss is the share of store replies that are lost, from 0 to 1.
+	// ReplyLoss is the proportion of store replies that are lost, from 0 to 1.
 	ReplyLoss float64
 	// RequestEvery is the interval at which each unit gets a request.
 	RequestEvery time.Duration
-	// Trace, if set, sees each router's events and actions.
+	// Trace, if set, is called for each router's events and actions.
 	Trace func(at time.Duration, router string, what any)
-	// Confirm makes a router's settings as asker and relay of confirmations; without it
-	// each router reads by itself.
+	// Confirm returns the settings of a router's confirm core, which relays confirmations.
+	// If it is nil, each router reads the records itself.
 	Confirm func(self ownership.Router) confirm.Config
 }
 
@@ -45,14 +46,15 @@
 	networkLatency = 500 * time.Microsecond
 	storeLatency   = time.Millisecond
 	callTimeout    = 100 * time.Millisecond
-	// listInterval is how often a router catches up with what its watch missed.
+	// listInterval is how often routers get all records, in place of changes that their
+	// watch missed.
 	listInterval = 300 * time.Millisecond
-	// maxOrderDelay is below the default OrderBound; what would take longer is dropped,
-	// as a connection's deadline does.
+	// maxOrderDelay is below the default OrderBound. Orders that would take longer are
+	// dropped in a real system by the deadline of the connection.
 	maxOrderDelay = 20 * time.Millisecond
 )
 
-// World is a set of routers, targets and a store in injected time.
+// World is a set of routers, targets and a store in simulated time.
 type World struct {
 	sim
 	opt      Options
@@ -62,26 +64,26 @@
 	targets  map[string]*fakeTarget
 	names    []string
 	cutLinks map[[2]int]bool
-	// deafUntil is until when a router doesn't hear the others as live.
+	// deafUntil is until when a router receives no heartbeats.
 	deafUntil map[int]time.Duration
-	// deafToUntil is the same of two routers.
+	// deafToUntil is until when the first router receives no heartbeats from the second.
 	deafToUntil map[[2]int]time.Duration
 	// targetsUnreachableUntil is until when a router reaches no target.
 	targetsUnreachableUntil map[int]time.Duration
-	// partitionedUntil is until when routers of a data centre reach no target of others, and the
-	// other way round.
+	// partitionedUntil is until when routers of a data centre reach no targets of other data
+	// centres, and routers of those no targets of this one.
 	partitionedUntil map[string]time.Duration
-	// AddedLatency is what the way between data centres adds to an order.
+	// AddedLatency is the additional latency of an order between data centres.
 	AddedLatency time.Duration
-	// refusingWrites makes the store refuse writes at once.
+	// refusingWrites makes the store refuse writes immediately.
 	refusingWrites bool
 	// StoreDown makes the store unreachable for all.
 	StoreDown bool
-	// Violations is what was seen that must never be.
+	// Violations are the violated guarantees.
 	Violations []string
 	// Moves counts assignments away from a target.
 	Moves int
-	// Reports are the reports of all routers.
+	// Reports are the reports of all routers, in order.
 	Reports []ownership.Report
 	// Asked are the targets of all requests for promises, in order.
 	Asked        []string
@@ -91,7 +93,7 @@
 	acknowledged []assignment
 }
 
-// serviceTimes is when a unit was served.
+// serviceTimes records when a unit was served.
 type serviceTimes struct {
 	lastRun    time.Duration
 	longestGap time.Duration
@@ -106,26 +108,27 @@
 	gate   *ownership.Gate
 	paused bool
 	dead   bool
-	// leaving says that the router announced its planned stop.
+	// leaving means that the router has announced its planned stop.
 	leaving     bool
 	storeCut    bool
 	clockRate   float64
 	backlog     []func()
 	confirmCore *confirm.Core
-	// confirmTickDue is when, on the router's clock, that core asked to be ticked.
+	// confirmTickDue is when, on the router's clock, the next tick of the confirm core is
+	// due.
 	confirmTickDue time.Duration
-	// inFlight is when the last request sent to a target has ended.
+	// inFlight is when the latest request sent to each target ends.
 	inFlight map[string]time.Duration
 	heardAt  map[int]time.Duration
-	// members is what the keeper was last told.
+	// members are the members that the keeper last received.
 	members ownership.Members
-	// targets are those of the configuration that the router has.
+	// targets are the targets in the router's configuration.
 	targets []ownership.TargetSpec
-	// tickDue is when, on the router's clock, the keeper asked to be ticked.
+	// tickDue is when, on the router's clock, the next tick of the keeper is due.
 	tickDue time.Duration
 }
 
-// New builds a world and starts it.
+// New returns a new world whose routers have started.
 func New(opt Options) *World {
 	w := &World{opt: opt, rand: rand.New(rand.NewSource(opt.Seed)), store: newStore(), targets: map[string]*fakeTarget{},
 		cutLinks: map[[2]int]bool{}, deafUntil: map[int]time.Duration{}, deafToUntil: map[[2]int]time.Duration{}, targetsUnreachableUntil: map[int]time.Duration{}, partitionedUntil: map[string]time.Duration{}, served: map[routing.Unit]*serviceTimes{}, highestToken: map[routing.Unit]uint64{}, executed: map[assignment]bool{}}
@@ -147,10 +150,10 @@
 	return w
 }
 
-// Run lets time pass.
+// Run advances the time by d.
 func (w *World) Run(d time.Duration) { w.runUntil(w.now + d) }
 
-// After runs f when d has passed.
+// After runs f after d has passed.
 func (w *World) After(d time.Duration, f func()) { w.after(d, f) }
 
 // Now is the time since the start.
@@ -175,7 +178,8 @@
 	r.step(ownership.Configured{Targets: r.targets, Services: r.world.opt.Services})
 }
 
-// local is the router's own clock, which starts at one hour and runs at its rate.
+// local is the time on the router's own clock, which starts at one hour and runs at the
+// router's clock rate.
 func (r *router) local() time.Duration {
 	return time.Hour + time.Duration(float64(r.world.now)*r.clockRate)
 }
@@ -209,7 +213,7 @@
 	}
 }
 
-// deliverAfter delivers an event to this life of the router only.
+// deliverAfter delivers an event after d, to this instance of the router only.
 func (r *router) deliverAfter(d time.Duration, e func() ownership.Event) {
 	life := r.keeper
 	r.world.after(d, func() {
@@ -234,7 +238,7 @@
 
 func (w *World) linked(a, b int) bool { return !w.cutLinks[[2]int{min(a, b), max(a, b)}] }
 
-// updateMembers stands in for the membership: a router is live while it was heard
+// updateMembers stands in for the membership: a router is live if a heartbeat of it arrived
 // within Detect.
 func (r *router) updateMembers() {
 	if r.dead || r.paused {
@@ -262,7 +266,7 @@
 	}
 }
 
-// hears says whether the heartbeats of router b reach router a.
+// hears reports whether the heartbeats of router b reach router a.
 func (w *World) hears(a, b int) bool {
 	return w.linked(a, b) && w.now >= w.deafUntil[a] && w.now >= w.deafToUntil[[2]int{a, b}]
 }
@@ -315,7 +319,7 @@
 	})
 }
 
-// compareAndSwap may lose the call, delay it past its timeout, or lose the reply.
+// compareAndSwap may drop the call, delay it beyond its timeout, or drop the reply.
 func (w *World) compareAndSwap(r *router, a ownership.CAS) {
 	if !w.reachesStore(r) {
 		r.deliverAfter(callTimeout, func() ownership.Event {
@@ -354,8 +358,8 @@
 	}
 }
 
-// listRecords gives each router that reaches the store all records, as a watch that
-// resumes does.
+// listRecords sends all records to each router that reaches the store, as a watch does when
+// it resumes.
 func (w *World) listRecords() {
 	for _, key := range slices.Sorted(maps.Keys(w.store.records)) {
 		w.notifyWatchers(key)
@@ -363,7 +367,7 @@
 	w.after(listInterval, w.listRecords)
 }
 
-// notifyWatchers tells the routers that reach the store what changed.
+// notifyWatchers sends a changed record to the routers that reach the store.
 func (w *World) notifyWatchers(key string) {
 	rec := w.store.records[key]
 	for _, r := range w.routers {
@@ -404,7 +408,7 @@
 		e := ownership.PeerMessage{From: r.self, Message: a.Message}
 		o.deliverAfter(w.jitter(networkLatency), func() ownership.Event { return e })
 		if a.Message.Kind == ownershippb.Peer_PROMISE_REQUEST && w.rand.Intn(8) == 0 {
-			o.deliverAfter(time.Duration(w.rand.Int63n(int64(time.Second))), func() ownership.Event { return e }) // repeated late
+			o.deliverAfter(time.Duration(w.rand.Int63n(int64(time.Second))), func() ownership.Event { return e }) // a late duplicate
 		}
 	}
 }
@@ -435,7 +439,7 @@
 	return t.up() && w.now >= w.targetsUnreachableUntil[r.index] && !apart
 }
 
-// probe looks whether the router reaches the target, for another one.
+// probe checks on behalf of another router whether the router reaches the target.
 func (w *World) probe(r *router, a ownership.ProbeTarget) {
 	reached := w.reaches(r, w.targets[a.Target])
 	way := 2 * (w.jitter(networkLatency) + w.addedLatency(r, w.targets[a.Target]))
@@ -447,7 +451,7 @@
 	})
 }
 
-// orderDelay delays one order in eight.
+// orderDelay returns an additional delay for one order in eight, and zero for the others.
 func (w *World) orderDelay() time.Duration {
 	if w.rand.Intn(8) > 0 {
 		return 0
