--- a/core/ownership/assign_test.go
+++ b/core/ownership/assign_test.go
@@ -18,6 +18,7 @@
 	return out
 }
 
+// balancedUnits returns units that are assigned evenly to the candidates.
 func balancedUnits(units int, cs []Candidate) []Placed {
 	out := make([]Placed, units)
 	for i := range out {
@@ -37,8 +38,8 @@
 	}
 }
 
-// On loss no unit moves but those of the lost target; on join the number moved is
-// within 5% of the newcomer's share, which is the least possible.
+// When a target is lost, only its units move. When a target joins, the number of moved
+// units is within 5% of the new target's share, which is the least possible.
 func TestAssignMovesCloseToLeast(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 16).Draw(t, "targets")
--- a/core/ownership/bench_test.go
+++ b/core/ownership/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkStepAtRest is a step of a router that is the grantor of few of the targets
-// of its data centre, with the waiting time that it asks for.
+// BenchmarkStepAtRest measures a step of a router that is the grantor of a few targets of
+// its data centre, at the intervals that Wake asks for.
 func BenchmarkStepAtRest(b *testing.B) {
 	for _, size := range []struct{ routers, targets int }{{4, 12}, {30, 92}, {400, 1233}} {
 		b.Run(fmt.Sprintf("%d routers, %d targets", size.routers, size.targets), func(b *testing.B) {
@@ -26,8 +26,7 @@
 	}
 }
 
-// keeperAtRest returns the keeper of one of the routers, all of whose targets have a live
-// grantor.
+// keeperAtRest returns the keeper of one of the routers; every target has a live grantor.
 func keeperAtRest(routers, targets int) (*Keeper, time.Duration) {
 	live := make([]Router, routers)
 	for i := range live {
--- a/core/ownership/duty.go
+++ b/core/ownership/duty.go
@@ -236,8 +236,8 @@
 	if e.Revision == 0 || d.record == nil || e.Revision < d.revision && !d.grantedBy(k, e) {
 		return
 	}
-	stands := d.record.Router == k.cfg.Self && d.record.Term == d.term || k.cfg.omit == omitTermCheck
-	if d.phase < waiting || !stands {
+	stillGrantor := d.record.Router == k.cfg.Self && d.record.Term == d.term || k.cfg.omit == omitTermCheck
+	if d.phase < waiting || !stillGrantor {
 		return
 	}
 	if e.Earlier > 0 && e.SentAt == d.readAt {
--- a/core/ownership/export_test.go
+++ b/core/ownership/export_test.go
@@ -1,9 +1,9 @@
 package ownership
 
-// Omitted is a rule that a test leaves out to see that its absence is caught.
+// Omitted names a rule that a test disables to verify that its absence is detected.
 type Omitted = omission
 
-// The rules that may be left out.
+// The rules that may be disabled.
 const (
 	OmitNone        = omitNone
 	OmitWaitOut     = omitWaitOut
@@ -22,7 +22,7 @@
 	OmitJustChanged     = omitJustChanged
 )
 
-// Without returns the settings with the rule left out.
+// Without returns the settings with the rule disabled.
 func (c Config) Without(rule Omitted) Config {
 	c.omit = rule
 	return c
--- a/core/ownership/fault_test.go
+++ b/core/ownership/fault_test.go
@@ -87,20 +87,20 @@
 	}
 }
 
-// isolateGrantorWithStore takes the store away from all, then parts the grantor from the others and
-// gives the store back to it alone.
-func isolateGrantorWithStore(w *ownershiptest.World, grantor int, long time.Duration) {
+// isolateGrantorWithStore cuts all routers off from the store, then cuts the grantor off
+// from the other routers and restores the store for the grantor alone.
+func isolateGrantorWithStore(w *ownershiptest.World, grantor int, duration time.Duration) {
 	for i := range 3 {
 		d := 400 * ms
 		if i != grantor {
-			d += long
+			d += duration
 		}
 		w.CutStore(i, d)
 	}
-	w.After(350*ms, func() { w.CutPeers(grantor, long) })
+	w.After(350*ms, func() { w.CutPeers(grantor, duration) })
 }
 
-// runHistory runs faults in a world and returns it after they have ended.
+// runHistory runs faults in a world and returns the world after they have ended.
 func runHistory(seed int64, specs []ownership.TargetSpec, rule ownership.Omitted, faults []fault) *ownershiptest.World {
 	opt := options(seed, specs, rule)
 	opt.ReplyLoss = 0.03
@@ -125,10 +125,10 @@
 	return runHistory(rapid.Int64().Draw(t, "seed"), targets(3, isolation, checks...), rule, faults)
 }
 
-// Symptom: a unit runs at two targets, or a target that does not check is ordered
-// by two routers, or an acknowledged assignment is gone, or a unit stays unserved.
-// Sequence: generated; pauses, losses, restarts, cuts, outages and lost replies
-// while units move. Cause: a rule of the protocol that the code lacks.
+// No unit may run at two targets or stay unserved, no target that does not check terms may
+// be ordered by two routers, and no acknowledged assignment may be missing. The faults are
+// generated: pauses, losses, restarts, cuts, outages and lost replies while units move. A
+// failure means that a rule of the protocol is missing.
 func TestHoldsThroughFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := generatedHistory(t, ownership.OmitNone)
--- a/core/ownership/fuzz_test.go
+++ b/core/ownership/fuzz_test.go
@@ -11,8 +11,9 @@
 	"tarragongw/core/routing"
 )
 
-// FuzzDecodeShard: whatever lies in the store under an ownership key is refused or is
-// a record of bounded size that encodes to what decodes to the same.
+// FuzzDecodeShard checks that any content stored under an ownership key is either refused
+// or decoded to a record of bounded size, which encodes to bytes that decode to the same
+// record.
 func FuzzDecodeShard(f *testing.F) {
 	ranges := &Shard{Service: "faq", Kind: routing.RangeUnit, Index: 3, Names: []string{"a"}, Ranges: []UnitState{{Target: "t1", Token: 4}}}
 	f.Add(false, mixedShard().Encode())
@@ -39,7 +40,7 @@
 	})
 }
 
-// FuzzDecodeGrantor does the same for a grantor's record.
+// FuzzDecodeGrantor checks the same for a grantor record.
 func FuzzDecodeGrantor(f *testing.F) {
 	g := &GrantorRecord{Target: "t1", Term: 16, Router: Router{"r1", 2}, Successors: []Router{{"r2", 1}}, Ops: Ops{{Router{"r1", 2}, 9}}}
 	f.Add(g.Encode())
@@ -58,8 +59,8 @@
 	})
 }
 
-// FuzzPeerMessage: no message of another router makes the keeper fail, or lets it send
-// to a target that it holds no record for.
+// FuzzPeerMessage checks that no message of another router makes the keeper fail or lets it
+// send to a target whose record does not name it.
 func FuzzPeerMessage(f *testing.F) {
 	for kind := range ownershippb.Peer_Kind_name {
 		f.Add(marshal(&ownershippb.Peer{
@@ -88,8 +89,8 @@
 	})
 }
 
-// keeperOfFirstSuccessor is a keeper that knows a target whose grantor is another live router, which
-// names it as its first successor.
+// keeperOfFirstSuccessor returns a keeper that knows a target whose grantor is another live
+// router and whose first successor is the keeper's router.
 func keeperOfFirstSuccessor() *Keeper {
 	self, grantor := Router{"r1", 1}, Router{"r2", 1}
 	k := NewKeeper(Config{Self: self, DataCentre: "lapu"})
--- a/core/ownership/handover.go
+++ b/core/ownership/handover.go
@@ -69,11 +69,11 @@
 // over again. The grantors of these targets would change repeatedly, with a pause in
 // serving their keys each time.
 func (k *Keeper) reachesTarget(now time.Duration, d *duty, r Router) bool {
-	w, asked := d.reachProbes[r]
+	probe, asked := d.reachProbes[r]
 	switch {
-	case asked && w.reachedAt > w.askedAt && now-w.reachedAt <= k.cfg.ReplyTimeout:
+	case asked && probe.reachedAt > probe.askedAt && now-probe.reachedAt <= k.cfg.ReplyTimeout:
 		return true
-	case asked && now-w.askedAt < k.cfg.HandBackAfter/2:
+	case asked && now-probe.askedAt < k.cfg.HandBackAfter/2:
 		return false
 	}
 	if d.reachProbes == nil {
@@ -87,13 +87,13 @@
 // noteReachProbe applies the answer of a router that the duty may be handed to. The answer
 // says nothing about the state of the target, which this router reaches itself.
 func (d *duty) noteReachProbe(now time.Duration, from Router, reached bool) bool {
-	w, asked := d.reachProbes[from]
+	probe, asked := d.reachProbes[from]
 	if !asked || d.silentSince != 0 {
 		return false
 	}
 	if reached {
-		w.reachedAt = now
-		d.reachProbes[from] = w
+		probe.reachedAt = now
+		d.reachProbes[from] = probe
 	}
 	return true
 }
--- a/core/ownership/keeper.go
+++ b/core/ownership/keeper.go
@@ -210,7 +210,7 @@
 }
 
 func (k *Keeper) setMembers(now time.Duration, e Members) {
-	old := k.liveSince
+	liveBefore := k.liveSince
 	k.checkUnowned = true
 	for _, d := range k.duties {
 		d.ranked = nil
@@ -220,14 +220,14 @@
 	k.liveSince = map[string]time.Duration{}
 	k.liveSet = make(map[Router]bool, len(k.live))
 	k.memberViews++
-	stayed := k.leaving
+	wasLeaving := k.leaving
 	k.leaving = make(map[Router]bool, len(e.Leaving))
 	for _, r := range e.Leaving {
 		k.leaving[r] = true
 	}
 	for _, r := range k.live {
-		back := stayed[r] && !k.leaving[r]
-		if at, ok := old[r.Name]; ok && k.lastSeen[r.Name] == r && !back {
+		stopCancelled := wasLeaving[r] && !k.leaving[r]
+		if at, ok := liveBefore[r.Name]; ok && k.lastSeen[r.Name] == r && !stopCancelled {
 			k.liveSince[r.Name] = at
 		} else {
 			k.liveSince[r.Name] = now
@@ -235,7 +235,7 @@
 		k.lastSeen[r.Name] = r
 		k.liveSet[r] = true
 	}
-	k.noteLostRouters(now, old, stayed)
+	k.noteLostRouters(now, liveBefore, wasLeaving)
 	k.setRemote(now, e.Elsewhere)
 }
 
--- a/core/ownership/loss.go
+++ b/core/ownership/loss.go
@@ -39,8 +39,8 @@
 // the results for several targets arrive one by one.
 func (k *Keeper) hasOwnEvidence(now time.Duration, d *duty) bool {
 	silent := d.silentSince != 0 && now-d.silentSince >= k.cfg.LostAfter
-	sick := d.suspicion.unhealthy && now-d.suspicion.unhealthyAt >= k.cfg.tick()
-	return (silent || sick) && (d.suspectSince() > k.storeRegainedAt || now-k.storeRegainedAt >= k.cfg.LostAfter)
+	unhealthy := d.suspicion.unhealthy && now-d.suspicion.unhealthyAt >= k.cfg.tick()
+	return (silent || unhealthy) && (d.suspectSince() > k.storeRegainedAt || now-k.storeRegainedAt >= k.cfg.LostAfter)
 }
 
 func (k *Keeper) targetHealth(now time.Duration, e TargetHealth) {
@@ -81,12 +81,12 @@
 	for len(k.declaredAt) > 0 && now-k.declaredAt[0] >= k.cfg.LossWindow {
 		k.declaredAt = k.declaredAt[1:]
 	}
-	held, doubted := k.countSuspects()
-	if doubted == 0 {
+	granted, suspects := k.countSuspects()
+	if suspects == 0 {
 		return
 	}
-	room := max(1, int(k.cfg.MaxLostShare*float64(held))) - len(k.declaredAt)
-	tooMany := doubted > room
+	remaining := max(1, int(k.cfg.MaxLostShare*float64(granted))) - len(k.declaredAt)
+	tooMany := suspects > remaining
 	for _, d := range k.dutyList {
 		if d.phase < waiting || k.lostTargets[d.spec.Name] || d.suspectSince() == 0 {
 			continue
@@ -94,31 +94,31 @@
 		if tooMany {
 			k.askOtherRouters(now, d)
 		}
-		if k.hasOwnEvidence(now, d) && k.decideLoss(now, d, room) {
-			room--
+		if k.hasOwnEvidence(now, d) && k.decideLoss(now, d, remaining) {
+			remaining--
 		}
 	}
 }
 
 // countSuspects counts the targets whose grantor is this router, and those of them that are
 // suspected of being lost.
-func (k *Keeper) countSuspects() (held, doubted int) {
+func (k *Keeper) countSuspects() (granted, suspects int) {
 	for _, d := range k.dutyList {
 		if d.phase < waiting {
 			continue
 		}
-		held++
+		granted++
 		if d.suspectSince() != 0 && !k.lostTargets[d.spec.Name] {
-			doubted++
+			suspects++
 		}
 	}
-	return held, doubted
+	return granted, suspects
 }
 
 // decideLoss declares the target lost, hands its duty over, or withholds the loss. It
 // reports whether it declared the loss on this router's own evidence; room is how many such
 // declarations are still allowed.
-func (k *Keeper) decideLoss(now time.Duration, d *duty, room int) bool {
+func (k *Keeper) decideLoss(now time.Duration, d *duty, remaining int) bool {
 	since := d.suspectSince()
 	switch {
 	case !k.storeReachable(now):
@@ -130,7 +130,7 @@
 		k.handOverIfReady(now, d, d.suspicion.reachedBy)
 	case d.suspicion.unreachableAt > since:
 		k.declareLost(d)
-	case room <= 0 || d.suspicion.firstAskedAt != 0 && now-d.suspicion.firstAskedAt < 2*k.cfg.ReplyTimeout:
+	case remaining <= 0 || d.suspicion.firstAskedAt != 0 && now-d.suspicion.firstAskedAt < 2*k.cfg.ReplyTimeout:
 		k.withholdLoss(d)
 	default:
 		k.declaredAt = append(k.declaredAt, now)
@@ -179,8 +179,8 @@
 	if d == nil {
 		return false
 	}
-	told := d.suspicion.unreachableAt > d.suspicion.reachedAt && now-d.suspicion.unreachableAt < k.cfg.HandBackAfter
-	return d.suspectSince() != 0 || told
+	reportedUnreachable := d.suspicion.unreachableAt > d.suspicion.reachedAt && now-d.suspicion.unreachableAt < k.cfg.HandBackAfter
+	return d.suspectSince() != 0 || reportedUnreachable
 }
 
 func (k *Keeper) withholdLoss(d *duty) {
--- a/core/ownership/loss_test.go
+++ b/core/ownership/loss_test.go
@@ -12,7 +12,7 @@
 	"tarragongw/core/ownership/ownershiptest"
 )
 
-// lossWorld is a number of routers that keep twelve targets of one kind, served.
+// lossWorld returns a world in which the routers serve twelve targets with the same checks.
 func lossWorld(t *testing.T, routers int, check model.GrantCheck) *ownershiptest.World {
 	opt := options(7, targets(12, model.Isolation{Keep: true}, check), ownership.OmitNone)
 	opt.Routers = routers
@@ -26,7 +26,7 @@
 	return w
 }
 
-// countGrantedBy counts the targets that the router is grantor of.
+// countGrantedBy counts the targets whose grantor is the router.
 func countGrantedBy(w *ownershiptest.World, router int) int {
 	n := 0
 	for i := range 12 {
@@ -37,10 +37,9 @@
 	return n
 }
 
-// Symptom: most keys of a data centre move at once and back again.
-// Sequence: one router reaches no target for some seconds; it reaches the store and the
-// other routers, and these reach the targets.
-// Cause: the router declares all of its targets lost, whose only fault is its own link.
+// Most keys of a data centre must not move at once and back again. One router reaches no
+// target for some seconds, but reaches the store and the other routers, which reach the
+// targets. It must not declare all of its targets lost when only its own link has failed.
 func TestRouterThatReachesNoTargetMovesNoKeys(t *testing.T) {
 	for _, check := range grantChecks {
 		w := lossWorld(t, 3, check)
@@ -57,9 +56,8 @@
 	}
 }
 
-// Symptom: as above, in a data centre with a single router.
-// Sequence: the only router reaches no target for a second.
-// Cause: nobody else can be asked, and the silence of all targets is taken at its word.
+// The same for a data centre with a single router, which reaches no target for a second. No
+// other router can be asked, so the number of targets that it declares lost is limited.
 func TestSingleRouterMovesAtMostHalfAtOnce(t *testing.T) {
 	for _, check := range grantChecks[:2] {
 		w := lossWorld(t, 1, check)
@@ -82,9 +80,9 @@
 	}
 }
 
-// Symptom: keys move although nothing but their router's link is down.
-// Sequence: a router reaches neither targets nor store nor other routers for a while.
-// Cause: it doubts the targets before it doubts itself.
+// Keys must not move if only the link of their router is down. A router reaches neither
+// targets nor the store nor other routers for a while; it must suspect itself before it
+// suspects the targets.
 func TestRouterThatIsCutOffDeclaresNothingLost(t *testing.T) {
 	for _, check := range grantChecks[:2] {
 		w := lossWorld(t, 1, check)
@@ -97,10 +95,9 @@
 	}
 }
 
-// Symptom: keys stay unserved for seconds after a rack with most targets is gone.
-// Sequence: nine of twelve targets are lost at once.
-// Cause: the cap on losses waits where other routers could have said that they don't
-// reach the targets either.
+// Keys must not stay unserved for seconds after a rack with most targets is lost. Nine of
+// twelve targets are lost at once. The limit on losses must not delay them, because other
+// routers can confirm that they don't reach the targets either.
 func TestManyLossesThatOthersConfirmAreNotHeldUp(t *testing.T) {
 	for _, check := range grantChecks {
 		w := lossWorld(t, 3, check)
@@ -109,20 +106,19 @@
 			w.KillTarget(fmt.Sprint("t", i), 280*ms)
 		}
 		w.Run(3 * time.Second)
-		longest := time.Duration(0)
+		longestGap := time.Duration(0)
 		for _, u := range w.Units() {
-			longest = max(longest, w.Gap(u))
+			longestGap = max(longestGap, w.Gap(u))
 		}
-		assert.Assert(t, longest < 800*ms, "%+v: %v", check, longest)
+		assert.Assert(t, longestGap < 800*ms, "%+v: %v", check, longestGap)
 		assert.Equal(t, len(w.Violations), 0, "%v", w.Violations)
 	}
 }
 
-// Symptom: the keys of a target that takes no grants pause twice as long where its router
-// is lost with it.
-// Sequence: a target and its grantor are lost at once; the health checks of the router
-// that takes over begin when it serves.
-// Cause: nobody looks at the target while the old authority is waited out.
+// The keys of a target that takes no grants must not pause twice as long when its router is
+// lost with it. A target and its grantor are lost at once, and the health checks of the
+// router that takes over start only when it serves. The target must therefore be probed
+// during the wait for the old authority.
 func TestTargetIsProbedDuringTheWait(t *testing.T) {
 	w := lossWorld(t, 3, model.GrantCheck{})
 	w.Track()
@@ -135,9 +131,9 @@
 	assert.Equal(t, len(w.Violations), 0, "%v", w.Violations)
 }
 
-// Symptom: the grantors of many targets change every ten seconds.
-// Sequence: one router reaches no target for a minute; it reaches all else.
-// Cause: the duties that it gave away are handed back to it as to any router that lives.
+// The grantors of many targets must not change every ten seconds. One router reaches no
+// target for a minute but everything else. The duties that it handed over must not be
+// handed back merely because it is live.
 func TestDutiesAreHandedBackOnceTheTargetsAreReached(t *testing.T) {
 	for _, check := range grantChecks {
 		w := lossWorld(t, 3, check)
--- a/core/ownership/move.go
+++ b/core/ownership/move.go
@@ -76,7 +76,7 @@
 
 // recordChanges collects the changes of one record that go into one write.
 type recordChanges struct {
-	changes  []unitChange
+	units  []unitChange
 	assigned []Assigned
 }
 
@@ -156,21 +156,21 @@
 	if k.writes[key] != nil || !k.mayWrite(now, d) {
 		return
 	}
-	in := byKey[key]
-	if in == nil {
-		in = &recordChanges{}
-		byKey[key] = in
+	changes := byKey[key]
+	if changes == nil {
+		changes = &recordChanges{}
+		byKey[key] = changes
 	}
 	if !st.Releasing {
-		in.changes = append(in.changes, unitChange{m.unit, UnitState{Target: st.Target, Token: st.Token, Releasing: true, Next: m.to}})
+		changes.units = append(changes.units, unitChange{m.unit, UnitState{Target: st.Target, Token: st.Token, Releasing: true, Next: m.to}})
 		return
 	}
 	if !k.oldOwnerStopped(now, d, m) {
 		return
 	}
 	if to := k.currentReceiver(d, m); to != "" {
-		in.changes = append(in.changes, unitChange{m.unit, UnitState{Target: to, Token: st.Token + 1}})
-		in.assigned = append(in.assigned, Assigned{Unit: m.unit, From: m.from, To: to, Token: st.Token + 1})
+		changes.units = append(changes.units, unitChange{m.unit, UnitState{Target: to, Token: st.Token + 1}})
+		changes.assigned = append(changes.assigned, Assigned{Unit: m.unit, From: m.from, To: to, Token: st.Token + 1})
 	}
 }
 
@@ -241,16 +241,16 @@
 	}
 }
 
-func (k *Keeper) writeRecordChanges(now time.Duration, key string, in *recordChanges) {
-	if len(in.changes) == 0 {
+func (k *Keeper) writeRecordChanges(now time.Duration, key string, changes *recordChanges) {
+	if len(changes.units) == 0 {
 		return
 	}
-	e := k.table.unitShard(in.changes[0].unit)
+	e := k.table.unitShard(changes.units[0].unit)
 	next := e.shard.unpack()
-	for _, c := range in.changes {
+	for _, c := range changes.units {
 		*next.at(c.unit) = c.state
 	}
 	op := k.nextOp()
 	next.Ops = next.Ops.with(op)
-	k.put(now, key, e.revision, op, Update{Shard: next}, in.assigned...)
+	k.put(now, key, e.revision, op, Update{Shard: next}, changes.assigned...)
 }
--- a/core/ownership/mutant_test.go
+++ b/core/ownership/mutant_test.go
@@ -8,8 +8,8 @@
 	"tarragongw/core/ownership"
 )
 
-// TestMutantsAreCaught leaves one rule out at a time; the same histories that the
-// real code stands must then show a violation within the given number.
+// TestMutantsAreCaught disables one rule at a time. The histories that the complete code
+// passes must then show a violation within the given number of histories.
 func TestMutantsAreCaught(t *testing.T) {
 	const histories = 400
 	mutants := map[string]ownership.Omitted{
--- a/core/ownership/ownershiptest/check.go
+++ b/core/ownership/ownershiptest/check.go
@@ -45,15 +45,15 @@
 	}
 	term := r.gate.Term(owner.Target)
 	t := w.targets[owner.Target]
-	way := w.jitter(networkLatency) + w.orderDelay() + w.addedLatency(r, t)
-	if way > ownership.DefaultOrderBound {
-		w.violate(fmt.Sprintf("work was under way to %s for %v", owner.Target, way))
+	latency := w.jitter(networkLatency) + w.orderDelay() + w.addedLatency(r, t)
+	if latency > ownership.DefaultOrderBound {
+		w.violate(fmt.Sprintf("work was under way to %s for %v", owner.Target, latency))
 	}
-	r.inFlight[owner.Target] = max(r.inFlight[owner.Target], w.now+way)
+	r.inFlight[owner.Target] = max(r.inFlight[owner.Target], w.now+latency)
 	if !w.reaches(r, t) {
 		return
 	}
-	w.after(way, func() { w.execute(t, u, owner.Token, term, r.self) })
+	w.after(latency, func() { w.execute(t, u, owner.Token, term, r.self) })
 }
 
 // execute is a target's handling of a request. It also checks that each unit is executed by
--- a/core/ownership/ownershiptest/fault.go
+++ b/core/ownership/ownershiptest/fault.go
@@ -14,9 +14,9 @@
 		return
 	}
 	r.paused = true
-	life := r.keeper
+	instance := r.keeper
 	w.after(d, func() {
-		if r.keeper != life || r.dead {
+		if r.keeper != instance || r.dead {
 			return
 		}
 		r.paused = false
--- a/core/ownership/ownershiptest/relay.go
+++ b/core/ownership/ownershiptest/relay.go
@@ -96,9 +96,9 @@
 // answered late.
 func (w *World) listGrantors(r *router, id uint64) {
 	answer := func(d time.Duration, e confirm.Listed) {
-		life := r.confirmCore
+		instance := r.confirmCore
 		w.after(d, func() {
-			if r.confirmCore == life {
+			if r.confirmCore == instance {
 				r.stepConfirmCore(e)
 			}
 		})
@@ -110,11 +110,11 @@
 	w.after(w.jitter(storeLatency), func() {
 		w.store.reads++
 		e := confirm.Listed{ID: id, OK: true, Records: w.store.grantors()}
-		way := w.jitter(storeLatency)
+		latency := w.jitter(storeLatency)
 		if w.opt.ReplyLoss > 0 && w.rand.Intn(16) == 0 {
-			way = time.Duration(w.rand.Int63n(int64(4 * callTimeout)))
+			latency = time.Duration(w.rand.Int63n(int64(4 * callTimeout)))
 		}
-		answer(way, e)
+		answer(latency, e)
 	})
 }
 
--- a/core/ownership/ownershiptest/world.go
+++ b/core/ownership/ownershiptest/world.go
@@ -215,9 +215,9 @@
 
 // deliverAfter delivers an event after d, to this instance of the router only.
 func (r *router) deliverAfter(d time.Duration, e func() ownership.Event) {
-	life := r.keeper
+	instance := r.keeper
 	r.world.after(d, func() {
-		if r.keeper == life {
+		if r.keeper == instance {
 			r.step(e())
 		}
 	})
@@ -334,12 +334,12 @@
 		return
 	}
 	lost := w.rand.Float64() < w.opt.ReplyLoss
-	way := w.jitter(storeLatency)
+	latency := w.jitter(storeLatency)
 	if lost {
-		way = time.Duration(w.rand.Int63n(int64(3 * callTimeout)))
+		latency = time.Duration(w.rand.Int63n(int64(3 * callTimeout)))
 	}
 	if !lost || w.rand.Intn(3) > 0 {
-		w.after(way, func() {
+		w.after(latency, func() {
 			outcome, revision, err := w.store.cas(a)
 			if err != nil {
 				w.violate(err.Error())
@@ -416,10 +416,10 @@
 func (w *World) sendGrant(r *router, a ownership.SendGrant) {
 	silent := ownership.GrantResult{Target: a.Target, Sequence: a.Sequence, Silent: true}
 	t := w.targets[a.Target]
-	way := w.jitter(networkLatency) + w.orderDelay() + w.addedLatency(r, t)
-	w.after(way, func() {
-		if way > ownership.DefaultOrderBound && !a.Fence {
-			w.violate(fmt.Sprintf("a grant was under way to %s for %v", a.Target, way))
+	latency := w.jitter(networkLatency) + w.orderDelay() + w.addedLatency(r, t)
+	w.after(latency, func() {
+		if latency > ownership.DefaultOrderBound && !a.Fence {
+			w.violate(fmt.Sprintf("a grant was under way to %s for %v", a.Target, latency))
 		}
 		if !w.reaches(r, t) {
 			r.deliverAfter(callTimeout, func() ownership.Event { return silent })
@@ -442,11 +442,11 @@
 // probe checks on behalf of another router whether the router reaches the target.
 func (w *World) probe(r *router, a ownership.ProbeTarget) {
 	reached := w.reaches(r, w.targets[a.Target])
-	way := 2 * (w.jitter(networkLatency) + w.addedLatency(r, w.targets[a.Target]))
+	latency := 2 * (w.jitter(networkLatency) + w.addedLatency(r, w.targets[a.Target]))
 	if !reached {
-		way = callTimeout
+		latency = callTimeout
 	}
-	r.deliverAfter(way, func() ownership.Event {
+	r.deliverAfter(latency, func() ownership.Event {
 		return ownership.TargetProbed{Target: a.Target, For: a.For, Reached: reached}
 	})
 }
--- a/core/ownership/record_test.go
+++ b/core/ownership/record_test.go
@@ -63,7 +63,7 @@
 	assert.Assert(t, !ops.Landed(Op{Router{"r0", 2}, 1}))
 }
 
-func TestTableNeverGoesBack(t *testing.T) {
+func TestTableNeverReturnsToOlderRecord(t *testing.T) {
 	older, newer := mixedShard(), mixedShard()
 	newer.Slots[1] = UnitState{Target: "t8", Token: 99}
 	unit := routing.Unit{Service: "faq", Slot: ShardSlots + 1}
--- a/core/ownership/remote.go
+++ b/core/ownership/remote.go
@@ -43,9 +43,9 @@
 // times the number of live routers.
 const remoteScanInterval = time.Second
 
-func (k *Keeper) setRemote(now time.Duration, data []FarDataCentre) {
-	next := remoteState{dataCentres: make(map[string]*remoteDC, len(data)), sortedNames: []string{k.cfg.DataCentre}, scanPending: true}
-	for _, dc := range data {
+func (k *Keeper) setRemote(now time.Duration, others []FarDataCentre) {
+	next := remoteState{dataCentres: make(map[string]*remoteDC, len(others)), sortedNames: []string{k.cfg.DataCentre}, scanPending: true}
+	for _, dc := range others {
 		f := k.remote.dataCentres[dc.Name]
 		if f == nil {
 			f = &remoteDC{since: now}
@@ -130,11 +130,11 @@
 			continue
 		}
 		d := k.duties[name]
-		switch concerned := k.needsRemoteDuty(now, &t); {
-		case d == nil && concerned:
+		switch needed := k.needsRemoteDuty(now, &t); {
+		case d == nil && needed:
 			k.duties[name] = newDuty(t) // it reads its record first
 			changed = true
-		case d != nil && !concerned && d.phase == idle && k.writes[d.key] == nil:
+		case d != nil && !needed && d.phase == idle && k.writes[d.key] == nil:
 			k.removeRemoteDuty(name)
 			changed = true
 		}
@@ -187,11 +187,11 @@
 	if k.cfg.omit != omitClaimBack && (k.justChanged(now, t.Name) || !k.hasTakeoverQuorum(now, k.remote.dataCentres[from])) {
 		return false
 	}
-	heard := k.connectedDataCentres(t.Service)
-	if slices.Contains(heard, t.DataCentre) {
+	connected := k.connectedDataCentres(t.Service)
+	if slices.Contains(connected, t.DataCentre) {
 		return t.DataCentre == k.cfg.DataCentre
 	}
-	return len(heard) > 0 && rendezvous.Top("heir\x00"+t.Name, 1, heard)[0] == k.cfg.DataCentre
+	return len(connected) > 0 && rendezvous.Top("heir\x00"+t.Name, 1, connected)[0] == k.cfg.DataCentre
 }
 
 func (k *Keeper) dividedByKey(service string) bool {
@@ -248,12 +248,12 @@
 // that the others serve.
 func (k *Keeper) hasTakeoverQuorum(now time.Duration, from *remoteDC) bool {
 	all := len(k.remote.sortedNames)
-	heard := all - k.remote.cutOffCount
-	if 2*heard != all {
-		return 2*heard > all
+	connected := all - k.remote.cutOffCount
+	if 2*connected != all {
+		return 2*connected > all
 	}
-	patience := 3 * k.cfg.HandBackAfter
-	return !k.isCutOff(k.remote.sortedNames[0]) || now-from.since >= patience && from.recordSeenAt < from.since
+	wait := 3 * k.cfg.HandBackAfter
+	return !k.isCutOff(k.remote.sortedNames[0]) || now-from.since >= wait && from.recordSeenAt < from.since
 }
 
 // withinOrderBound reports whether orders to the target arrive within OrderBound, which is
--- a/core/ownership/remote_test.go
+++ b/core/ownership/remote_test.go
@@ -18,7 +18,8 @@
 const (
 	yieldSoon = 1500 * ms
 	yieldLate = 4 * time.Second
-	// cutOffAfter is when a silent data centre counts as cut off here.
+	// cutOffAfter is how long no heartbeats of a data centre arrive before it counts as cut
+	// off.
 	cutOffAfter = 300 * ms
 )
 
@@ -41,36 +42,36 @@
 	return opt
 }
 
-// dataCentreFault is one generated fault that concerns a data centre or a router.
+// dataCentreFault generates one fault of a data centre or a router.
 func dataCentreFault(t *rapid.T) func(w *ownershiptest.World, specs []ownership.TargetSpec) {
 	kind := rapid.IntRange(0, 9).Draw(t, "kind")
 	dc := rapid.SampledFrom(dataCentres).Draw(t, "dc")
 	i := rapid.IntRange(0, 2*len(dataCentres)-1).Draw(t, "router")
-	long := time.Duration(rapid.IntRange(100, 5000).Draw(t, "long")) * ms
+	duration := time.Duration(rapid.IntRange(100, 5000).Draw(t, "duration")) * ms
 	return func(w *ownershiptest.World, specs []ownership.TargetSpec) {
 		switch kind {
 		case 0, 1:
-			w.CutDataCentre(dc, long)
+			w.CutDataCentre(dc, duration)
 		case 2, 3:
-			w.CutDataCentre(dc, long)
-			w.CutStoreFromDataCentre(dc, long*2/3)
+			w.CutDataCentre(dc, duration)
+			w.CutStoreFromDataCentre(dc, duration*2/3)
 		case 4:
-			w.CutStoreFromDataCentre(dc, long)
+			w.CutStoreFromDataCentre(dc, duration)
 		case 5:
-			w.DropHeartbeatsFromOthers(dc, long)
+			w.DropHeartbeatsFromOthers(dc, duration)
 		case 6:
-			w.KillRouter(i, long)
+			w.KillRouter(i, duration)
 		case 7:
-			w.PauseRouter(i, long/2)
+			w.PauseRouter(i, duration/2)
 		case 8:
-			w.OutageOfStore(long / 2)
+			w.OutageOfStore(duration / 2)
 		case 9:
 			yields := append([]ownership.TargetSpec(nil), specs...)
 			for n := range yields {
 				yields[n].Isolation = model.Isolation{YieldAfter: yieldLate}
 			}
 			w.Configure(yields, i)
-			w.After(long, func() { w.Configure(specs, i) })
+			w.After(duration, func() { w.Configure(specs, i) })
 		}
 	}
 }
@@ -90,11 +91,11 @@
 	return w
 }
 
-// Symptom: a unit runs at targets of two data centres, or stays unserved after the network
-// is whole again.
-// Sequence: generated; data centres are cut off from the store, from each other, from both,
-// or hear nothing while they are heard; routers are lost and restart, or go by an older
-// configuration for a while; the store fails. Cause: a rule of the takeover is missing.
+// No unit may run at targets of two data centres, or stay unserved after the network has
+// recovered. The faults are generated: data centres are cut off from the store, from each
+// other or from both, or receive no heartbeats while their own arrive; routers are lost and
+// restart, or have an older configuration for a while; the store fails. A failure means
+// that a rule of the takeover is missing.
 func TestHoldsAcrossDataCentres(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -108,15 +109,15 @@
 	})
 }
 
-// cutDuration is how long dc1 is cut off in the rows below.
+// cutDuration is how long dc1 is cut off in the cases below.
 const cutDuration = 9 * time.Second
 
-// cutOffCases are ways in which dc1 is out of reach. Each row names the rule without which it
-// shows two owners, orders that are under way for too long, or duties taken in turn.
+// cutOffCases are ways in which dc1 is unreachable. Each case names the rule without which
+// it shows two owners, orders that are under way for too long, or duties taken in turn.
 var cutOffCases = []struct {
 	name  string
 	fault func(w *ownershiptest.World)
-	// comesBack says that dc1's targets have their grantors at home at the end.
+	// comesBack means that at the end the grantors of dc1's targets are in dc1.
 	comesBack bool
 	without   ownership.Omitted
 }{
@@ -145,7 +146,7 @@
 	w.CutStoreFromDataCentre("dc1", cutDuration)
 }
 
-// runCutOffCase runs one of them until shortly before the cut is over.
+// runCutOffCase runs one case until shortly before the cut ends.
 func runCutOffCase(row int, check model.GrantCheck, rule ownership.Omitted) *ownershiptest.World {
 	w := ownershiptest.New(dataCentreOptions(1, dataCentreTargets(yieldSoon, check), rule))
 	w.Run(2 * time.Second)
@@ -154,15 +155,16 @@
 	return w
 }
 
-// claimedOnce says that dc1's two targets were claimed once each.
+// claimedOnce reports whether dc1's two targets were not claimed repeatedly: there are at
+// most three claims.
 func claimedOnce(w *ownershiptest.World) bool { return w.CountReports(ownership.ClaimedElsewhere) <= 3 }
 
-// Symptom: the keys of a data centre that is gone, or that is cut off, stay unserved
-// although its services yield; or have two owners; or data centres take them from each
-// other in turn.
-// Sequence: dc1 is lost for good; or cut off from the others, with and without the store,
-// and comes back. Cause: nobody elsewhere may hold its duties, or whoever lost one claims
-// it back while it doesn't hear the one that has it, or a wait is too short.
+// The keys of a data centre that is lost, or that is cut off and whose services yield, must
+// not stay unserved or have two owners, and data centres must not take them from each other
+// in turn. dc1 is lost for good, or is cut off from the others, with and without the store,
+// and returns. It fails if no other data centre may hold dc1's duties, if a data centre
+// that lost a duty claims it back while it has no connection to the new holder, or if a
+// wait is too short.
 func TestAnotherDataCentreTakesOver(t *testing.T) {
 	for i, row := range cutOffCases {
 		t.Run(row.name, func(t *testing.T) {
@@ -179,8 +181,8 @@
 				if len(found) > 0 || row.without == ownership.OmitNone {
 					continue
 				}
-				bad := runCutOffCase(i, check, row.without)
-				if found = append(found, bad.Violations...); !claimedOnce(bad) {
+				withoutRule := runCutOffCase(i, check, row.without)
+				if found = append(found, withoutRule.Violations...); !claimedOnce(withoutRule) {
 					found = append(found, "taken in turn")
 				}
 			}
@@ -189,10 +191,10 @@
 	}
 }
 
-// Symptom: duties go to and fro between data centres several times a second.
-// Sequence: dc1 and dc2 don't hear each other for 6 s, each hears dc3, all reach the store.
-// Cause: each hears most of the data centres and claims what the other has just claimed.
-func TestDataCentresApartDoNotTakeInTurn(t *testing.T) {
+// Data centres must not take duties from each other several times a second. dc1 and dc2
+// have no connection to each other for 6 s, both are connected to dc3, and all reach the
+// store. Each of them has a majority and would claim what the other has just claimed.
+func TestPartitionedDataCentresDoNotTakeDutiesInTurn(t *testing.T) {
 	claims := func(rule ownership.Omitted) int {
 		w := ownershiptest.New(dataCentreOptions(1, dataCentreTargets(yieldSoon, grantChecks...), rule))
 		w.Run(2 * time.Second)
@@ -209,9 +211,9 @@
 	assert.Assert(t, got <= most && without > most, "%d claims, %d without the rule", got, without)
 }
 
-// Symptom: a unit's record is written a hundred times a second.
-// Sequence: a target is lost and another one's unit is to move to it all the same.
-// Cause: the unit goes back to the target it was to leave, which doesn't end the move.
+// A unit's record must not be written a hundred times a second. A target is lost, and a
+// unit of another target is requested to move to it. The unit goes back to the target that
+// it was to leave, and this must end the move.
 func TestMoveThatGoesBackEnds(t *testing.T) {
 	w := ownershiptest.New(options(1, targets(2, model.Isolation{Keep: true}, grantChecks[0]), ownership.OmitNone))
 	w.Run(time.Second)
--- a/core/ownership/replay_test.go
+++ b/core/ownership/replay_test.go
@@ -13,8 +13,8 @@
 	"tarragongw/core/ownership/ownershiptest"
 )
 
-// digestOf runs a history with faults and returns a digest over every router's
-// events and actions, with the records' bytes and orders' contents.
+// digestOf runs a history with faults and returns a digest of every router's events and
+// actions, including the bytes of the records and the contents of the orders.
 func digestOf(seed int64) (uint64, int) {
 	h, n := fnv.New64a(), 0
 	opt := options(seed, targets(3, model.Isolation{Keep: true}, grantChecks...), ownership.OmitNone)
@@ -36,7 +36,7 @@
 	return h.Sum64(), n
 }
 
-// The same events lead to the same actions, byte for byte.
+// The same events must lead to the same actions, byte for byte.
 func TestReplayIsIdentical(t *testing.T) {
 	for seed := range int64(5) {
 		first, n := digestOf(seed)
--- a/core/ownership/stop_test.go
+++ b/core/ownership/stop_test.go
@@ -12,8 +12,8 @@
 	"tarragongw/core/ownership/ownershiptest"
 )
 
-// servedWorld runs three routers with the targets until each is served, and counts the
-// writes of grantor records from then on.
+// servedWorld runs three routers until all targets are served, and counts the writes of
+// grantor records from then on.
 func servedWorld(seed int64) (w *ownershiptest.World, writes map[string]int) {
 	writes = map[string]int{}
 	opt := options(seed, targets(6, model.Isolation{Keep: true}, grantChecks...), ownership.OmitNone)
@@ -28,18 +28,17 @@
 	return w, writes
 }
 
-// Symptom: each planned stop makes targets unserved for as long as the router takes to
-// end, and the store sees a hundred writes a second for each of them.
-// Sequence: a router stops and hands its targets over; their heirs see that it is live
-// and ranks before them, and hand them back; it is stopping and hands them over again.
-// Cause: a router that leaves counts as one to hand duties back to.
-func TestWhatALeavingRouterHandedOverStaysAway(t *testing.T) {
+// A planned stop must not leave targets unserved until the router exits, with a hundred
+// writes per second to the store for each of them. A router stops and hands its targets
+// over. The receivers see that it is live and ranks before them; they must not hand the
+// targets back to a router that is stopping, which would hand them over again.
+func TestDutiesHandedOverAtStopAreNotHandedBack(t *testing.T) {
 	for seed := range int64(10) {
 		w, writes := servedWorld(seed)
 		w.StopRouter(0, time.Hour)
 		w.Run(2 * time.Second)
 		for key, n := range writes {
-			// The hand-over itself, and the heir's word on its own successors.
+			// The hand-over itself, and the receiver's list of its own successors.
 			assert.Assert(t, n <= 2, "seed %d: %d writes of %s", seed, n, key)
 		}
 		for i := range 6 {
@@ -49,10 +48,9 @@
 	}
 }
 
-// Symptom: a data centre that is shut down as planned floods the store.
-// Sequence: all its routers stop at the same time, and each has only others that stop
-// to hand its targets over to.
-// Cause: what one stopping router gives another is given back at once.
+// A planned stop of a whole data centre must not flood the store with writes. All routers
+// stop at the same time, and each has only other stopping routers to hand its targets over
+// to. These must not hand the targets back at once.
 func TestRoutersThatStopTogetherDoNotPassDutiesAround(t *testing.T) {
 	for seed := range int64(10) {
 		w, writes := servedWorld(seed)
--- a/core/ownership/successor_test.go
+++ b/core/ownership/successor_test.go
@@ -12,7 +12,7 @@
 	"tarragongw/core/ownership/ownershiptest"
 )
 
-// pairWorld is two routers that keep two targets of the kind.
+// pairWorld returns a world with two routers and two targets that have the given checks.
 func pairWorld(check model.GrantCheck) *ownershiptest.World {
 	opt := options(11, targets(2, model.Isolation{Keep: true}, check), ownership.OmitNone)
 	opt.Routers = 2
@@ -22,8 +22,8 @@
 	return ownershiptest.New(opt)
 }
 
-// forEachGrantCheck runs the events on a pair for each kind of target, as a subtest of its own,
-// once it has run undisturbed for two seconds, and names the grantor of t0.
+// forEachGrantCheck runs events on two routers, as a subtest for each kind of target
+// checks, after two undisturbed seconds. grantor is the grantor of t0 at that time.
 func forEachGrantCheck(t *testing.T, events func(t *testing.T, w *ownershiptest.World, grantor int)) {
 	for _, check := range grantChecks {
 		t.Run(fmt.Sprintf("%+v", check), func(t *testing.T) {
@@ -34,22 +34,22 @@
 	}
 }
 
-// assertServed fails where a unit was unserved for that long or a rule was broken.
+// assertServed fails if a unit was unserved for that long or a guarantee was violated.
 func assertServed(t *testing.T, w *ownershiptest.World, unserved time.Duration) {
 	t.Helper()
 	assert.Equal(t, len(w.Unserved(unserved)), 0, "%v", w.Reports)
 	assert.Equal(t, len(w.Violations), 0, "%v", w.Violations)
 }
 
-// Symptom: a target without a grantor for good, reported as unprovable, although the
-// only other router of the data centre lives.
-// Sequence: a grantor hears its successor no more and writes it off its record; the
-// grantor and the target are lost before it hears it again.
-// Cause: one silence, which the grantor's own end can cause, undoes what lets the
-// successor take over.
+// A target must not stay without a grantor (reported as unprovable) although the only other
+// router of the data centre is alive. A grantor receives no heartbeats of its successor,
+// and is lost together with the target before it receives any again. Missing heartbeats,
+// which can be the grantor's own fault, must not remove the recorded right of the successor
+// to take over.
 func TestSilentSuccessorStaysOnRecord(t *testing.T) {
 	forEachGrantCheck(t, func(t *testing.T, w *ownershiptest.World, grantor int) {
-		// The successor is heard no more by the grantor alone; it does not claim.
+		// Only the grantor receives no heartbeats of the successor; the successor does not
+		// claim.
 		w.DropHeartbeats(grantor, time.Second)
 		w.Run(600 * ms)
 		w.KillRouter(grantor, 0)
@@ -59,11 +59,9 @@
 	})
 }
 
-// Symptom: as above, in the first moments of a system.
-// Sequence: a router claims a target before it has met the others; it meets them; it
-// is lost.
-// Cause: a newly met router is written down only once it has lived for a while, also
-// where the record names nobody at all.
+// The same at the start of a system. A router claims a target before it has seen the
+// others, then sees them, and is lost. A newly seen router is recorded only after it has
+// been live for a while, but a record without a successor must get one at once.
 func TestFirstSuccessorIsNamedAtOnce(t *testing.T) {
 	for _, check := range grantChecks {
 		w := pairWorld(check)
@@ -76,10 +74,9 @@
 	}
 }
 
-// Symptom: a data centre's last router stops serving when the store is down, although
-// nobody else is left who could take over.
-// Sequence: the other router is lost for good; long after that the store goes down.
-// Cause: a lost router stays on the record for ever.
+// A data centre's last router must not stop serving when the store is unreachable, because
+// no other router is left that could take over. The other router is lost for good, and long
+// after that the store goes down. A lost router must not stay in the record forever.
 func TestLostSuccessorLeavesTheRecordInTheEnd(t *testing.T) {
 	forEachGrantCheck(t, func(t *testing.T, w *ownershiptest.World, grantor int) {
 		w.KillRouter(1-grantor, 0)
@@ -90,11 +87,10 @@
 	})
 }
 
-// Symptom: a router that starts takes targets from a grantor that lives.
-// Sequence: a router restarts; its core knows the store's records before the first
-// heartbeat of the others.
-// Cause: a router that was not met yet is taken for one that is lost.
-func TestStartingRouterTakesNothingFromThoseItHasNotMet(t *testing.T) {
+// A router that starts must not take targets from a live grantor. A router restarts and
+// knows the store's records before the first heartbeat of the others arrives. A router that
+// it has not seen yet must not count as lost.
+func TestStartingRouterTakesNothingFromUnseenGrantors(t *testing.T) {
 	forEachGrantCheck(t, func(t *testing.T, w *ownershiptest.World, grantor int) {
 		w.KillRouter(1-grantor, 500*ms)
 		w.Run(490 * ms)
@@ -106,9 +102,8 @@
 	})
 }
 
-// Symptom: a router writes to the store as fast as it can.
-// Sequence: the store refuses a change of a list of successors without an effect.
-// Cause: a refused write is repeated with the next step.
+// A router must not write to the store as fast as it can. The store refuses a change of a
+// list of successors; the refused write must not be repeated in the next step.
 func TestRefusedListOfSuccessorsIsNotRepeatedAtOnce(t *testing.T) {
 	opt := options(11, targets(1, model.Isolation{Keep: true}, grantChecks[0]), ownership.OmitNone)
 	opt.Routers = 2
@@ -127,10 +122,11 @@
 	assert.Assert(t, writes <= 2*800/80, "%d writes in 800 ms", writes)
 }
 
-// Symptom: keys flicker while two routers reach the store and targets, not each other.
-// Sequence: the connections between two routers go silent for some seconds.
-// Cause: each takes the other for lost and takes its duties, again and again.
-func TestRoutersApartTakeADutyOverOnce(t *testing.T) {
+// The service of keys must not be interrupted repeatedly while two routers reach the store
+// and the targets, but not each other. The connections between them drop all messages for
+// some seconds; each takes the other one for lost, and they must not take each other's
+// duties again and again.
+func TestPartitionedRoutersTakeADutyOverOnce(t *testing.T) {
 	forEachGrantCheck(t, func(t *testing.T, w *ownershiptest.World, grantor int) {
 		before := len(w.Reports)
 		w.CutLink(0, 1, 5*time.Second)
@@ -147,11 +143,10 @@
 	})
 }
 
-// Symptom: targets stay unserved for good after the store was away for a moment.
-// Sequence: the first successor is lost; before it leaves the record the store does not
-// answer for a second.
-// Cause: the grantor asks the lost router for promises, and from then on can't prove that
-// it does not act without the store.
+// Targets must not stay unserved for good after the store was unreachable for a moment. The
+// first successor is lost, and the store does not answer for a second before that successor
+// is removed from the record. The grantor must not ask the lost router for promises,
+// because it could no longer prove that this router does not act without the store.
 func TestLostSuccessorIsNotAskedForPromises(t *testing.T) {
 	forEachGrantCheck(t, func(t *testing.T, w *ownershiptest.World, grantor int) {
 		w.KillRouter(1-grantor, 0)
@@ -162,10 +157,10 @@
 	})
 }
 
-// Symptom: a target without a grantor for good, although a router of the data centre lives.
-// Sequence: a router takes a duty over from a grantor that it hears no more, but that
-// lives; it is lost itself before it hears that one again.
-// Cause: the record of the one that took over names nobody.
+// A target must not stay without a grantor although a router of the data centre is alive. A
+// router takes a duty over from a live grantor whose heartbeats do not arrive, and is lost
+// itself before they arrive again. The record of the router that took over must name a
+// successor.
 func TestSupersededGrantorTakesOverAgain(t *testing.T) {
 	forEachGrantCheck(t, func(t *testing.T, w *ownershiptest.World, grantor int) {
 		w.DropHeartbeats(1-grantor, 2*time.Second)
@@ -178,11 +173,10 @@
 	})
 }
 
-// Symptom: targets stay unserved for good after the store was away for a moment.
-// Sequence: the store goes down and the first successor is lost at the same time; the
-// grantor asks it for promises before it knows; the store comes back.
-// Cause: a router that never promised anything counts as one that may act without the
-// store.
+// Targets must not stay unserved for good after the store was unreachable for a moment. The
+// store goes down and the first successor is lost at the same time; the grantor asks it for
+// promises before it detects the loss; the store returns. A router that never gave a
+// promise must not count as one that may act without the store.
 func TestSuccessorThatNeverPromisedHasNoRight(t *testing.T) {
 	forEachGrantCheck(t, func(t *testing.T, w *ownershiptest.World, grantor int) {
 		w.KillRouter(1-grantor, 0)
@@ -192,10 +186,10 @@
 	})
 }
 
-// Symptom: all grantors report the store as unavailable although it answers.
-// Sequence: the routers of a busy machine are paused for a moment again and again, those
-// that read for the others too; later the store is really down.
-// Cause: the alarm came with the first request for a promise, whatever that was due to.
+// Grantors must not report the store as unreachable while it answers. The routers of a busy
+// machine are paused repeatedly for a moment, including those that read for the others;
+// later the store is really unreachable. The first request for a promise must not raise the
+// alarm by itself, because it may have another reason.
 func TestOnlyAStoreThatDoesNotAnswerIsReported(t *testing.T) {
 	w := lossWorld(t, 3, model.GrantCheck{ChecksTokens: true, Expires: true})
 	alarms := func() (n int) {
--- a/core/ownership/wake_test.go
+++ b/core/ownership/wake_test.go
@@ -11,8 +11,8 @@
 	"tarragongw/core/ownership/ownershiptest"
 )
 
-// TestRenewalsShareTheirSteps counts, for a router alone with many targets, the steps
-// in which anything is sent at rest, and sees that no renewal is put off by them.
+// TestRenewalsShareTheirSteps counts, for a single router with many targets at rest, the
+// steps in which anything is sent, and checks that sharing steps delays no renewal.
 func TestRenewalsShareTheirSteps(t *testing.T) {
 	opt := options(3, targets(12, model.Isolation{Keep: true}, grantChecks...), ownership.OmitNone)
 	opt.Routers = 1
@@ -39,17 +39,17 @@
 	ticks, longest, reads = 0, 0, 0
 	clear(sent)
 	w.Run(4 * time.Second)
-	// Every 80 ms, late by the 10 ms of the fake's ticks at most.
+	// Every 80 ms, plus at most the 10 ms of the simulated ticks.
 	assert.Assert(t, longest <= 90*ms, "%s between two grants", longest)
 	assert.Assert(t, reads >= 12*4000/90, "%d reads", reads)
 	assert.Assert(t, ticks <= 60, "%d ticks in 4 s", ticks)
 	assert.Assert(t, len(sent) <= 60, "%d steps that send in 4 s", len(sent))
 }
 
-// Symptom: targets are lost whenever their router was paused.
-// Sequence: an order gets no reply; the router sleeps, is paused and counts on.
-// Cause: a pause taken for a sleep that the router asked for.
-func TestPauseWhileATargetIsSilentIsForgiven(t *testing.T) {
+// A target must not be declared lost because its router was paused. An order gets no reply
+// while the router waits for its next step, then the router is paused and continues to
+// count. The pause must not be mistaken for the wait that the router asked for.
+func TestPauseOfRouterLosesNoSilentTarget(t *testing.T) {
 	w := ownershiptest.New(options(5, targets(1, model.Isolation{Keep: true}, grantChecks[0]), ownership.OmitNone))
 	w.Run(3 * time.Second)
 	lost := 0
