--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -58,8 +58,8 @@
 // started, has not seen it yet. Without this check a router that starts would take duties
 // from live grantors or report them lost.
 func (k *Keeper) notYetSeen(now time.Duration, r Router) bool {
-	_, met := k.lastSeen[r.Name]
-	return !met && now-k.liveSince[k.cfg.Self.Name] < k.cfg.LostAfter
+	_, known := k.lastSeen[r.Name]
+	return !known && now-k.liveSince[k.cfg.Self.Name] < k.cfg.LostAfter
 }
 
 // retryHandOverAtStop repeats a hand-over at a planned stop whose write failed.
--- a/core/ownership/move.go
+++ b/core/ownership/move.go
@@ -76,7 +76,7 @@
 
 // recordChanges collects the changes of one record that go into one write.
 type recordChanges struct {
-	units  []unitChange
+	units    []unitChange
 	assigned []Assigned
 }
 
--- a/core/ownership/ownershiptest/remote.go
+++ b/core/ownership/ownershiptest/remote.go
@@ -24,13 +24,13 @@
 		if dc == r.dataCentre() || slices.ContainsFunc(out, func(f ownership.FarDataCentre) bool { return f.Name == dc }) {
 			continue
 		}
-		heard := time.Duration(-1)
+		lastHeartbeat := time.Duration(-1)
 		for _, o := range r.world.routers {
-			if at, ok := r.heardAt[o.index]; ok && o.dataCentre() == dc {
-				heard = max(heard, at)
+			if at, ok := r.lastHeartbeatAt[o.index]; ok && o.dataCentre() == dc {
+				lastHeartbeat = max(lastHeartbeat, at)
 			}
 		}
-		out = append(out, ownership.FarDataCentre{Name: dc, CutOff: heard < 0 || r.world.now-heard >= r.world.opt.CutOff})
+		out = append(out, ownership.FarDataCentre{Name: dc, CutOff: lastHeartbeat < 0 || r.world.now-lastHeartbeat >= r.world.opt.CutOff})
 	}
 	return out
 }
--- a/core/ownership/ownershiptest/world.go
+++ b/core/ownership/ownershiptest/world.go
@@ -118,8 +118,8 @@
 	// due.
 	confirmTickDue time.Duration
 	// inFlight is when the latest request sent to each target ends.
-	inFlight map[string]time.Duration
-	heardAt  map[int]time.Duration
+	inFlight        map[string]time.Duration
+	lastHeartbeatAt map[int]time.Duration
 	// members are the members that the keeper last received.
 	members ownership.Members
 	// targets are the targets in the router's configuration.
@@ -166,10 +166,10 @@
 	r.tickDue, r.confirmTickDue = 0, 0
 	r.startConfirmCore()
 	r.inFlight = map[string]time.Duration{}
-	r.heardAt = map[int]time.Duration{}
+	r.lastHeartbeatAt = map[int]time.Duration{}
 	for _, o := range r.world.routers {
 		if r.world.now >= r.world.deafUntil[r.index] {
-			r.heardAt[o.index] = r.world.now
+			r.lastHeartbeatAt[o.index] = r.world.now
 		}
 	}
 	if r.targets == nil {
@@ -247,9 +247,9 @@
 	live, leaving := []ownership.Router{}, []ownership.Router{}
 	for _, o := range r.world.routers {
 		if o == r || !o.dead && !o.paused && r.world.hears(r.index, o.index) {
-			r.heardAt[o.index] = r.world.now
+			r.lastHeartbeatAt[o.index] = r.world.now
 		}
-		if at, ok := r.heardAt[o.index]; ok && r.world.now-at < r.world.opt.Detect && o.dataCentre() == r.dataCentre() {
+		if at, ok := r.lastHeartbeatAt[o.index]; ok && r.world.now-at < r.world.opt.Detect && o.dataCentre() == r.dataCentre() {
 			live = append(live, o.self)
 			if o.leaving {
 				leaving = append(leaving, o.self)
@@ -435,8 +435,8 @@
 }
 
 func (w *World) reaches(r *router, t *fakeTarget) bool {
-	apart := r.dataCentre() != t.spec.DataCentre && w.now < max(w.partitionedUntil[r.dataCentre()], w.partitionedUntil[t.spec.DataCentre])
-	return t.up() && w.now >= w.targetsUnreachableUntil[r.index] && !apart
+	partitioned := r.dataCentre() != t.spec.DataCentre && w.now < max(w.partitionedUntil[r.dataCentre()], w.partitionedUntil[t.spec.DataCentre])
+	return t.up() && w.now >= w.targetsUnreachableUntil[r.index] && !partitioned
 }
 
 // probe checks on behalf of another router whether the router reaches the target.
--- a/core/ownership/proof.go
+++ b/core/ownership/proof.go
@@ -48,9 +48,9 @@
 }
 
 // startLoad continues the reads of the units that startProof began.
-func (k *Keeper) startLoad(now time.Duration, d *duty, lapse time.Duration) {
+func (k *Keeper) startLoad(now time.Duration, d *duty, grantsExpireAt time.Duration) {
 	d.phase = loading
-	d.grantsExpireAt = lapse
+	d.grantsExpireAt = grantsExpireAt
 	d.acceptedDigest, d.outstanding = 0, 0
 	k.advanceLoad(now, d)
 }
--- a/core/ownership/remote_test.go
+++ b/core/ownership/remote_test.go
@@ -47,7 +47,7 @@
 	kind := rapid.IntRange(0, 9).Draw(t, "kind")
 	dc := rapid.SampledFrom(dataCentres).Draw(t, "dc")
 	i := rapid.IntRange(0, 2*len(dataCentres)-1).Draw(t, "router")
-	duration := time.Duration(rapid.IntRange(100, 5000).Draw(t, "duration")) * ms
+	duration := time.Duration(rapid.IntRange(100, 5000).Draw(t, "long")) * ms
 	return func(w *ownershiptest.World, specs []ownership.TargetSpec) {
 		switch kind {
 		case 0, 1:
--- a/core/ownership/table.go
+++ b/core/ownership/table.go
@@ -63,7 +63,7 @@
 	out := &Table{services: t.services, grantors: t.grantors}
 	var applied int
 	var copied, copiedGrantors bool
-	fresh := map[string]bool{}
+	copiedServices := map[string]bool{}
 	for _, u := range updates {
 		switch {
 		case u.Grantor != nil && out.newerGrantor(u):
@@ -78,7 +78,7 @@
 				out.services = copyMap(out.services)
 				copied = true
 			}
-			out.setShard(u, fresh)
+			out.setShard(u, copiedServices)
 			applied++
 		}
 	}
@@ -109,17 +109,17 @@
 	return e == nil || u.Revision > e.revision
 }
 
-func (t *Table) setShard(u Update, fresh map[string]bool) {
+func (t *Table) setShard(u Update, copiedServices map[string]bool) {
 	s := u.Shard
 	var next serviceTable
 	if old := t.services[s.Service]; old != nil {
-		if fresh[s.Service] {
+		if copiedServices[s.Service] {
 			next = *old
 		} else {
 			next = serviceTable{slots: append([]shardEntry(nil), old.slots...), ranges: old.ranges}
 		}
 	}
-	fresh[s.Service] = true
+	copiedServices[s.Service] = true
 	if s.Kind == routing.RangeUnit {
 		next.ranges[s.Index%RangeBuckets] = shardEntry{u.Revision, pack(s)}
 	} else {
