--- a/core/ownership/mutant_test.go
+++ b/core/ownership/mutant_test.go
@@ -16,7 +16,7 @@
 		"no wait-out":                   ownership.OmitWaitOut,
 		"no term check":                 ownership.OmitTermCheck,
 		"lost reply not read back":      ownership.OmitReadBack,
-		"act on lapsed authority":       ownership.OmitValidity,
+		"act on expired authority":      ownership.OmitValidity,
 		"renew after release":           ownership.OmitRelease,
 		"no confirmation before a move": ownership.OmitConfirm,
 		"store extends in promise mode": ownership.OmitPromiseMode,
--- a/core/ownership/wake.go
+++ b/core/ownership/wake.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// nextDue returns when the first renewal, or the end of the wait for a reply, is due,
-// or latest.
+// nextDue returns the earliest time at which a renewal, or the end of the wait for a reply,
+// is due, but at most latest.
 func (k *Keeper) nextDue(latest time.Duration) time.Duration {
 	next := min(latest, k.renewTogetherBy)
 	for _, d := range k.dutyList {
