--- a/core/ownership/alarm.go
+++ b/core/ownership/alarm.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// unanswered is how long the store has owed this router an answer.
-type unanswered struct {
-	waits bool
-	since time.Duration
+// pendingRequest tracks since when a request to the store has been waiting for an answer.
+type pendingRequest struct {
+	waiting bool
+	since   time.Duration
 }
 
-func (u *unanswered) asked(now time.Duration) {
-	if !u.waits {
-		u.waits, u.since = true, now
+func (u *pendingRequest) sent(now time.Duration) {
+	if !u.waiting {
+		u.waiting, u.since = true, now
 	}
 }
 
-func (u *unanswered) answered() { u.waits = false }
+func (u *pendingRequest) answered() { u.waiting = false }
 
-// paused begins the wait anew after a pause of this router.
-func (u *unanswered) paused(now time.Duration) { u.since = now }
+// restart counts the wait from now after a pause of this router.
+func (u *pendingRequest) restart(now time.Duration) { u.since = now }
 
-// reportSilentStore tells that the store is silent, once it left what this router itself
-// asked without an answer for as long as one answer keeps a grantor going.
+// reportStoreUnreachable reports the store as unreachable if a request that this router
+// itself sent has had no answer for as long as one confirmation lets a grantor send.
 //
-// What goes wrong where the first request for a promise tells it: promises are asked for
-// once the last confirmation is 160 ms old, for whatever reason. On a busy machine that is
-// a pause of this router or of the one that reads for it, and all grantors report a store
-// that answers. Who finds nothing wrong time and again believes the alarm no more.
-func (k *Keeper) reportSilentStore(now time.Duration, d *duty) {
-	if k.unanswered.waits && now-k.unanswered.since >= k.cfg.Authority {
+// The first request for a promise must not raise this alarm by itself: promises are
+// requested once the last confirmation is 160 ms old, for whatever reason. On a busy
+// machine the reason is a pause of this router or of its relay, and all grantors would
+// report a store that answers. Operators who see repeated false alarms stop believing them.
+func (k *Keeper) reportStoreUnreachable(now time.Duration, d *duty) {
+	if k.storeRequest.waiting && now-k.storeRequest.since >= k.cfg.Authority {
 		d.report(k, PromisesOnly)
 	}
 }
--- a/core/ownership/export_test.go
+++ b/core/ownership/export_test.go
@@ -1,9 +1,9 @@
 package ownership
 
-// Omitted is a rule that a test leaves out to see that its absence is caught.
-type Omitted = check
+// Omitted names a rule that a test disables to verify that its absence is detected.
+type Omitted = omission
 
-// The rules that may be left out.
+// The rules that may be disabled.
 const (
 	OmitNone        = omitNone
 	OmitWaitOut     = omitWaitOut
@@ -14,15 +14,15 @@
 	OmitConfirm     = omitConfirm
 	OmitPromiseMode = omitPromiseMode
 
-	OmitRecordedYield = omitRecordedYield
-	OmitYieldWait     = omitYieldWait
-	OmitClaimBack     = omitClaimBack
-	OmitUnproved      = omitUnproved
-	OmitNear          = omitNear
-	OmitJustChanged   = omitJustChanged
+	OmitRecordedYield   = omitRecordedYield
+	OmitYieldWait       = omitYieldWait
+	OmitClaimBack       = omitClaimBack
+	OmitUnproved        = omitUnproved
+	OmitOrderBoundCheck = omitOrderBoundCheck
+	OmitJustChanged     = omitJustChanged
 )
 
-// Without returns the settings with the rule left out.
+// Without returns the settings with the rule disabled.
 func (c Config) Without(rule Omitted) Config {
 	c.omit = rule
 	return c
--- a/core/ownership/move.go
+++ b/core/ownership/move.go
@@ -7,21 +7,23 @@
 	"tarragongw/core/routing"
 )
 
-// move carries one unit from a target whose grantor this router is to the next
-// owner. Only that grantor writes units out of a target, and in two writes: the
-// first (releasing) is visible to a grantor that takes over, which then doesn't
-// grant the unit again; the second names the new owner.
+// move moves one unit from a target whose grantor is this router to the next owner. Only
+// that grantor writes units out of a target, in two writes: the first (releasing) is
+// visible to a grantor that takes over, which then does not grant the unit again; the
+// second names the new owner.
 type move struct {
 	unit routing.Unit
 	from string
 	to   string
-	// releasedAt is when this router learnt that the first write landed.
+	// releasedAt is when this router learnt that the first write is in the store.
 	releasedAt time.Duration
-	// lapse is when the target's grant of the unit has lapsed by itself.
-	lapse time.Duration
-	// confirmed means the target accepted a set without the unit and is done with it.
+	// grantExpiresAt is when the target's grant of the unit expires without any further
+	// order.
+	grantExpiresAt time.Duration
+	// confirmed means that the target accepted a set without the unit and has no work on it
+	// in flight.
 	confirmed bool
-	// drained means that no work of this router is in flight.
+	// drained means that no work of this router on the unit is in flight.
 	drained bool
 }
 
@@ -72,9 +74,9 @@
 	}
 }
 
-// intents collects the changes of one record that go into one write.
-type intents struct {
-	changes  []unitChange
+// recordChanges collects the changes of one record that go into one write.
+type recordChanges struct {
+	units    []unitChange
 	assigned []Assigned
 }
 
@@ -84,7 +86,7 @@
 }
 
 func (k *Keeper) advanceMoves(now time.Duration) {
-	for _, d := range k.own {
+	for _, d := range k.dutyList {
 		if d.phase == serving {
 			k.adoptReleasing(d)
 			k.planLeaving(d)
@@ -93,14 +95,14 @@
 	if len(k.moves) == 0 {
 		return
 	}
-	byKey := map[string]*intents{}
+	byKey := map[string]*recordChanges{}
 	closing := map[string][]routing.Unit{}
 	for _, m := range k.sortedMoves() {
 		k.advanceMove(now, m, byKey, closing)
 	}
 	k.closeSends(now, closing)
 	for _, key := range sortedKeys(byKey) {
-		k.writeIntents(now, key, byKey[key])
+		k.writeRecordChanges(now, key, byKey[key])
 	}
 }
 
@@ -126,12 +128,12 @@
 	return a.Range < b.Range
 }
 
-// adoptReleasing goes on with moves that an earlier grantor began.
+// adoptReleasing continues moves that an earlier grantor started.
 func (k *Keeper) adoptReleasing(d *duty) {
-	if d.adopted == k.table {
+	if d.releasesScanned == k.table {
 		return
 	}
-	d.adopted = k.table
+	d.releasesScanned = k.table
 	k.table.EachUnit(d.spec.Service, func(u routing.Unit, st UnitState) {
 		if st.Target == d.spec.Name && st.Releasing && k.moves[u] == nil {
 			k.moves[u] = &move{unit: u, from: st.Target, to: st.Next}
@@ -139,7 +141,7 @@
 	})
 }
 
-func (k *Keeper) advanceMove(now time.Duration, m *move, byKey map[string]*intents, closing map[string][]routing.Unit) {
+func (k *Keeper) advanceMove(now time.Duration, m *move, byKey map[string]*recordChanges, closing map[string][]routing.Unit) {
 	d := k.duties[m.from]
 	st, ok := k.table.State(m.unit)
 	if d == nil || d.phase != serving || !ok || st.Target != m.from {
@@ -147,46 +149,47 @@
 		return
 	}
 	if st.Releasing && m.releasedAt == 0 {
-		m.releasedAt, m.lapse = now, d.lapse
+		m.releasedAt, m.grantExpiresAt = now, d.grantsExpireAt
 		closing[m.from] = append(closing[m.from], m.unit)
 	}
 	key := UnitKey(m.unit)
 	if k.writes[key] != nil || !k.mayWrite(now, d) {
 		return
 	}
-	in := byKey[key]
-	if in == nil {
-		in = &intents{}
-		byKey[key] = in
+	changes := byKey[key]
+	if changes == nil {
+		changes = &recordChanges{}
+		byKey[key] = changes
 	}
 	if !st.Releasing {
-		in.changes = append(in.changes, unitChange{m.unit, UnitState{Target: st.Target, Token: st.Token, Releasing: true, Next: m.to}})
+		changes.units = append(changes.units, unitChange{m.unit, UnitState{Target: st.Target, Token: st.Token, Releasing: true, Next: m.to}})
 		return
 	}
-	if !k.gone(now, d, m) {
+	if !k.oldOwnerStopped(now, d, m) {
 		return
 	}
-	if to := k.receiver(d, m); to != "" {
-		in.changes = append(in.changes, unitChange{m.unit, UnitState{Target: to, Token: st.Token + 1}})
-		in.assigned = append(in.assigned, Assigned{Unit: m.unit, From: m.from, To: to, Token: st.Token + 1})
+	if to := k.currentReceiver(d, m); to != "" {
+		changes.units = append(changes.units, unitChange{m.unit, UnitState{Target: to, Token: st.Token + 1}})
+		changes.assigned = append(changes.assigned, Assigned{Unit: m.unit, From: m.from, To: to, Token: st.Token + 1})
 	}
 }
 
-// mayWrite reports whether this router is the single writer of units leaving the
-// target. A router whose authority lapsed is not, even if nobody has told it yet.
+// mayWrite reports whether this router is the single writer of units that leave the target.
+// A router whose authority has expired is not, even if it has not been notified of that
+// yet.
 func (k *Keeper) mayWrite(now time.Duration, d *duty) bool {
-	return !d.storeless && !d.asker.active && now < d.validUntil(k)
+	return !d.withoutStore && !d.received.active && now < d.validUntil(k)
 }
 
-// gone reports whether the old owner provably doesn't serve the unit any more.
-func (k *Keeper) gone(now time.Duration, d *duty, m *move) bool {
+// oldOwnerStopped reports whether the old owner provably no longer serves the unit.
+func (k *Keeper) oldOwnerStopped(now time.Duration, d *duty, m *move) bool {
 	if k.cfg.omit == omitConfirm {
-		return m.drained || k.lost[m.from]
+		return m.drained || k.lostTargets[m.from]
 	}
 	if d.confirmedAt < m.releasedAt {
-		// Without a confirmation of the record that was asked for after the first write
-		// landed, a grantor that took over in between may have read the units before it,
-		// and grants this one again.
+		// Without a confirmation of the grantor record that was requested after the first
+		// write, a grantor that took over in between may have read the units before that
+		// write and may grant this one again.
 		return false
 	}
 	drained := m.drained || now >= m.releasedAt+k.cfg.RequestBound
@@ -196,16 +199,17 @@
 	case m.confirmed && drained:
 		return true
 	case !d.spec.Grants.Expires:
-		return drained && now >= m.releasedAt+k.cfg.OrderBound && k.lost[m.from]
-	case k.lost[m.from]:
-		return now >= m.lapse
+		return drained && now >= m.releasedAt+k.cfg.OrderBound && k.lostTargets[m.from]
+	case k.lostTargets[m.from]:
+		return now >= m.grantExpiresAt
 	default:
-		return drained && now >= m.lapse
+		return drained && now >= m.grantExpiresAt
 	}
 }
 
-// receiver is the next owner, chosen anew where the one meant is lost or leaves.
-func (k *Keeper) receiver(d *duty, m *move) string {
+// currentReceiver returns the next owner; another one is chosen if the planned one is lost
+// or is being drained.
+func (k *Keeper) currentReceiver(d *duty, m *move) string {
 	candidates := k.candidates(d.spec.Service, k.cfg.DataCentre)
 	for _, c := range candidates {
 		if c.Name == m.to {
@@ -224,7 +228,7 @@
 	return ""
 }
 
-// closeSends tells the shell after the gate was replaced, and asks for the
+// closeSends tells the shell to stop sending, after the gate was replaced, and requests the
 // confirmation that the second write needs.
 func (k *Keeper) closeSends(now time.Duration, closing map[string][]routing.Unit) {
 	if len(closing) == 0 {
@@ -232,21 +236,21 @@
 	}
 	k.refreshGate()
 	for _, target := range sortedKeys(closing) {
-		k.do(CloseSend{Target: target, Units: closing[target], Abort: k.lost[target]})
+		k.emit(CloseSend{Target: target, Units: closing[target], Abort: k.lostTargets[target]})
 		k.sendRead(now, k.duties[target])
 	}
 }
 
-func (k *Keeper) writeIntents(now time.Duration, key string, in *intents) {
-	if len(in.changes) == 0 {
+func (k *Keeper) writeRecordChanges(now time.Duration, key string, changes *recordChanges) {
+	if len(changes.units) == 0 {
 		return
 	}
-	e := k.table.unitShard(in.changes[0].unit)
+	e := k.table.unitShard(changes.units[0].unit)
 	next := e.shard.unpack()
-	for _, c := range in.changes {
+	for _, c := range changes.units {
 		*next.at(c.unit) = c.state
 	}
 	op := k.nextOp()
 	next.Ops = next.Ops.with(op)
-	k.put(now, key, e.revision, op, Update{Shard: next}, in.assigned...)
+	k.put(now, key, e.revision, op, Update{Shard: next}, changes.assigned...)
 }
--- a/core/ownership/mutant_test.go
+++ b/core/ownership/mutant_test.go
@@ -8,15 +8,15 @@
 	"tarragongw/core/ownership"
 )
 
-// TestMutantsAreCaught leaves one rule out at a time; the same histories that the
-// real code stands must then show a violation within the given number.
+// TestMutantsAreCaught disables one rule at a time. The histories that the complete code
+// passes must then show a violation within the given number of histories.
 func TestMutantsAreCaught(t *testing.T) {
 	const histories = 400
 	mutants := map[string]ownership.Omitted{
 		"no wait-out":                   ownership.OmitWaitOut,
 		"no term check":                 ownership.OmitTermCheck,
 		"lost reply not read back":      ownership.OmitReadBack,
-		"act on lapsed authority":       ownership.OmitValidity,
+		"act on expired authority":      ownership.OmitValidity,
 		"renew after release":           ownership.OmitRelease,
 		"no confirmation before a move": ownership.OmitConfirm,
 		"store extends in promise mode": ownership.OmitPromiseMode,
@@ -24,7 +24,7 @@
 	for name, rule := range mutants {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			gen := rapid.Custom(func(t *rapid.T) []string { return drawHistory(t, rule).Violations })
+			gen := rapid.Custom(func(t *rapid.T) []string { return generatedHistory(t, rule).Violations })
 			for seed := range histories {
 				if v := gen.Example(seed); len(v) > 0 {
 					t.Logf("history %d: %s", seed, v[0])
--- a/core/ownership/ownershiptest/check.go
+++ b/core/ownership/ownershiptest/check.go
@@ -9,8 +9,8 @@
 	"tarragongw/core/routing"
 )
 
-// request sends one request on each unit from every router that may.
-func (w *World) request() {
+// sendRequests sends one request on each unit from every running router that may send it.
+func (w *World) sendRequests() {
 	for _, u := range w.Units() {
 		for _, r := range w.routers {
 			if !r.dead && !r.paused {
@@ -18,7 +18,7 @@
 			}
 		}
 	}
-	w.after(w.opt.RequestEvery, w.request)
+	w.after(w.opt.RequestEvery, w.sendRequests)
 }
 
 // Units lists the units of all services.
@@ -45,19 +45,19 @@
 	}
 	term := r.gate.Term(owner.Target)
 	t := w.targets[owner.Target]
-	way := w.jitter(oneWay) + w.slow() + w.distance(r, t)
-	if way > ownership.DefaultOrderBound {
-		w.violate(fmt.Sprintf("work was under way to %s for %v", owner.Target, way))
+	latency := w.jitter(networkLatency) + w.orderDelay() + w.addedLatency(r, t)
+	if latency > ownership.DefaultOrderBound {
+		w.violate(fmt.Sprintf("work was under way to %s for %v", owner.Target, latency))
 	}
-	r.inFlight[owner.Target] = max(r.inFlight[owner.Target], w.now+way)
+	r.inFlight[owner.Target] = max(r.inFlight[owner.Target], w.now+latency)
 	if !w.reaches(r, t) {
 		return
 	}
-	w.after(way, func() { w.execute(t, u, owner.Token, term, r.self) })
+	w.after(latency, func() { w.execute(t, u, owner.Token, term, r.self) })
 }
 
-// execute is a target's decision on a request, and the check that what it runs
-// has a single owner and, where it doesn't check, a single sender.
+// execute is a target's handling of a request. It also checks that each unit is executed by
+// a single owner and that a target that does not check terms has a single sender.
 func (w *World) execute(t *fakeTarget, u routing.Unit, token, term uint64, from ownership.Router) {
 	if !t.up() || !t.holds(w.now, u, token) {
 		return
@@ -66,28 +66,28 @@
 		if term < t.term {
 			return
 		}
-	} else if term < t.maxTerm && from != t.orderedBy {
-		w.violate(fmt.Sprintf("target %s got an order of term %d after one of term %d", t.spec.Name, term, t.maxTerm))
+	} else if term < t.highestTerm && from != t.highestTermFrom {
+		w.violate(fmt.Sprintf("target %s got an order of term %d after one of term %d", t.spec.Name, term, t.highestTerm))
 	}
-	if term >= t.maxTerm {
-		t.maxTerm, t.orderedBy = term, from
+	if term >= t.highestTerm {
+		t.highestTerm, t.highestTermFrom = term, from
 	}
-	if token < w.maxToken[u] {
-		w.violate(fmt.Sprintf("unit %s ran at %s with token %d after token %d", u, t.spec.Name, token, w.maxToken[u]))
+	if token < w.highestToken[u] {
+		w.violate(fmt.Sprintf("unit %s ran at %s with token %d after token %d", u, t.spec.Name, token, w.highestToken[u]))
 	}
-	w.maxToken[u] = max(w.maxToken[u], token)
-	w.by[written{u, token, t.spec.Name}] = true
+	w.highestToken[u] = max(w.highestToken[u], token)
+	w.executed[assignment{u, token, t.spec.Name}] = true
 	if s := w.served[u]; s != nil {
-		if s.tracked {
-			s.gap = max(s.gap, w.now-s.last)
+		if s.measuring {
+			s.longestGap = max(s.longestGap, w.now-s.lastRun)
 		}
-		s.last = w.now
+		s.lastRun = w.now
 		return
 	}
-	w.served[u] = &service{last: w.now}
+	w.served[u] = &serviceTimes{lastRun: w.now}
 }
 
-// checkGrants looks for a unit that two targets hold at the same time.
+// checkGrants reports a unit that two targets hold at the same time.
 func (w *World) checkGrants(t *fakeTarget) {
 	if !t.spec.Grants.Expires || w.now >= t.expires {
 		return
@@ -105,39 +105,40 @@
 	}
 }
 
-func (w *World) acknowledged(a ownership.Assigned) {
-	e := written{a.Unit, a.Token, a.To}
-	w.acked = append(w.acked, e)
+// checkAcknowledged checks that an acknowledged assignment is in the store.
+func (w *World) checkAcknowledged(a ownership.Assigned) {
+	e := assignment{a.Unit, a.Token, a.To}
+	w.acknowledged = append(w.acknowledged, e)
 	if a.From != "" {
 		w.Moves++
 	}
-	if !w.store.log[e] {
+	if !w.store.assignments[e] {
 		w.violate(fmt.Sprintf("assignment of %s to %s token %d was acknowledged and is not in the store", a.Unit, a.To, a.Token))
 	}
 }
 
-// Track starts to measure the longest time between two runs of each unit.
+// Track starts to measure the longest time between two executions on each unit.
 func (w *World) Track() {
 	for _, s := range w.served {
-		s.tracked, s.gap = true, 0
+		s.measuring, s.longestGap = true, 0
 	}
 }
 
-// Gap returns the longest time that the unit was not served since Track, at least
-// the time since its last run.
+// Gap returns the longest time that the unit was not served since Track, and at least the
+// time since it was last served.
 func (w *World) Gap(u routing.Unit) time.Duration {
 	s := w.served[u]
 	if s == nil {
 		return w.now
 	}
-	return max(s.gap, w.now-s.last)
+	return max(s.longestGap, w.now-s.lastRun)
 }
 
-// Unserved lists the units that did not run within the last d.
+// Unserved lists the units that were not served within the last d.
 func (w *World) Unserved(d time.Duration) []string {
 	var out []string
 	for _, u := range w.Units() {
-		if s := w.served[u]; s == nil || w.now-s.last > d {
+		if s := w.served[u]; s == nil || w.now-s.lastRun > d {
 			out = append(out, u.String())
 		}
 	}
@@ -145,11 +146,11 @@
 	return out
 }
 
-// TargetLost reports whether the target was ended for good.
+// TargetLost reports whether the target was stopped for good.
 func (w *World) TargetLost(name string) bool { return w.targets[name] != nil && w.targets[name].dead }
 
-// Owner returns the unit's owner as in the store.
+// Owner returns the unit's owner according to the store.
 func (w *World) Owner(u routing.Unit) string { return w.store.owners[u].to }
 
-// StoreCalls returns the writes and reads that the store took.
+// StoreCalls returns how many writes and reads the store has handled.
 func (w *World) StoreCalls() (writes, reads int) { return w.store.writes, w.store.reads }
--- a/core/ownership/ownershiptest/sim.go
+++ b/core/ownership/ownershiptest/sim.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// sim runs functions in order of time; equal times in order of insertion.
+// sim runs functions in order of time; functions with equal times run in order of
+// insertion.
 type sim struct {
-	now   time.Duration
-	queue eventQueue
-	count int
+	now      time.Duration
+	queue    eventQueue
+	inserted int
 }
 
 type simEvent struct {
@@ -41,8 +42,8 @@
 }
 
 func (s *sim) after(d time.Duration, run func()) {
-	s.count++
-	heap.Push(&s.queue, simEvent{s.now + d, s.count, run})
+	s.inserted++
+	heap.Push(&s.queue, simEvent{s.now + d, s.inserted, run})
 }
 
 func (s *sim) runUntil(end time.Duration) {
--- a/core/ownership/ownershiptest/world.go
+++ b/core/ownership/ownershiptest/world.go
@@ -14,88 +14,90 @@
 	"tarragongw/core/routing"
 )
 
-// Options describe a world.
+// Options configure a World.
 type Options struct {
 	Seed     int64
 	Routers  int
 	Targets  []ownership.TargetSpec
 	Services []ownership.ServiceSpec
-	// Keeper makes a router's settings from its identity.
+	// Keeper returns a router's settings for its identity.
 	Keeper func(self ownership.Router) ownership.Config
-	// Detect is the membership's time to notice a loss or a return.
+	// Detect is how long the membership takes to detect a loss or a return.
 	Detect time.Duration
-	// DataCentres, if set, are those of the routers in turn; otherwise all are in one.
+	// DataCentres, if set, are assigned to the routers in turn; otherwise all routers are in
+	// one data centre.
 	DataCentres []string
-	// CutOff is how long nothing is heard of a data centre until it counts as cut off.
+	// CutOff is how long no heartbeat of a data centre arrives before it counts as cut off.
 	CutOff time.Duration
-	// ReplyLoss is the share of store replies that are lost, from 0 to 1.
+	// ReplyLoss is the proportion of store replies that are lost, from 0 to 1.
 	ReplyLoss float64
 	// RequestEvery is the interval at which each unit gets a request.
 	RequestEvery time.Duration
-	// Trace, if set, sees each router's events and actions.
+	// Trace, if set, is called for each router's events and actions.
 	Trace func(at time.Duration, router string, what any)
-	// Confirm makes a router's settings as asker and relay of confirmations; without it
-	// each router reads by itself.
+	// Confirm returns the settings of a router's confirm core, which relays confirmations.
+	// If it is nil, each router reads the records itself.
 	Confirm func(self ownership.Router) confirm.Config
 }
 
 // Latencies of the fakes.
 const (
-	tickEvery   = 10 * time.Millisecond
-	oneWay      = 500 * time.Microsecond
-	storeWay    = time.Millisecond
-	callTimeout = 100 * time.Millisecond
-	// listEvery is how often a router catches up with what its watch missed.
-	listEvery = 300 * time.Millisecond
-	// orderLatest is below the default OrderBound; what would take longer is dropped,
-	// as a connection's deadline does.
-	orderLatest = 20 * time.Millisecond
+	tickInterval   = 10 * time.Millisecond
+	networkLatency = 500 * time.Microsecond
+	storeLatency   = time.Millisecond
+	callTimeout    = 100 * time.Millisecond
+	// listInterval is how often routers get all records, in place of changes that their
+	// watch missed.
+	listInterval = 300 * time.Millisecond
+	// maxOrderDelay is below the default OrderBound. Orders that would take longer are
+	// dropped in a real system by the deadline of the connection.
+	maxOrderDelay = 20 * time.Millisecond
 )
 
-// World is a set of routers, targets and a store in injected time.
+// World is a set of routers, targets and a store in simulated time.
 type World struct {
 	sim
-	opt     Options
-	rand    *rand.Rand
-	store   *store
-	routers []*router
-	targets map[string]*fakeTarget
-	names   []string
-	cut     map[[2]int]bool
-	// deaf is until when a router doesn't hear the others as live.
-	deaf map[int]time.Duration
-	// deafTo is the same of two routers.
-	deafTo map[[2]int]time.Duration
-	// blind is until when a router reaches no target.
-	blind map[int]time.Duration
-	// parted is until when routers of a data centre reach no target of others, and the
-	// other way round.
-	parted map[string]time.Duration
-	// Distance is what the way between data centres adds to an order.
-	Distance time.Duration
-	// refusing makes the store refuse writes at once.
-	refusing bool
+	opt      Options
+	rand     *rand.Rand
+	store    *store
+	routers  []*router
+	targets  map[string]*fakeTarget
+	names    []string
+	cutLinks map[[2]int]bool
+	// deafUntil is until when a router receives no heartbeats.
+	deafUntil map[int]time.Duration
+	// deafToUntil is until when the first router receives no heartbeats from the second.
+	deafToUntil map[[2]int]time.Duration
+	// targetsUnreachableUntil is until when a router reaches no target.
+	targetsUnreachableUntil map[int]time.Duration
+	// partitionedUntil is until when routers of a data centre reach no targets of other data
+	// centres, and routers of those no targets of this one.
+	partitionedUntil map[string]time.Duration
+	// AddedLatency is the additional latency of an order between data centres.
+	AddedLatency time.Duration
+	// refusingWrites makes the store refuse writes immediately.
+	refusingWrites bool
 	// StoreDown makes the store unreachable for all.
 	StoreDown bool
-	// Violations is what was seen that must never be.
+	// Violations are the violated guarantees.
 	Violations []string
 	// Moves counts assignments away from a target.
 	Moves int
-	// Reports are the reports of all routers.
+	// Reports are the reports of all routers, in order.
 	Reports []ownership.Report
 	// Asked are the targets of all requests for promises, in order.
-	Asked    []string
-	served   map[routing.Unit]*service
-	maxToken map[routing.Unit]uint64
-	by       map[written]bool
-	acked    []written
+	Asked        []string
+	served       map[routing.Unit]*serviceTimes
+	highestToken map[routing.Unit]uint64
+	executed     map[assignment]bool
+	acknowledged []assignment
 }
 
-// service is when a unit was served.
-type service struct {
-	last    time.Duration
-	gap     time.Duration
-	tracked bool
+// serviceTimes records when a unit was served.
+type serviceTimes struct {
+	lastRun    time.Duration
+	longestGap time.Duration
+	measuring  bool
 }
 
 type router struct {
@@ -106,51 +108,52 @@
 	gate   *ownership.Gate
 	paused bool
 	dead   bool
-	// leaving says that the router announced its planned stop.
-	leaving  bool
-	storeCut bool
-	rate     float64
-	backlog  []func()
-	confirms *confirm.Core
-	// confirmDue is when, on the router's clock, that core asked to be ticked.
-	confirmDue time.Duration
-	// inFlight is when the last request sent to a target has ended.
-	inFlight map[string]time.Duration
-	seenAt   map[int]time.Duration
-	// members is what the keeper was last told.
+	// leaving means that the router has announced its planned stop.
+	leaving     bool
+	storeCut    bool
+	clockRate   float64
+	backlog     []func()
+	confirmCore *confirm.Core
+	// confirmTickDue is when, on the router's clock, the next tick of the confirm core is
+	// due.
+	confirmTickDue time.Duration
+	// inFlight is when the latest request sent to each target ends.
+	inFlight        map[string]time.Duration
+	lastHeartbeatAt map[int]time.Duration
+	// members are the members that the keeper last received.
 	members ownership.Members
-	// targets are those of the configuration that the router has.
+	// targets are the targets in the router's configuration.
 	targets []ownership.TargetSpec
-	// due is when, on the router's clock, the keeper asked to be ticked.
-	due time.Duration
+	// tickDue is when, on the router's clock, the next tick of the keeper is due.
+	tickDue time.Duration
 }
 
-// New builds a world and starts it.
+// New returns a new world whose routers have started.
 func New(opt Options) *World {
 	w := &World{opt: opt, rand: rand.New(rand.NewSource(opt.Seed)), store: newStore(), targets: map[string]*fakeTarget{},
-		cut: map[[2]int]bool{}, deaf: map[int]time.Duration{}, deafTo: map[[2]int]time.Duration{}, blind: map[int]time.Duration{}, parted: map[string]time.Duration{}, served: map[routing.Unit]*service{}, maxToken: map[routing.Unit]uint64{}, by: map[written]bool{}}
+		cutLinks: map[[2]int]bool{}, deafUntil: map[int]time.Duration{}, deafToUntil: map[[2]int]time.Duration{}, targetsUnreachableUntil: map[int]time.Duration{}, partitionedUntil: map[string]time.Duration{}, served: map[routing.Unit]*serviceTimes{}, highestToken: map[routing.Unit]uint64{}, executed: map[assignment]bool{}}
 	for _, t := range opt.Targets {
 		w.targets[t.Name] = &fakeTarget{spec: t, units: map[routing.Unit]uint64{}}
 		w.names = append(w.names, t.Name)
 	}
 	sort.Strings(w.names)
 	for i := range opt.Routers {
-		r := &router{world: w, index: i, rate: 1 + 0.003*float64(i%3-1)}
+		r := &router{world: w, index: i, clockRate: 1 + 0.003*float64(i%3-1)}
 		w.routers = append(w.routers, r)
 		r.start(1)
 	}
 	w.after(0, w.tick)
-	w.after(listEvery, w.list)
+	w.after(listInterval, w.listRecords)
 	if opt.RequestEvery > 0 {
-		w.after(opt.RequestEvery, w.request)
+		w.after(opt.RequestEvery, w.sendRequests)
 	}
 	return w
 }
 
-// Run lets time pass.
+// Run advances the time by d.
 func (w *World) Run(d time.Duration) { w.runUntil(w.now + d) }
 
-// After runs f when d has passed.
+// After runs f after d has passed.
 func (w *World) After(d time.Duration, f func()) { w.after(d, f) }
 
 // Now is the time since the start.
@@ -160,13 +163,13 @@
 	r.self = ownership.Router{Name: fmt.Sprintf("r%d", r.index), Incarnation: incarnation}
 	r.keeper = ownership.NewKeeper(r.world.opt.Keeper(r.self))
 	r.gate, r.dead, r.leaving, r.paused, r.backlog, r.members = nil, false, false, false, nil, ownership.Members{}
-	r.due, r.confirmDue = 0, 0
-	r.startConfirms()
+	r.tickDue, r.confirmTickDue = 0, 0
+	r.startConfirmCore()
 	r.inFlight = map[string]time.Duration{}
-	r.seenAt = map[int]time.Duration{}
+	r.lastHeartbeatAt = map[int]time.Duration{}
 	for _, o := range r.world.routers {
-		if r.world.now >= r.world.deaf[r.index] {
-			r.seenAt[o.index] = r.world.now
+		if r.world.now >= r.world.deafUntil[r.index] {
+			r.lastHeartbeatAt[o.index] = r.world.now
 		}
 	}
 	if r.targets == nil {
@@ -175,9 +178,10 @@
 	r.step(ownership.Configured{Targets: r.targets, Services: r.world.opt.Services})
 }
 
-// local is the router's own clock, which starts at one hour and runs at its rate.
+// local is the time on the router's own clock, which starts at one hour and runs at the
+// router's clock rate.
 func (r *router) local() time.Duration {
-	return time.Hour + time.Duration(float64(r.world.now)*r.rate)
+	return time.Hour + time.Duration(float64(r.world.now)*r.clockRate)
 }
 
 func (r *router) step(e ownership.Event) {
@@ -189,7 +193,7 @@
 		return
 	}
 	if _, tick := e.(ownership.Tick); tick {
-		r.due = 0
+		r.tickDue = 0
 	}
 	r.trace(e)
 	actions := r.keeper.Step(r.local(), e)
@@ -197,9 +201,9 @@
 		r.trace(a)
 		r.carryOut(a)
 	}
-	r.askRelay(actions)
-	if due := r.local() + r.keeper.Wake(r.local()); r.due == 0 || due < r.due {
-		r.due = due
+	r.requestRelayedReads(actions)
+	if due := r.local() + r.keeper.Wake(r.local()); r.tickDue == 0 || due < r.tickDue {
+		r.tickDue = due
 	}
 }
 
@@ -209,11 +213,11 @@
 	}
 }
 
-// answer delivers an event to this life of the router only.
-func (r *router) answer(d time.Duration, e func() ownership.Event) {
-	life := r.keeper
+// deliverAfter delivers an event after d, to this instance of the router only.
+func (r *router) deliverAfter(d time.Duration, e func() ownership.Event) {
+	instance := r.keeper
 	r.world.after(d, func() {
-		if r.keeper == life {
+		if r.keeper == instance {
 			r.step(e())
 		}
 	})
@@ -221,50 +225,50 @@
 
 func (w *World) tick() {
 	for _, r := range w.routers {
-		r.watchMembers()
-		if !r.paused && r.local() >= r.due {
+		r.updateMembers()
+		if !r.paused && r.local() >= r.tickDue {
 			r.step(ownership.Tick{})
 		}
-		if r.confirms != nil && !r.paused && r.local() >= r.confirmDue {
-			r.stepConfirms(confirm.Tick{})
+		if r.confirmCore != nil && !r.paused && r.local() >= r.confirmTickDue {
+			r.stepConfirmCore(confirm.Tick{})
 		}
 	}
-	w.after(tickEvery, w.tick)
+	w.after(tickInterval, w.tick)
 }
 
-func (w *World) linked(a, b int) bool { return !w.cut[[2]int{min(a, b), max(a, b)}] }
+func (w *World) linked(a, b int) bool { return !w.cutLinks[[2]int{min(a, b), max(a, b)}] }
 
-// watchMembers stands in for the membership: a router is live while it was heard
+// updateMembers stands in for the membership: a router is live if a heartbeat of it arrived
 // within Detect.
-func (r *router) watchMembers() {
+func (r *router) updateMembers() {
 	if r.dead || r.paused {
 		return
 	}
 	live, leaving := []ownership.Router{}, []ownership.Router{}
 	for _, o := range r.world.routers {
 		if o == r || !o.dead && !o.paused && r.world.hears(r.index, o.index) {
-			r.seenAt[o.index] = r.world.now
+			r.lastHeartbeatAt[o.index] = r.world.now
 		}
-		if at, ok := r.seenAt[o.index]; ok && r.world.now-at < r.world.opt.Detect && o.dataCentre() == r.dataCentre() {
+		if at, ok := r.lastHeartbeatAt[o.index]; ok && r.world.now-at < r.world.opt.Detect && o.dataCentre() == r.dataCentre() {
 			live = append(live, o.self)
 			if o.leaving {
 				leaving = append(leaving, o.self)
 			}
 		}
 	}
-	next := ownership.Members{Live: live, Leaving: leaving, Elsewhere: r.elsewhere()}
+	next := ownership.Members{Live: live, Leaving: leaving, Elsewhere: r.otherDataCentres()}
 	same := slices.Equal(next.Live, r.members.Live) && slices.Equal(next.Leaving, r.members.Leaving) &&
 		slices.Equal(next.Elsewhere, r.members.Elsewhere)
 	if !same {
 		r.members = next
 		r.step(next)
-		r.tellMembers(live, leaving)
+		r.updateConfirmMembers(live, leaving)
 	}
 }
 
-// hears says whether the heartbeats of router b reach router a.
+// hears reports whether the heartbeats of router b reach router a.
 func (w *World) hears(a, b int) bool {
-	return w.linked(a, b) && w.now >= w.deaf[a] && w.now >= w.deafTo[[2]int{a, b}]
+	return w.linked(a, b) && w.now >= w.deafUntil[a] && w.now >= w.deafToUntil[[2]int{a, b}]
 }
 
 func (w *World) jitter(d time.Duration) time.Duration {
@@ -275,7 +279,7 @@
 	w := r.world
 	switch a := a.(type) {
 	case ownership.Read:
-		if !a.Relayed || r.confirms == nil {
+		if !a.Relayed || r.confirmCore == nil {
 			w.read(r, a)
 		}
 	case ownership.CAS:
@@ -287,13 +291,13 @@
 	case ownership.ProbeTarget:
 		w.probe(r, a)
 	case ownership.CloseSend:
-		r.answer(max(time.Millisecond, r.inFlight[a.Target]-w.now), func() ownership.Event { return ownership.SendClosed{Target: a.Target, Units: a.Units} })
+		r.deliverAfter(max(time.Millisecond, r.inFlight[a.Target]-w.now), func() ownership.Event { return ownership.SendClosed{Target: a.Target, Units: a.Units} })
 	case ownership.SetGate:
 		r.gate = a.Gate
 	case ownership.Publish:
 		w.publish(r, a)
 	case ownership.Assigned:
-		w.acknowledged(a)
+		w.checkAcknowledged(a)
 	case ownership.Report:
 		w.Reports = append(w.Reports, a)
 	}
@@ -304,71 +308,71 @@
 func (w *World) read(r *router, a ownership.Read) {
 	fail := ownership.StoreRead{Key: a.Key, SentAt: a.SentAt, Outcome: ownership.Unavailable}
 	if !w.reachesStore(r) || w.rand.Float64() < w.opt.ReplyLoss {
-		r.answer(callTimeout, func() ownership.Event { return fail })
+		r.deliverAfter(callTimeout, func() ownership.Event { return fail })
 		return
 	}
-	w.after(w.jitter(storeWay), func() {
+	w.after(w.jitter(storeLatency), func() {
 		w.store.reads++
 		rec := w.store.records[a.Key]
 		e := ownership.StoreRead{Key: a.Key, SentAt: a.SentAt, Outcome: ownership.Landed, Revision: rec.revision, Value: rec.value}
-		r.answer(w.jitter(storeWay), func() ownership.Event { return e })
+		r.deliverAfter(w.jitter(storeLatency), func() ownership.Event { return e })
 	})
 }
 
-// compareAndSwap may lose the call, delay it past its timeout, or lose the reply.
+// compareAndSwap may drop the call, delay it beyond its timeout, or drop the reply.
 func (w *World) compareAndSwap(r *router, a ownership.CAS) {
 	if !w.reachesStore(r) {
-		r.answer(callTimeout, func() ownership.Event {
+		r.deliverAfter(callTimeout, func() ownership.Event {
 			return ownership.CASResult{Key: a.Key, Op: a.Op, Outcome: ownership.Unavailable}
 		})
 		return
 	}
-	if w.refusing {
-		r.answer(w.jitter(storeWay), func() ownership.Event {
+	if w.refusingWrites {
+		r.deliverAfter(w.jitter(storeLatency), func() ownership.Event {
 			return ownership.CASResult{Key: a.Key, Op: a.Op, Outcome: ownership.Unavailable}
 		})
 		return
 	}
 	lost := w.rand.Float64() < w.opt.ReplyLoss
-	way := w.jitter(storeWay)
+	latency := w.jitter(storeLatency)
 	if lost {
-		way = time.Duration(w.rand.Int63n(int64(3 * callTimeout)))
+		latency = time.Duration(w.rand.Int63n(int64(3 * callTimeout)))
 	}
 	if !lost || w.rand.Intn(3) > 0 {
-		w.after(way, func() {
+		w.after(latency, func() {
 			outcome, revision, err := w.store.cas(a)
 			if err != nil {
 				w.violate(err.Error())
 			}
 			if outcome == ownership.Landed {
-				w.watch(a.Key)
+				w.notifyWatchers(a.Key)
 			}
 			if !lost {
 				e := ownership.CASResult{Key: a.Key, Op: a.Op, Outcome: outcome, Revision: revision}
-				r.answer(w.jitter(storeWay), func() ownership.Event { return e })
+				r.deliverAfter(w.jitter(storeLatency), func() ownership.Event { return e })
 			}
 		})
 	}
 	if lost {
-		r.answer(callTimeout, func() ownership.Event { return ownership.CASResult{Key: a.Key, Op: a.Op, Outcome: ownership.Unknown} })
+		r.deliverAfter(callTimeout, func() ownership.Event { return ownership.CASResult{Key: a.Key, Op: a.Op, Outcome: ownership.Unknown} })
 	}
 }
 
-// list gives each router that reaches the store all records, as a watch that
-// resumes does.
-func (w *World) list() {
+// listRecords sends all records to each router that reaches the store, as a watch does when
+// it resumes.
+func (w *World) listRecords() {
 	for _, key := range slices.Sorted(maps.Keys(w.store.records)) {
-		w.watch(key)
+		w.notifyWatchers(key)
 	}
-	w.after(listEvery, w.list)
+	w.after(listInterval, w.listRecords)
 }
 
-// watch tells the routers that reach the store what changed.
-func (w *World) watch(key string) {
+// notifyWatchers sends a changed record to the routers that reach the store.
+func (w *World) notifyWatchers(key string) {
 	rec := w.store.records[key]
 	for _, r := range w.routers {
 		if w.reachesStore(r) {
-			r.answer(w.jitter(5*storeWay), func() ownership.Event {
+			r.deliverAfter(w.jitter(5*storeLatency), func() ownership.Event {
 				return ownership.StoreChanged{Key: key, Revision: rec.revision, Value: rec.value}
 			})
 		}
@@ -380,7 +384,7 @@
 		if o == r || !w.linked(r.index, o.index) {
 			continue
 		}
-		o.answer(w.jitter(2*oneWay), func() ownership.Event {
+		o.deliverAfter(w.jitter(2*networkLatency), func() ownership.Event {
 			if a.Revision > 0 {
 				return ownership.StoreChanged(a)
 			}
@@ -402,9 +406,9 @@
 			continue
 		}
 		e := ownership.PeerMessage{From: r.self, Message: a.Message}
-		o.answer(w.jitter(oneWay), func() ownership.Event { return e })
+		o.deliverAfter(w.jitter(networkLatency), func() ownership.Event { return e })
 		if a.Message.Kind == ownershippb.Peer_PROMISE_REQUEST && w.rand.Intn(8) == 0 {
-			o.answer(time.Duration(w.rand.Int63n(int64(time.Second))), func() ownership.Event { return e }) // repeated late
+			o.deliverAfter(time.Duration(w.rand.Int63n(int64(time.Second))), func() ownership.Event { return e }) // a late duplicate
 		}
 	}
 }
@@ -412,13 +416,13 @@
 func (w *World) sendGrant(r *router, a ownership.SendGrant) {
 	silent := ownership.GrantResult{Target: a.Target, Sequence: a.Sequence, Silent: true}
 	t := w.targets[a.Target]
-	way := w.jitter(oneWay) + w.slow() + w.distance(r, t)
-	w.after(way, func() {
-		if way > ownership.DefaultOrderBound && !a.Fence {
-			w.violate(fmt.Sprintf("a grant was under way to %s for %v", a.Target, way))
+	latency := w.jitter(networkLatency) + w.orderDelay() + w.addedLatency(r, t)
+	w.after(latency, func() {
+		if latency > ownership.DefaultOrderBound && !a.Fence {
+			w.violate(fmt.Sprintf("a grant was under way to %s for %v", a.Target, latency))
 		}
 		if !w.reaches(r, t) {
-			r.answer(callTimeout, func() ownership.Event { return silent })
+			r.deliverAfter(callTimeout, func() ownership.Event { return silent })
 			return
 		}
 		ok := t.grant(w.now, a)
@@ -426,33 +430,33 @@
 			w.checkGrants(t)
 		}
 		e := ownership.GrantResult{Target: a.Target, Sequence: a.Sequence, Accepted: ok, Term: t.term}
-		r.answer(w.jitter(oneWay)+w.distance(r, t), func() ownership.Event { return e })
+		r.deliverAfter(w.jitter(networkLatency)+w.addedLatency(r, t), func() ownership.Event { return e })
 	})
 }
 
 func (w *World) reaches(r *router, t *fakeTarget) bool {
-	apart := r.dataCentre() != t.spec.DataCentre && w.now < max(w.parted[r.dataCentre()], w.parted[t.spec.DataCentre])
-	return t.up() && w.now >= w.blind[r.index] && !apart
+	partitioned := r.dataCentre() != t.spec.DataCentre && w.now < max(w.partitionedUntil[r.dataCentre()], w.partitionedUntil[t.spec.DataCentre])
+	return t.up() && w.now >= w.targetsUnreachableUntil[r.index] && !partitioned
 }
 
-// probe looks whether the router reaches the target, for another one.
+// probe checks on behalf of another router whether the router reaches the target.
 func (w *World) probe(r *router, a ownership.ProbeTarget) {
 	reached := w.reaches(r, w.targets[a.Target])
-	way := 2 * (w.jitter(oneWay) + w.distance(r, w.targets[a.Target]))
+	latency := 2 * (w.jitter(networkLatency) + w.addedLatency(r, w.targets[a.Target]))
 	if !reached {
-		way = callTimeout
+		latency = callTimeout
 	}
-	r.answer(way, func() ownership.Event {
+	r.deliverAfter(latency, func() ownership.Event {
 		return ownership.TargetProbed{Target: a.Target, For: a.For, Reached: reached}
 	})
 }
 
-// slow delays one order in eight.
-func (w *World) slow() time.Duration {
+// orderDelay returns an additional delay for one order in eight, and zero for the others.
+func (w *World) orderDelay() time.Duration {
 	if w.rand.Intn(8) > 0 {
 		return 0
 	}
-	return time.Duration(w.rand.Int63n(int64(orderLatest)))
+	return time.Duration(w.rand.Int63n(int64(maxOrderDelay)))
 }
 
 func (w *World) violate(text string) {
--- a/core/ownership/packed.go
+++ b/core/ownership/packed.go
@@ -6,33 +6,34 @@
 	"tarragongw/core/routing"
 )
 
-// packedShard is an ownership record as the table keeps it. Every router keeps all of
-// them: a unit takes 12 bytes besides its record's list of targets, where a UnitState
-// with its two names takes 56. It is not changed once made.
+// packedShard is an ownership record in the form that the table keeps. Every router keeps
+// all records: a unit takes 12 bytes plus its record's list of targets, where a UnitState
+// with its two names takes 56. A packedShard is not modified after it was built.
 type packedShard struct {
 	service string
 	kind    routing.UnitKind
 	index   uint32
 	// names are the key ranges, sorted; nil for slots.
 	names []string
-	// targets are numbered from one; zero stands for none.
+	// targets are numbered from one; zero means none.
 	targets []string
-	// owners and tokens run in parallel, one for each unit. An owner with isMoving has
-	// an entry in moving.
+	// owners and tokens run in parallel, one entry for each unit. An owner with the bit
+	// hasRelease has an entry in releases.
 	owners []uint32
 	tokens []uint64
-	// moving holds what few units have, by their place.
-	moving map[int]moving
-	ops    Ops
+	// releases holds the state of units that are being released, by position; few units have
+	// it.
+	releases map[int]release
+	ops      Ops
 }
 
-// isMoving is the bit of an owner's number that spares the other units a look into moving.
-const isMoving = 1 << 31
+// hasRelease is a bit in an owner's number; units without it need no look-up in releases.
+const hasRelease = 1 << 31
 
-// moving is a unit's next owner by number, and whether it is being released.
-type moving struct {
-	next      uint32
-	releasing bool
+// release is the number of a unit's next owner, and whether the unit is being released.
+type release struct {
+	next       uint32
+	inProgress bool
 }
 
 func pack(s *Shard) *packedShard {
@@ -44,24 +45,24 @@
 		service: s.Service, kind: s.Kind, index: s.Index, names: s.Names, ops: s.Ops,
 		owners: make([]uint32, len(units)), tokens: make([]uint64, len(units)),
 	}
-	var d dictionary
+	var d targetIndex
 	for i := range units {
 		st := &units[i]
 		p.owners[i], p.tokens[i] = d.add(st.Target), st.Token
 		if !st.Releasing && st.Next == "" {
 			continue
 		}
-		if p.moving == nil {
-			p.moving = map[int]moving{}
+		if p.releases == nil {
+			p.releases = map[int]release{}
 		}
-		p.owners[i] |= isMoving
-		p.moving[i] = moving{next: d.add(st.Next), releasing: st.Releasing}
+		p.owners[i] |= hasRelease
+		p.releases[i] = release{next: d.add(st.Next), inProgress: st.Releasing}
 	}
 	p.targets = append([]string(nil), d.names...)
 	return p
 }
 
-// unpack returns a copy of the record that may be changed.
+// unpack returns a copy of the record that may be modified.
 func (p *packedShard) unpack() *Shard {
 	s := &Shard{Service: p.service, Kind: p.kind, Index: p.index, Ops: p.ops, Names: append([]string(nil), p.names...)}
 	units := make([]UnitState, len(p.owners))
@@ -85,15 +86,15 @@
 
 func (p *packedShard) state(place int) UnitState {
 	owner := p.owners[place]
-	st := UnitState{Target: p.name(owner &^ isMoving), Token: p.tokens[place]}
-	if owner&isMoving != 0 {
-		m := p.moving[place]
-		st.Next, st.Releasing = p.name(m.next), m.releasing
+	st := UnitState{Target: p.name(owner &^ hasRelease), Token: p.tokens[place]}
+	if owner&hasRelease != 0 {
+		m := p.releases[place]
+		st.Next, st.Releasing = p.name(m.next), m.inProgress
 	}
 	return st
 }
 
-// place returns where the unit is, or -1.
+// place returns the position of the unit, or -1.
 func (p *packedShard) place(u routing.Unit) int {
 	if u.Service != p.service || u.Kind != p.kind {
 		return -1
--- a/core/ownership/proof.go
+++ b/core/ownership/proof.go
@@ -5,68 +5,70 @@
 	"time"
 )
 
-// enter starts the proof that nobody else orders the target, once the record
-// names this router. wait is how long the authority of others may still have
-// effects; never where nothing bounds it, and then only the target's own refusal
-// of the old term is a proof.
-func (k *Keeper) enter(now time.Duration, d *duty, wait time.Duration) {
-	d.term, d.begunAt, d.reported = d.record.Term, 0, noReport
-	d.late, d.takenAt = k.stopping, now
-	d.until, d.grants, d.raise = 0, grants{}, false
-	d.asker = asker{sequence: d.asker.sequence}
+// startProof starts the proof that no other router orders the target, once the record names
+// this router. wait is how long the authority of others may still have effects. If nothing
+// bounds it, wait is never, and the only proof is that the target refuses the old term.
+func (k *Keeper) startProof(now time.Duration, d *duty, wait time.Duration) {
+	d.term, d.promisesStoppedAt, d.reported = d.record.Term, 0, noReport
+	d.takenWhileStopping, d.takenAt = k.stopping, now
+	d.until, d.grants, d.termRaisePending = 0, grants{}, false
+	d.received = receivedPromises{sequence: d.received.sequence}
 	d.waitUntil = never
 	if wait != never {
-		// A grant never outlasts the authority that it was sent under, so waiting that out
-		// leaves no grant to lapse.
-		d.waitUntil, d.oldGrants = now+wait, max(0, k.cfg.waitOut()-wait)
+		// A grant never outlasts the authority that it was sent under, so after a wait for
+		// the whole authority no grant of it can still be valid.
+		d.waitUntil, d.oldGrantsWait = now+wait, max(0, k.cfg.waitOut()-wait)
 	}
-	// Reads from now on will do, since the record names this router: an old grantor
-	// that released a unit later than that finds no confirmation for its second write.
+	// Reads sent from now on are recent enough, because the record names this router: an old
+	// grantor that released a unit later than this gets no confirmation for its second
+	// write.
 	d.loadFrom = now
 	d.phase = waiting
 	if d.spec.Grants.ChecksTokens {
 		d.phase = fencing
 	}
-	k.dirty = true
-	k.prove(now, d)
+	k.gateStale = true
+	k.advanceProof(now, d)
 }
 
-// prove goes on once the old authority has provably ended, or sends the fence.
-func (k *Keeper) prove(now time.Duration, d *duty) {
-	k.loaded(now, d)
+// advanceProof continues once the old authority has provably ended; until then it sends the
+// fence.
+func (k *Keeper) advanceProof(now time.Duration, d *duty) {
+	k.allRecordsRead(now, d)
 	if now >= d.waitUntil {
-		k.startLoad(now, d, now+d.oldGrants)
+		k.startLoad(now, d, now+d.oldGrantsWait)
 		return
 	}
-	if d.spec.granted() {
-		k.countSilence(now, d)
+	if d.spec.takesGrants() {
+		k.noteReplyTimeout(now, d)
 		k.sendFence(now, d)
 		return
 	}
 	k.probeSelf(now, d)
 }
 
-// startLoad goes on with the reads of the units that enter began.
-func (k *Keeper) startLoad(now time.Duration, d *duty, lapse time.Duration) {
+// startLoad continues the reads of the units that startProof began.
+func (k *Keeper) startLoad(now time.Duration, d *duty, grantsExpireAt time.Duration) {
 	d.phase = loading
-	d.lapse = lapse
+	d.grantsExpireAt = grantsExpireAt
 	d.acceptedDigest, d.outstanding = 0, 0
 	k.advanceLoad(now, d)
 }
 
-// advanceLoad serves once all of the service's records were read.
+// advanceLoad starts serving once all of the service's records were read.
 func (k *Keeper) advanceLoad(now time.Duration, d *duty) {
-	if !k.loaded(now, d) {
+	if !k.allRecordsRead(now, d) {
 		return
 	}
-	d.phase, d.unitsKnown = serving, false
-	k.dirty = true
+	d.phase, d.unitsCurrent = serving, false
+	k.gateStale = true
 	d.report(k, TookOver)
 	k.advanceGrants(now, d)
 }
 
-// loaded reads what was not read since loadFrom, and reports whether all was.
-func (k *Keeper) loaded(now time.Duration, d *duty) bool {
+// allRecordsRead requests the records that were not read since loadFrom, and reports
+// whether all were read.
+func (k *Keeper) allRecordsRead(now time.Duration, d *duty) bool {
 	spec := k.service(d.spec.Service)
 	if spec == nil {
 		return false
@@ -89,7 +91,7 @@
 	return nil
 }
 
-// shardKeys lists the store keys of the service's records.
+// shardKeys returns the store keys of the service's records.
 func shardKeys(s *ServiceSpec) []string {
 	var keys []string
 	for first := uint32(0); first < s.HashSlots; first += ShardSlots {
@@ -104,22 +106,22 @@
 	return keys
 }
 
-// shardRead is the last read of an ownership record.
+// shardRead is the latest read of an ownership record.
 type shardRead struct {
 	sentAt time.Duration
-	// pending is set until the answer comes.
+	// pending is set until the answer arrives.
 	pending bool
-	// landedAt is when the last read that was answered had been sent, or -1.
+	// landedAt is when the latest answered read was sent, or -1.
 	landedAt time.Duration
 }
 
-// ensureRead reports whether a read sent at from or later was answered, and sends
+// ensureRead reports whether a read that was sent at from or later was answered, and sends
 // one if not.
 func (k *Keeper) ensureRead(now time.Duration, key string, from time.Duration) bool {
-	r := k.reads[key]
+	r := k.shardReads[key]
 	if r == nil {
 		r = &shardRead{sentAt: -1, landedAt: -1}
-		k.reads[key] = r
+		k.shardReads[key] = r
 	}
 	if r.landedAt >= 0 && r.landedAt >= from {
 		return true
@@ -127,13 +129,13 @@
 	late := now-r.sentAt >= k.cfg.ReplyTimeout
 	if r.sentAt < 0 || !r.pending && now-r.sentAt >= k.cfg.RenewEvery/4 || r.sentAt < from || late {
 		r.sentAt, r.pending = now, true
-		k.do(Read{Key: key, SentAt: now})
+		k.emit(Read{Key: key, SentAt: now})
 	}
 	return false
 }
 
-func (k *Keeper) shardWasRead(e StoreRead) {
-	r := k.reads[e.Key]
+func (k *Keeper) noteShardRead(e StoreRead) {
+	r := k.shardReads[e.Key]
 	if r == nil {
 		return
 	}
--- a/core/ownership/shard.go
+++ b/core/ownership/shard.go
@@ -10,7 +10,7 @@
 	"tarragongw/core/routing"
 )
 
-// Encode returns the record's bytes.
+// Encode returns the encoded record.
 func (s *Shard) Encode() []byte {
 	if s.Kind == routing.RangeUnit {
 		return s.encodeRanges()
@@ -19,7 +19,7 @@
 }
 
 func (s *Shard) encodeSlots() []byte {
-	var d dictionary
+	var d targetIndex
 	m := &ownershippb.SlotShard{Service: s.Service, First: s.Index * ShardSlots, Ops: encodeOps(s.Ops)}
 	for i, st := range s.Slots {
 		if i > 0 && st == s.Slots[i-1] {
@@ -37,7 +37,7 @@
 }
 
 func (s *Shard) encodeRanges() []byte {
-	var d dictionary
+	var d targetIndex
 	m := &ownershippb.RangeShard{Service: s.Service, Bucket: s.Index, Ops: encodeOps(s.Ops)}
 	for i, st := range s.Ranges {
 		m.Ranges = append(m.Ranges, &ownershippb.RangeOwner{Name: s.Names[i], Target: d.add(st.Target),
@@ -47,7 +47,7 @@
 	return marshal(m)
 }
 
-// DecodeShard decodes the ownership record under the store key.
+// DecodeShard decodes the ownership record that is stored under the key.
 func DecodeShard(key string, b []byte) (*Shard, error) {
 	if strings.HasPrefix(key, RangePrefix) {
 		return decodeRanges(b)
@@ -102,9 +102,9 @@
 func decodeState(names []string, target, next uint32) (UnitState, error) {
 	var st UnitState
 	var err error
-	if st.Target, err = dictName(names, target); err != nil {
+	if st.Target, err = nameAt(names, target); err != nil {
 		return st, err
 	}
-	st.Next, err = dictName(names, next)
+	st.Next, err = nameAt(names, next)
 	return st, err
 }
