--- a/core/membership/bounds.go
+++ b/core/membership/bounds.go
@@ -1,24 +1,24 @@
 package membership
 
-// Bounds on what other routers and the platform's list say. Without them one message
-// of a megabyte could name a member as long as itself, or thousands of data centres,
-// and the view would hold them for as long as it remembers.
+// Limits on data from other routers and from the platform's VM list. Without them a single
+// message of one megabyte could name a member whose name is as long as the message, or
+// thousands of data centres, and the view would keep them until they expire.
 const (
-	// MaxName bounds the names of a router and a data centre, and MaxAddress an address,
-	// in bytes.
+	// MaxName limits the names of routers and data centres, and MaxAddress limits
+	// addresses, in bytes.
 	MaxName    = 128
 	MaxAddress = 256
-	// MaxDataCentres bounds the data centres that a router holds.
+	// MaxDataCentres limits the number of data centres in the view.
 	MaxDataCentres = 256
 )
 
-// bounded says whether the member's texts are within their bounds.
-func (m *Member) bounded() bool {
+// withinBounds reports whether the member's strings are within their limits.
+func (m *Member) withinBounds() bool {
 	return len(m.Name) <= MaxName && len(m.DataCentre) <= MaxName && len(m.Address) <= MaxAddress
 }
 
-// roomFor says whether the data centre is held, or may be.
-func (c *Core) roomFor(dc string) bool {
+// acceptsDataCentre reports whether the data centre is in the view or can still be added.
+func (c *Core) acceptsDataCentre(dc string) bool {
 	if len(dc) > MaxName {
 		return false
 	}
--- a/core/membership/bounds_test.go
+++ b/core/membership/bounds_test.go
@@ -15,10 +15,9 @@
 	return New(DefaultConfig(), self, rand.New(rand.NewPCG(1, 2)))
 }
 
-// Symptom: a router's memory grows until it ends, with few routers in its view.
-// Sequence: a message within its limit of size names a member with a name of hundreds
-// of kilobytes, then others do; or it names thousands of data centres.
-// Cause: only the number of members is bounded, not what each of them takes.
+// A message within the size limit can contain a member name of hundreds of kilobytes or
+// thousands of data centres. Limiting only the number of members would let the memory of a
+// router grow until the process ends.
 func TestMembersAndDataCentresAreBounded(t *testing.T) {
 	c := newBoundedCore()
 	now := time.Unix(100, 0)
@@ -52,12 +51,12 @@
 	}
 	c.Step(now, Received{From: from, Message: m})
 	assert.Assert(t, len(c.View().DataCentres()) <= MaxDataCentres, "%d", len(c.View().DataCentres()))
-	// The data centres that are held go on to take members.
+	// Data centres that are already in the view still accept members.
 	c.Step(now, Received{From: Member{Name: "z", DataCentre: "lapu", Incarnation: 1}, Message: Message{Kind: Ping}})
 	assert.Equal(t, c.View().State("z"), Alive)
 }
 
-// The platform's list is bounded by the members that a view may hold.
+// The platform's VM list adds no more members than a view may hold.
 func TestListOfVMsIsBounded(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.MaxMembers = 10
--- a/core/membership/core.go
+++ b/core/membership/core.go
@@ -11,7 +11,7 @@
 	"tarragongw/core/schedule"
 )
 
-// Core is the state machine of one router. It is not safe for concurrent use.
+// Core is the membership state machine of one router. It is not safe for concurrent use.
 type Core struct {
 	cfg  Config
 	self *record
@@ -25,60 +25,62 @@
 	byName map[string]*record
 	home   *dataCentre
 
-	watches   []*watch
-	observers []*record
-	helping   []help
-	suspects  []*record
-	queue     []queued
-	urgent    []Update
-
-	health   health
-	links    links
-	timers   timers
-	losses   []time.Time
-	seq      uint64
-	pushedAt time.Time
-	left     bool
-	// listAt is when this router last read the platform's list, and noticeAt when the one
-	// that was last passed on to it was read; both by its own time.
+	watches        []*watch
+	observers      []*record
+	indirectProbes []indirectProbe
+	suspects       []*record
+	repeatQueue    []queuedUpdate
+	pushQueue      []Update
+
+	health          health
+	links           links
+	timers          timers
+	recentLossTimes []time.Time
+	seq             uint64
+	pushedAt        time.Time
+	left            bool
+	// listAt is when this router last read the platform's VM list itself, and noticeAt is
+	// when the newest list that another router passed on was read; both by this router's
+	// clock.
 	listAt, noticeAt time.Time
-	// asked says that this router asked for the whole view.
-	asked     bool
-	summaries int
-	outbound  []Update
-	view      *View
+	// viewRequested says that this router has asked another one for the whole view.
+	viewRequested bool
+	summaries     int
+	outboundQueue []Update
+	view          *View
 }
 
-// timers hold when periodic duties are next due.
+// timers holds the times at which the periodic tasks are next due.
 type timers struct {
 	heartbeat, sync, summary, heal, outbound, second time.Time
 }
 
-// dataCentre is the view of one data centre.
+// dataCentre is this router's view of one data centre.
 type dataCentre struct {
 	name string
 	// members is sorted by name.
 	members []*record
-	// ring holds the members that watch each other, sorted by ringHash; only the
-	// router's own data centre has one.
+	// ring holds the members that observe each other, sorted by ringHash. It is kept only
+	// for the router's own data centre.
 	ring []*record
 	sum  uint64
-	// quietSince is when sum last changed.
-	quietSince time.Time
+	// sumChanged is when sum last changed.
+	sumChanged time.Time
 	live       int
 	isolated   int
-	// heard is when a router of another data centre was last heard, and firstTried
-	// when this router first expected it.
-	heard      time.Time
-	firstTried time.Time
-	// reps and picture are derived and rebuilt when they are nil or dirty.
-	reps    []string
-	picture *dcView
-	dirty   bool
+	// lastHeard is when a router of this data centre was last heard, if it is not the
+	// router's own, and firstExpected is when this router first expected to hear one.
+	lastHeard     time.Time
+	firstExpected time.Time
+	// reps and cachedView are derived from the members. They are rebuilt if reps is nil or
+	// dirty is set.
+	reps       []string
+	cachedView *dcView
+	dirty      bool
 }
 
-// New returns the core of the router self. rnd must be seeded by the caller and
-// is used by nobody else.
+// New returns the core of the router self. The caller must seed rnd and not use it for
+// anything else.
 func New(cfg Config, self Member, rnd *rand.Rand) *Core {
 	c := &Core{cfg: cfg, rnd: rnd, byName: map[string]*record{}}
 	c.self = &record{Member: self, ringHash: xxhash.Sum64String(self.Name)}
@@ -89,13 +91,13 @@
 	return c
 }
 
-// Step applies one event at the time now and returns what is to be done, in
-// order. now must come from a clock that counts suspension; a time before the
-// last one counts as the last one.
+// Step applies one event at the time now and returns the actions to carry out, in order.
+// now must come from a clock that counts suspension; a time before that of the previous
+// call counts as the previous time.
 func (c *Core) Step(now time.Time, event Event) []Action {
 	c.out = nil
 	if c.start.IsZero() {
-		c.begin(now)
+		c.startTimers(now)
 	}
 	if now.After(c.now) {
 		c.now = now
@@ -105,9 +107,9 @@
 	return c.out
 }
 
-// begin spreads the periodic duties over their interval, so that routers that
-// start together do not act together.
-func (c *Core) begin(now time.Time) {
+// startTimers spreads the periodic tasks over their intervals, so that routers that start
+// together do not act at the same time.
+func (c *Core) startTimers(now time.Time) {
 	c.start, c.now = now, now
 	c.timers.heartbeat = now.Add(c.jitter(c.cfg.Heartbeat))
 	c.timers.sync = now.Add(c.jitter(c.cfg.SyncEvery))
@@ -115,11 +117,11 @@
 	c.timers.heal = now.Add(c.jitter(c.cfg.HealEvery))
 	c.timers.outbound = now
 	c.timers.second = now.Add(time.Second)
-	c.health.witness = now
-	c.health.anyone = now
-	c.self.heard = now
-	c.self.changed = now
-	c.home.quietSince = now
+	c.health.lastExternalContact = now
+	c.health.lastPeerHeard = now
+	c.self.lastHeard = now
+	c.self.stateChanged = now
+	c.home.sumChanged = now
 }
 
 func (c *Core) handle(event Event) {
@@ -129,40 +131,40 @@
 	case Received:
 		c.receive(e.From, &e.Message)
 	case Listed:
-		c.listed(e.VMs)
+		c.receiveVMList(e.VMs)
 	case Noticed:
-		c.noticed(&e)
+		c.receiveNotice(&e)
 	case SendFailed:
 		c.sendFailed(e.To)
 	case Witness:
-		c.health.witness = c.now
+		c.health.lastExternalContact = c.now
 	case InForce:
-		c.inForce(e.Revision)
+		c.setRevision(e.Revision)
 	case Leave:
 		c.leave(e.Leaving)
 	case Outlived:
-		c.outlived(e.Incarnation)
+		c.newerInstance(e.Incarnation)
 	}
 }
 
-// tick runs all that time alone drives.
+// tick runs everything that depends on time alone.
 func (c *Core) tick() {
-	c.noticeSuspension()
-	c.noticeCutOff()
+	c.detectSuspension()
+	c.detectCutOff()
 	c.checkHealth()
 	if schedule.Due(&c.timers.heartbeat, c.now, c.cfg.Heartbeat) {
 		c.sendHeartbeats()
 	}
 	c.observeAll()
-	c.finishHelp()
+	c.runIndirectProbes()
 	if schedule.Due(&c.timers.sync, c.now, c.cfg.SyncEvery) {
 		c.sendDigest()
 	}
 	if schedule.Due(&c.timers.summary, c.now, c.cfg.SummaryEvery) {
-		c.summarise()
+		c.sendSummaries()
 	}
 	if schedule.Due(&c.timers.heal, c.now, c.cfg.HealEvery) {
-		c.heal()
+		c.pingUnreachable()
 	}
 	if schedule.Due(&c.timers.outbound, c.now, c.cfg.Heartbeat) {
 		c.flushOutbound()
@@ -176,17 +178,18 @@
 	return time.Duration(c.rnd.Int64N(int64(d) + 1))
 }
 
-// inForce notes the revision that this router has in force. It never goes back.
-func (c *Core) inForce(revision uint64) {
+// setRevision records the configuration revision that this router has in force. An older
+// revision is ignored.
+func (c *Core) setRevision(revision uint64) {
 	if revision <= c.self.revision {
 		return
 	}
 	c.self.revision = revision
-	c.self.since = c.now
+	c.self.revisionSince = c.now
 }
 
-// leave announces a planned stop. The word goes to several routers at once,
-// since this router will not be there to repeat it.
+// leave announces a planned stop. The announcement is pushed to several routers at once,
+// since this router will not be running to repeat it.
 func (c *Core) leave(leaving bool) {
 	c.self.leaving = true
 	c.left = c.left || !leaving
@@ -198,15 +201,15 @@
 	c.enqueue(update)
 }
 
-// raiseVersion makes a new version of this router's own record, which
-// supersedes every claim about the former one.
+// raiseVersion raises the version of this router's own record, which supersedes all claims
+// about earlier versions.
 func (c *Core) raiseVersion() {
 	before := c.self.digest()
 	c.self.version++
-	c.retouch(c.self, before)
+	c.recordChanged(c.self, before)
 }
 
-// send appends a message to the actions, stamped with this router's state.
+// send adds a message to the actions and fills in this router's own state.
 func (c *Core) send(to string, m Message) {
 	m.Version = c.self.version
 	m.Deaf = c.health.cutOff
@@ -214,7 +217,7 @@
 	c.out = append(c.out, Send{To: to, Message: m})
 }
 
-// dataCentre returns the data centre with the name, made if need be.
+// dataCentre returns the data centre with the name and creates it if it does not exist.
 func (c *Core) dataCentre(name string) *dataCentre {
 	i, ok := slices.BinarySearchFunc(c.dcs, name, func(d *dataCentre, n string) int {
 		return strings.Compare(d.name, n)
--- a/core/membership/event.go
+++ b/core/membership/event.go
@@ -5,7 +5,8 @@
 // Event is an input of Step.
 type Event interface{ event() }
 
-// Tick drives all timers; the shell sends it every Config.Tick.
+// Tick drives all timers. The shell sends it when Wake says that it is due, or at every
+// Config.Tick.
 type Tick struct{}
 
 // Received is a message from another router.
@@ -14,7 +15,7 @@
 	Message Message
 }
 
-// ListedVM is an entry of the platform's list.
+// ListedVM is an entry of the platform's VM list.
 type ListedVM struct {
 	Name       string
 	DataCentre string
@@ -22,32 +23,33 @@
 	Leaving    bool
 }
 
-// Listed is the platform's list of VMs, a lagging hint.
+// Listed is the platform's VM list as read by this router. The list may be out of date, so
+// it is only a hint.
 type Listed struct{ VMs []ListedVM }
 
-// Noticed is what another router, which read the platform's list Age ago, passes on of
-// it: the VMs that it did not know as members, and those that are about to leave.
+// Noticed is an extract of the platform's VM list that another router read Age ago and
+// passed on: the VMs that it did not know as members, and the VMs that are about to leave.
 type Noticed struct {
 	VMs []ListedVM
 	Age time.Duration
 }
 
-// SendFailed says that the transport found the peer unreachable: a hint to probe
-// it at once.
+// SendFailed says that the transport could not reach the router To, which is therefore
+// probed at once.
 type SendFailed struct{ To string }
 
-// Witness says that something other than a router of the data centre answered:
-// the store or the platform's list. It shows that this router is not cut off.
+// Witness says that something other than a router of the data centre responded: the store
+// or the platform's VM list. It is evidence that this router is not cut off.
 type Witness struct{}
 
 // InForce says which configuration revision this router has in force.
 type InForce struct{ Revision uint64 }
 
-// Outlived says that another router knows a life of this router's name with the higher
-// incarnation, as the transport learns where it refuses a session.
+// Outlived says that another router knows an instance with this router's name and the given
+// incarnation. The transport learns this when a session is refused.
 type Outlived struct{ Incarnation uint64 }
 
-// Leave begins a planned stop; Leaving says that only draining has begun.
+// Leave announces a planned stop. Leaving says that the router is only draining so far.
 type Leave struct{ Leaving bool }
 
 func (Tick) event()       {}
@@ -69,25 +71,24 @@
 	Message Message
 }
 
-// Changed reports a change of a member's state for the journal and for those
-// who act on it.
+// Changed reports a change of a member's state.
 type Changed struct {
 	Member Member
 	From   State
 	To     State
 	Cause  Cause
-	// By is the router whose word led to the change; empty means this router.
+	// By is the router whose claim led to the change; empty means this router.
 	By string
 }
 
-// Doubted reports that this router began or ceased to doubt itself. While it
-// doubts, it reaches no verdict on others.
+// Doubted reports that this router began or ceased to consider itself isolated. While it
+// does, it reaches no verdict on other routers.
 type Doubted struct {
 	On    bool
 	Cause Cause
 }
 
-// LinkChanged reports that another data centre was cut off or heard again.
+// LinkChanged reports that contact with another data centre was lost or regained.
 type LinkChanged struct {
 	DataCentre string
 	Up         bool
@@ -98,10 +99,10 @@
 func (Doubted) action()     {}
 func (LinkChanged) action() {}
 
-// Cause is why something changed; it is for journals and never parsed.
+// Cause says why something changed. It is written to the journal and is not parsed.
 type Cause string
 
-// The causes.
+// The causes of changes.
 const (
 	CauseJoined       Cause = "joined"
 	CauseHeard        Cause = "heard"
@@ -113,14 +114,14 @@
 	CauseRefuted      Cause = "refuted"
 	CauseExpired      Cause = "suspicion-expired"
 	CauseOverCap      Cause = "too-many-silent-at-once"
-	CauseSaysDeaf     Cause = "says-it-hears-nobody"
+	CauseHearsNobody  Cause = "says-it-hears-nobody"
 	CauseDelisted     Cause = "silent-and-delisted"
 	CauseNeverHeard   Cause = "never-answered"
 	CauseLeft         Cause = "left"
 	CauseSuspended    Cause = "suspended"
 	CauseCutOff       Cause = "heard-nobody"
-	CauseAccused      Cause = "declared-lost-by-others"
+	CauseDeclaredLost Cause = "declared-lost-by-others"
 	CauseMinority     Cause = "hears-only-a-minority"
 	CauseSuperseded   Cause = "superseded-by-a-newer-life"
-	CauseTrustedAgain Cause = "regular-again"
+	CauseRecovered    Cause = "regular-again"
 )
--- a/core/membership/failure_test.go
+++ b/core/membership/failure_test.go
@@ -11,20 +11,21 @@
 	"tarragongw/internal/simnet"
 )
 
-func lossy() simnet.Config {
-	c := calm()
+func lossyNet() simnet.Config {
+	c := losslessNet()
 	c.Loss = 0.05
 	c.Duplicate = 0.02
 	return c
 }
 
-// side returns a test for membership of the first n names.
-func (f *fleet) side(n int) func(string) bool {
+// firstN returns a function that reports whether a router is one of the first n.
+func (f *fleet) firstN(n int) func(string) bool {
 	return func(name string) bool { return slices.Index(f.names, name) < n }
 }
 
-// statesHeld counts how name sees the members that pick selects, by state.
-func (f *fleet) statesHeld(name string, pick func(string) bool) map[State]int {
+// countStates counts the states that the router name holds for the members that pick
+// selects.
+func (f *fleet) countStates(name string, pick func(string) bool) map[State]int {
 	held := map[State]int{}
 	v := f.nodes[name].core.View()
 	for _, other := range f.names {
@@ -35,11 +36,11 @@
 	return held
 }
 
-// Symptom: routers are declared dead on an overcommitted host though none died.
-// Sequence: messages drop at 5%, each router is suspended for 200 ms now and then.
-// Cause: silence while suspended, added to dropped heartbeats, passes for death.
-func TestPausesAndLossLeadToNoVerdict(t *testing.T) {
-	f := newFleet(t, DefaultConfig(), lossy(), 21, 20, "doto")
+// On an overcommitted host 5% of the messages are dropped and routers are suspended for 200
+// ms. The silence of a suspension together with dropped heartbeats must not lead to a
+// verdict.
+func TestSuspensionsAndMessageLossLeadToNoVerdict(t *testing.T) {
+	f := newFleet(t, DefaultConfig(), lossyNet(), 21, 20, "doto")
 	for range 600 {
 		f.net.Pause(f.names[f.net.Rand().IntN(len(f.names))], 200*time.Millisecond)
 		f.net.Run(500 * time.Millisecond)
@@ -48,15 +49,14 @@
 	assert.Equal(t, len(f.verdicts(Isolated)), 0)
 }
 
-// Symptom: keys stay unserved for 1.6 to 2 s after the loss of a router.
-// Sequence: in a data centre of two one is lost; the other is suspended for a moment on its
-// busy host just before, or while it counts the silence.
-// Cause: after each suspension it began to count anew and judged nobody for a second.
-func TestAShortPauseDoesNotPutAVerdictOff(t *testing.T) {
+// In a data centre with two routers one is lost, and the other is briefly suspended just
+// before or while it counts the silence. When each suspension restarted the count and was
+// followed by a second without verdicts, keys stayed unserved for 1.6 to 2 s.
+func TestShortSuspensionDoesNotDelayVerdict(t *testing.T) {
 	cfg := DefaultConfig()
 	for _, pause := range []time.Duration{60 * time.Millisecond, 200 * time.Millisecond} {
 		for after := time.Duration(0); after < cfg.LostAfter; after += 50 * time.Millisecond {
-			f := newFleet(t, cfg, calm(), 44, 2, "doto")
+			f := newFleet(t, cfg, losslessNet(), 44, 2, "doto")
 			lost, other := f.names[0], f.nodes[f.names[1]]
 			other.step(f.net.Now(), Witness{})
 			f.kill(lost)
@@ -68,13 +68,13 @@
 	}
 }
 
-// Symptom: a router of two declares the other lost on waking.
-// Sequence: the other is suspended, and it itself before it hears the other again.
-// Cause: its own suspension counted as silence, or a verdict before what waits is read.
-func TestPausesOfTwoRoutersInTurnLeadToNoVerdict(t *testing.T) {
+// One of two routers is suspended, and the other one before it has heard the first again.
+// The other must not count its own suspension as silence, or reach a verdict before it has
+// read the waiting messages.
+func TestOverlappingSuspensionsOfTwoRoutersLeadToNoVerdict(t *testing.T) {
 	const pause = 200 * time.Millisecond
 	for apart := time.Duration(0); apart <= pause; apart += 20 * time.Millisecond {
-		f := newFleet(t, DefaultConfig(), calm(), 45, 2, "doto")
+		f := newFleet(t, DefaultConfig(), losslessNet(), 45, 2, "doto")
 		f.nodes[f.names[1]].step(f.net.Now(), Witness{})
 		f.net.Pause(f.names[0], pause)
 		f.net.Run(apart)
@@ -84,16 +84,15 @@
 	}
 }
 
-// Symptom: routers are declared dead though all of them answer.
-// Sequence: heartbeats go as datagrams, and from one moment on something in between
-// drops every one of them; each router goes back to its sessions once it is pinged.
-// Other messages pass but for 5%, and routers are suspended for 200 ms.
-// Cause: silence on one way passes for death without a question on the other.
+// Heartbeats are sent as datagrams, and from some moment on all of them are dropped; each
+// router returns to sessions once it is pinged. 5% of the other messages are dropped, and
+// routers are suspended for 200 ms. Silence on one transport must not lead to a verdict
+// without a ping on the other.
 func TestLostHeartbeatsAloneLeadToNoVerdict(t *testing.T) {
-	f := newFleet(t, DefaultConfig(), lossy(), 24, 20, "doto")
+	f := newFleet(t, DefaultConfig(), lossyNet(), 24, 20, "doto")
 	for i := range 300 {
 		if i%10 == 0 {
-			f.cutBeats()
+			f.dropAllHeartbeats()
 		}
 		f.net.Pause(f.names[f.net.Rand().IntN(len(f.names))], 200*time.Millisecond)
 		f.net.Run(500 * time.Millisecond)
@@ -102,39 +101,36 @@
 	assert.Equal(t, len(f.verdicts(Isolated)), 0)
 }
 
-// Symptom: a router that wakes declares its whole data centre lost and takes over
-// everyone's duties.
-// Sequence: a router is suspended for a minute while the others go on.
-// Cause: it counts the time of its own suspension as the others' silence.
-func TestASuspendedRouterDoubtsItself(t *testing.T) {
-	f := newFleet(t, DefaultConfig(), calm(), 22, 20, "doto")
-	sleeper := f.names[4]
-	f.net.Pause(sleeper, 10*time.Second)
+// A router that was suspended must not count its suspension as the silence of the others:
+// it would declare its whole data centre lost and take over all duties.
+func TestResumedRouterConsidersItselfIsolated(t *testing.T) {
+	f := newFleet(t, DefaultConfig(), losslessNet(), 22, 20, "doto")
+	suspended := f.names[4]
+	f.net.Pause(suspended, 10*time.Second)
 	f.net.Run(9990 * time.Millisecond)
-	assert.Equal(t, f.nodes[f.names[0]].core.View().State(sleeper), Lost)
+	assert.Equal(t, f.nodes[f.names[0]].core.View().State(suspended), Lost)
 	f.changes = nil
 	f.net.Run(30 * time.Millisecond)
-	on, _ := f.nodes[sleeper].core.View().Isolated()
-	assert.Assert(t, on, "must doubt itself on waking")
-	causes := f.nodes[sleeper].doubts
+	on, _ := f.nodes[suspended].core.View().Isolated()
+	assert.Assert(t, on, "must consider itself isolated after the suspension")
+	causes := f.nodes[suspended].isolationCauses
 	assert.Assert(t, slices.Contains(causes, CauseSuspended), "%v", causes)
 	f.net.Run(3 * time.Second)
 	for _, c := range f.verdicts(Lost) {
-		assert.Assert(t, c.by != sleeper, "the sleeper judged %s", c.got.Member.Name)
+		assert.Assert(t, c.by != suspended, "the suspended router declared lost: %s", c.got.Member.Name)
 	}
-	on, cause := f.nodes[sleeper].core.View().Isolated()
-	assert.Assert(t, !on, "still doubts itself: %s", cause)
+	on, cause := f.nodes[suspended].core.View().Isolated()
+	assert.Assert(t, !on, "still considers itself isolated: %s", cause)
 	for _, name := range f.names {
 		assert.Equal(t, f.live(name, "doto"), 20, name)
 	}
 }
 
-// Symptom: after a rack fails its targets stay unserved for minutes.
-// Sequence: 40 of 400 routers die at once.
-// Cause: the cap on verdicts takes a rack for a partition, or the observers of
-// the dead died with them.
-func TestARackIsDeclaredLost(t *testing.T) {
-	f := newFleet(t, DefaultConfig(), calm(), 24, 400, "doto")
+// 40 of 400 routers die at once. The cap on verdicts must not treat the loss of a rack as a
+// partition, and members whose observers died too must be declared lost; otherwise the
+// targets of the rack stay unserved for minutes.
+func TestLossOfRackIsDetected(t *testing.T) {
+	f := newFleet(t, DefaultConfig(), losslessNet(), 24, 400, "doto")
 	dead := map[string]bool{}
 	for i := 0; i < 400; i += 10 {
 		dead[f.names[i]] = true
@@ -145,24 +141,22 @@
 		if dead[name] {
 			continue
 		}
-		held := f.statesHeld(name, func(n string) bool { return dead[n] })
+		held := f.countStates(name, func(n string) bool { return dead[n] })
 		assert.Equal(t, held[Lost], 40, "%s holds %v", name, held)
 		assert.Equal(t, f.live(name, "doto"), 360, name)
 	}
 }
 
-// Symptom: as many silent members as a partition would make stay isolated for
-// ever, though the platform removed their VMs.
-// Sequence: 24 of 40 routers die at once; the platform's list drops them later.
-// Cause: nothing but being heard ends isolation.
-func TestIsolatedMembersThatThePlatformDropsAreLost(t *testing.T) {
-	f := newFleet(t, DefaultConfig(), calm(), 25, 40, "doto")
-	dead := f.side(16)
+// 16 of 40 routers die at once, too many to be declared lost, and the platform's VM list
+// drops them later. They must not stay isolated for ever.
+func TestDelistedIsolatedMembersAreDeclaredLost(t *testing.T) {
+	f := newFleet(t, DefaultConfig(), losslessNet(), 25, 40, "doto")
+	dead := f.firstN(16)
 	for _, name := range f.names[:16] {
 		f.kill(name)
 	}
 	f.net.Run(2 * time.Second)
-	held := f.statesHeld(f.names[39], dead)
+	held := f.countStates(f.names[39], dead)
 	assert.Equal(t, held[Lost]+held[Isolated], 16, "%v", held)
 	assert.Assert(t, held[Isolated] > 0, "%v", held)
 	for _, name := range f.names[16:] {
@@ -170,15 +164,14 @@
 		n.step(f.net.Now(), Listed{VMs: f.vms[16:]})
 	}
 	f.net.Run(25 * time.Second)
-	held = f.statesHeld(f.names[39], dead)
+	held = f.countStates(f.names[39], dead)
 	assert.Equal(t, held[Lost], 16, "%v", held)
 }
 
-// Symptom: a live router is declared dead because the platform's list is late.
-// Sequence: the list drops a router that lives.
-// Cause: the list is taken for proof.
-func TestTheListIsNoProofOfDeath(t *testing.T) {
-	f := newFleet(t, DefaultConfig(), calm(), 26, 10, "doto")
+// The platform's VM list may be out of date, so a live router that it does not name must
+// not be declared lost.
+func TestDelistedLiveMemberIsNotDeclaredLost(t *testing.T) {
+	f := newFleet(t, DefaultConfig(), losslessNet(), 26, 10, "doto")
 	for _, name := range f.names {
 		f.nodes[name].step(f.net.Now(), Listed{VMs: f.vms[1:]})
 	}
@@ -187,13 +180,11 @@
 	assert.Equal(t, len(f.verdicts(Lost)), 0)
 }
 
-// Symptom: after a router returns from an hour's partition the fleet fills with
-// members long gone, and their silence looks like a partition.
-// Sequence: a router is cut off, 15 routers are replaced by others, the first
-// one comes back with its old view.
-// Cause: claims are taken by order of arrival, or old names count as deaths.
-func TestAReturningRouterWithAnOldViewDoesNoHarm(t *testing.T) {
-	f := newFleet(t, DefaultConfig(), calm(), 31, 40, "doto")
+// A router is cut off, 15 routers are replaced meanwhile, and it returns with its old view.
+// Its outdated claims must not add members that are gone, whose silence would look like a
+// partition.
+func TestReturningRouterWithOldViewChangesNoMember(t *testing.T) {
+	f := newFleet(t, DefaultConfig(), losslessNet(), 31, 40, "doto")
 	cut := f.names[39]
 	f.net.Blocked = func(from, to string) bool { return from == cut || to == cut }
 	for i := range 15 {
@@ -218,11 +209,10 @@
 	}
 }
 
-// Symptom: a router with a wrong clock judges others or is judged.
-// Sequence: one router's clock is a day ahead, another's a day behind.
-// Cause: times of different routers are compared.
-func TestAWrongClockChangesNothing(t *testing.T) {
-	f := newFleet(t, DefaultConfig(), calm(), 33, 10, "doto")
+// The clocks of two routers are a day ahead and a day behind. Times of different routers
+// must not be compared.
+func TestWrongClockChangesNoState(t *testing.T) {
+	f := newFleet(t, DefaultConfig(), losslessNet(), 33, 10, "doto")
 	f.kill(f.names[0])
 	f.kill(f.names[1])
 	f.net.Run(time.Second)
@@ -237,12 +227,10 @@
 	}
 }
 
-// Symptom: the duties of a router that crashed and was back within 300 ms are
-// never taken over or confirmed anew.
-// Sequence: a process restarts faster than its loss is detected.
-// Cause: the new life passes for the old one.
-func TestAQuickRestartEndsTheOldLife(t *testing.T) {
-	f := newFleet(t, DefaultConfig(), calm(), 34, 10, "doto")
+// A router restarts before its loss is detected. The old instance must be reported as lost,
+// or its duties would be neither taken over nor confirmed again.
+func TestQuickRestartEndsOldInstance(t *testing.T) {
+	f := newFleet(t, DefaultConfig(), losslessNet(), 34, 10, "doto")
 	f.kill(f.names[2])
 	f.net.Run(50 * time.Millisecond)
 	f.start(f.vms[2], 2, 34)
@@ -257,11 +245,10 @@
 	assert.Equal(t, len(ended), 9)
 }
 
-// Symptom: a planned stop is reported as a loss.
-// Sequence: a router says that it leaves and stops.
-// Cause: the goodbye is lost or ignored.
-func TestAPlannedStopIsNoLoss(t *testing.T) {
-	f := newFleet(t, DefaultConfig(), lossy(), 35, 20, "doto")
+// A router that announces its stop and then stops must not be reported as lost, even if
+// messages are dropped.
+func TestPlannedStopIsNotReportedAsLoss(t *testing.T) {
+	f := newFleet(t, DefaultConfig(), lossyNet(), 35, 20, "doto")
 	leaver := f.nodes[f.names[2]]
 	leaver.step(f.net.Now(), Leave{Leaving: true})
 	f.net.Run(2 * time.Second)
@@ -280,12 +267,11 @@
 	}
 }
 
-// Symptom: routers of other data centres go on calling a router that has stopped.
-// Sequence: the only router of a data centre says that it leaves and stops.
-// Cause: a leaving router does not speak for its data centre, and nobody is left
-// there who could pass its goodbye on.
-func TestTheLastRouterOfADataCentreSaysGoodbye(t *testing.T) {
-	f := newFleet(t, DefaultConfig(), calm(), 36, 1, "kushiro", "nemuro", "abashiri")
+// The only router of a data centre announces its stop and stops. No other router there can
+// forward the announcement, so it must send it to the other data centres itself; otherwise
+// they would continue to send to it.
+func TestLastRouterOfDataCentreAnnouncesItsStop(t *testing.T) {
+	f := newFleet(t, DefaultConfig(), losslessNet(), 36, 1, "kushiro", "nemuro", "abashiri")
 	leaver := f.nodes[f.names[0]]
 	leaver.step(f.net.Now(), Leave{Leaving: true})
 	f.net.Run(time.Second)
@@ -309,20 +295,19 @@
 	assert.Equal(t, sent, 0)
 }
 
-// Symptom: live members become isolated when a router comes back after hours.
-// Sequence: the router returns after the others forgot the members that it holds
-// for alive; they are taken in again and found silent, while another dies.
-// Cause: members that nobody ever heard count towards the cap.
-func TestForgottenMembersDoNotFillTheCap(t *testing.T) {
-	f := newFleet(t, DefaultConfig(), calm(), 42, 20, "doto")
-	var ghosts []Update
+// A router returns after the others have removed members that it still holds for alive.
+// They are added again and found silent, while another router dies. Members that were never
+// heard must not count towards the cap, or live members would become isolated.
+func TestNeverHeardMembersDoNotCountTowardsCap(t *testing.T) {
+	f := newFleet(t, DefaultConfig(), losslessNet(), 42, 20, "doto")
+	var neverHeard []Update
 	for i := range 15 {
-		m := Member{Name: fmt.Sprintf("ghost-%02d", i), DataCentre: "doto", Address: "x:1", Incarnation: 1}
-		ghosts = append(ghosts, Update{Member: m, State: Alive})
+		m := Member{Name: fmt.Sprintf("never-heard-%02d", i), DataCentre: "doto", Address: "x:1", Incarnation: 1}
+		neverHeard = append(neverHeard, Update{Member: m, State: Alive})
 	}
 	returned := f.nodes[f.names[7]].core.self.Member
 	for _, name := range f.names {
-		f.nodes[name].step(f.net.Now(), Received{From: returned, Message: Message{Kind: List, Updates: ghosts}})
+		f.nodes[name].step(f.net.Now(), Received{From: returned, Message: Message{Kind: List, Updates: neverHeard}})
 	}
 	died := f.names[3]
 	f.kill(died)
@@ -331,7 +316,7 @@
 		if name == died {
 			continue
 		}
-		held := f.statesHeld(name, func(string) bool { return true })
+		held := f.countStates(name, func(string) bool { return true })
 		assert.Equal(t, held[Isolated], 0, "%s holds %v", name, held)
 		assert.Equal(t, f.nodes[name].core.View().State(died), Lost, name)
 	}
--- a/core/membership/fleet_test.go
+++ b/core/membership/fleet_test.go
@@ -12,7 +12,7 @@
 
 var epoch = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// fleet is a number of cores on a simulated network.
+// fleet is a set of cores on a simulated network.
 type fleet struct {
 	t       testing.TB
 	net     *simnet.Net[Message]
@@ -21,11 +21,11 @@
 	names   []string
 	vms     []ListedVM
 	changes []change
-	// trace, if set, sees all actions.
+	// trace, if set, is called with all actions.
 	trace func(name string, now time.Time, actions []Action)
-	// beatsCut drops the heartbeats from one router to another that it names, until the
-	// one is pinged by the other. So datagrams are used that no longer pass.
-	beatsCut map[[2]string]bool
+	// droppedHeartbeats holds the pairs of sender and receiver whose heartbeats are
+	// dropped, until the receiver pings the sender. This simulates datagrams that are lost.
+	droppedHeartbeats map[[2]string]bool
 }
 
 type change struct {
@@ -40,24 +40,24 @@
 	name string
 	// skew is added to the time that the node sees.
 	skew time.Duration
-	// doubts counts Doubted actions that began a doubt.
-	doubts []Cause
-	links  []LinkChanged
-	// due is when the core asked to be ticked. The shell keeps to it, late by its own
-	// interval at most.
-	due time.Time
+	// isolationCauses holds the causes of the Doubted actions that began an isolation.
+	isolationCauses []Cause
+	links           []LinkChanged
+	// nextTick is when the core asked for the next tick. The test sends it at the first
+	// simulated tick from then on.
+	nextTick time.Time
 }
 
 func (n *node) Tick(now time.Time) {
-	if !now.Before(n.due) {
-		n.due = time.Time{}
+	if !now.Before(n.nextTick) {
+		n.nextTick = time.Time{}
 		n.step(now, Tick{})
 	}
 }
 
 func (n *node) Deliver(now time.Time, from string, m Message) {
 	if m.Kind == Ping {
-		delete(n.f.beatsCut, [2]string{n.name, from})
+		delete(n.f.droppedHeartbeats, [2]string{n.name, from})
 	}
 	if sender := n.f.nodes[from]; sender != nil {
 		n.step(now, Received{From: sender.core.self.Member, Message: m})
@@ -69,18 +69,18 @@
 	if n.f.trace != nil {
 		n.f.trace(n.name, now, actions)
 	}
-	n.carryOut(now, actions)
+	n.execute(now, actions)
 	due := now.Add(n.core.Wake(now.Add(n.skew)))
-	if n.due.IsZero() || due.Before(n.due) {
-		n.due = due
+	if n.nextTick.IsZero() || due.Before(n.nextTick) {
+		n.nextTick = due
 	}
 }
 
-func (n *node) carryOut(now time.Time, actions []Action) {
+func (n *node) execute(now time.Time, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
-			if a.Message.Kind == Heartbeat && n.f.beatsCut[[2]string{n.name, a.To}] {
+			if a.Message.Kind == Heartbeat && n.f.droppedHeartbeats[[2]string{n.name, a.To}] {
 				continue
 			}
 			n.f.net.Send(n.name, a.To, a.Message)
@@ -88,7 +88,7 @@
 			n.f.changes = append(n.f.changes, change{now, n.name, a})
 		case Doubted:
 			if a.On {
-				n.doubts = append(n.doubts, a.Cause)
+				n.isolationCauses = append(n.isolationCauses, a.Cause)
 			}
 		case LinkChanged:
 			n.links = append(n.links, a)
@@ -96,21 +96,21 @@
 	}
 }
 
-// cutBeats cuts the way of all heartbeats.
-func (f *fleet) cutBeats() {
-	f.beatsCut = map[[2]string]bool{}
+// dropAllHeartbeats drops the heartbeats between all routers.
+func (f *fleet) dropAllHeartbeats() {
+	f.droppedHeartbeats = map[[2]string]bool{}
 	for _, from := range f.names {
 		for _, to := range f.names {
-			f.beatsCut[[2]string{from, to}] = true
+			f.droppedHeartbeats[[2]string{from, to}] = true
 		}
 	}
 }
 
-func calm() simnet.Config {
+func losslessNet() simnet.Config {
 	return simnet.Config{Tick: 10 * time.Millisecond, MinDelay: 300 * time.Microsecond, MaxDelay: time.Millisecond}
 }
 
-// newFleet starts size routers in each data centre and lets them find each other.
+// newFleet starts size routers in each data centre and waits until they have joined.
 func newFleet(t testing.TB, cfg Config, net simnet.Config, seed uint64, size int, dcs ...string) *fleet {
 	f := &fleet{t: t, cfg: cfg, nodes: map[string]*node{}}
 	f.net = simnet.New[Message](net, epoch, seed)
@@ -139,13 +139,13 @@
 	return n
 }
 
-// kill ends a router without a word.
+// kill stops a router without an announcement.
 func (f *fleet) kill(name string) {
 	f.net.Kill(name)
 	delete(f.nodes, name)
 }
 
-// verdicts returns the changes to a state.
+// verdicts returns the recorded changes to the state.
 func (f *fleet) verdicts(to State) []change {
 	var list []change
 	for _, c := range f.changes {
@@ -156,5 +156,5 @@
 	return list
 }
 
-// live counts the fleet's members that a node holds for live in a data centre.
+// live returns the number of members of a data centre that a node considers live.
 func (f *fleet) live(name, dc string) int { return len(f.nodes[name].core.View().Live(dc)) }
--- a/core/membership/health.go
+++ b/core/membership/health.go
@@ -2,94 +2,102 @@
 
 import "time"
 
-// health is what the router holds of itself. A router that was suspended or is
-// cut off would see everyone else silent: the fault is its own, so it doubts
-// itself before it judges others.
+// health is this router's assessment of itself. A router that was suspended or is cut off
+// finds all others silent although the fault is its own, so it checks itself before it
+// judges others.
 type health struct {
 	lastTick time.Time
-	// wakeAt is when Wake said that the next tick is due; zero where it was not asked.
+	// wakeAt is the time that Wake returned for the next tick; zero if Wake was not called.
 	wakeAt time.Time
-	// doubtUntil ends the time without verdicts after a suspension.
-	doubtUntil time.Time
-	// score is the local health score; decayed is when it last fell.
-	score   int
-	decayed time.Time
-	// anyone is when any router of the data centre was last heard, and witness when
-	// anything else was; met says that a router of the data centre was heard at all.
-	anyone  time.Time
-	witness time.Time
-	met     bool
-	// cutOff, accused and superseded are the standing reasons to doubt.
-	cutOff     bool
-	accused    time.Time
-	superseded bool
-	doubting   bool
-	cause      Cause
-}
-
-// noticeSuspension compares the time between ticks with what it should be.
+	// settleUntil is the end of the time without verdicts after a suspension, a cut-off or
+	// a claim that this router is lost.
+	settleUntil time.Time
+	// score is the local health score; scoreChanged is when it last changed.
+	score        int
+	scoreChanged time.Time
+	// lastPeerHeard is when any router of the data centre was last heard, and
+	// lastExternalContact when anything else was. peerEverHeard says that a router of the
+	// data centre was heard at all.
+	lastPeerHeard       time.Time
+	lastExternalContact time.Time
+	peerEverHeard       bool
+	// cutOff, declaredLostAt and superseded are reasons to consider this router isolated.
+	// declaredLostAt is zero unless others have declared it lost.
+	cutOff         bool
+	declaredLostAt time.Time
+	superseded     bool
+	// isolated says that this router considers itself isolated, for the reason cause.
+	isolated bool
+	cause    Cause
+}
+
+// detectSuspension compares the time between ticks with the expected time.
 //
-// What goes wrong: the process is stopped for a while (a paused VM, a long
-// collection, an overcommitted host) and on waking sees that nobody was heard
-// for longer than LostAfter. It shows as a jump between two ticks. Silence counts
-// while this router was awake only, and no verdict is reached for a while, in which
-// what came meanwhile is read and pings are answered.
-func (c *Core) noticeSuspension() {
+// When the process is stopped for a while (a paused VM, a long garbage collection, an
+// overcommitted host), it finds afterwards that no router was heard for longer than
+// LostAfter. The suspension shows as a gap between two ticks. Silence is counted only while
+// this router was running, and no verdict is reached for a while, in which the waiting
+// messages are read and pings are answered.
+func (c *Core) detectSuspension() {
 	last, due := c.health.lastTick, c.health.lastTick.Add(c.cfg.Tick)
 	if c.health.wakeAt.After(due) {
 		due = c.health.wakeAt
 	}
 	c.health.lastTick = c.now
-	if last.IsZero() || c.now.Sub(due) < c.cfg.JumpAfter-c.cfg.Tick {
+	if last.IsZero() || c.now.Sub(due) < c.cfg.SuspensionGap-c.cfg.Tick {
 		c.decayScore()
 		return
 	}
-	c.wake(c.now.Sub(last))
+	c.resumeAfterSuspension(c.now.Sub(last))
 }
 
-// wake goes on after this router was suspended for no longer than asleep.
+// resumeAfterSuspension continues after this router was suspended for no longer than
+// suspended.
 //
-// What goes wrong if each suspension is followed by DoubtFor and a new count: one of
-// 60 ms near the loss of another router, which a busy host brings, puts its verdict off
-// by a second, and by another with the next. In a data centre of two nobody else judges.
-// After a short one the others still hold this router for alive, its sessions are up and
-// what it knew holds.
-func (c *Core) wake(asleep time.Duration) {
-	c.health.doubtUntil = later(c.health.doubtUntil, c.now.Add(min(asleep, c.cfg.DoubtFor)))
+// The time without verdicts is no longer than the suspension, and after a short suspension
+// the silence counted so far is kept. If each suspension were followed by SettleTime and a
+// new count, a suspension of 60 ms near the loss of another router, as occurs on a busy
+// host, would delay the verdict by a second, and the next one by another second. In a data
+// centre with two routers no other router could reach the verdict. After a short suspension
+// the others still consider this router alive, its sessions are open and its knowledge is
+// valid.
+func (c *Core) resumeAfterSuspension(suspended time.Duration) {
+	c.health.settleUntil = later(c.health.settleUntil, c.now.Add(min(suspended, c.cfg.SettleTime)))
 	c.raiseScore()
-	short := asleep < c.cfg.LostAfter-c.cfg.Heartbeat
+	short := suspended < c.cfg.LostAfter-c.cfg.Heartbeat
 	c.timers.heartbeat = c.now
-	c.health.anyone = c.now
+	c.health.lastPeerHeard = c.now
 	for _, w := range c.watches {
 		if short {
-			w.skip(asleep, c.now)
+			w.excludeSuspension(suspended, c.now)
 			continue
 		}
 		w.reset(c.now)
 	}
-	c.helping = c.helping[:0]
+	c.indirectProbes = c.indirectProbes[:0]
 	for _, r := range c.suspects {
-		r.changed = c.now
+		r.stateChanged = c.now
 	}
 }
 
 func (c *Core) raiseScore() {
-	c.health.score = min(c.health.score+1, c.cfg.MaxHealth)
-	c.health.decayed = c.now
+	c.health.score = min(c.health.score+1, c.cfg.MaxHealthScore)
+	c.health.scoreChanged = c.now
 }
 
 func (c *Core) decayScore() {
-	if c.health.score > 0 && c.now.Sub(c.health.decayed) >= c.cfg.HealthDecay {
+	if c.health.score > 0 && c.now.Sub(c.health.scoreChanged) >= c.cfg.HealthDecay {
 		c.health.score--
-		c.health.decayed = c.now
+		c.health.scoreChanged = c.now
 	}
 }
 
-// noticeCutOff finds that this router hears nobody of its data centre at all.
-func (c *Core) noticeCutOff() {
-	cut := c.peers() > 0 && c.now.Sub(c.health.anyone) >= c.cfg.CutOffAfter
-	if cut && (c.peers() == 1 && c.witnessed() || c.alone()) {
-		// The only other router is silent while the platform answers: it is the other.
+// detectCutOff detects that this router hears no other router of its data centre.
+func (c *Core) detectCutOff() {
+	cut := c.peers() > 0 && c.now.Sub(c.health.lastPeerHeard) >= c.cfg.CutOffAfter
+	if cut && (c.peers() == 1 && c.hasExternalContact() || c.neverHeardPeers()) {
+		// The only other router is silent while the platform responds, so the other router
+		// is at fault; or all others are known only from claims of other data centres.
 		cut = false
 	}
 	if cut == c.health.cutOff {
@@ -97,34 +105,36 @@
 	}
 	c.health.cutOff = cut
 	if !cut {
-		c.recover()
+		c.endCutOff()
 	}
 }
 
-// witnessed says whether something beside the data centre's routers answered lately.
-func (c *Core) witnessed() bool {
-	return c.now.Sub(c.health.witness) <= c.cfg.WitnessAge
+// hasExternalContact reports whether something other than the data centre's routers
+// responded recently.
+func (c *Core) hasExternalContact() bool {
+	return c.now.Sub(c.health.lastExternalContact) <= c.cfg.ExternalContactAge
 }
 
-// alone says whether this router has heard no other router of its data centre since its
-// start, for AloneAfter, while the platform or other data centres answer. What it knows
-// of its data centre is then hearsay from before.
+// neverHeardPeers reports whether this router has heard no other router of its data centre
+// for NoPeersAfter since its start, while the platform or other data centres respond. What
+// it knows about its data centre then comes from other routers and may be out of date.
 //
-// What goes wrong otherwise: all routers of a data centre are lost and new ones take
-// their place. Other data centres still name the lost ones as live; the newcomer hears
-// none of them, takes itself for cut off, and asks one lost router whether it hears the
-// other. It never judges them, and their targets stay unserved for good.
+// This matters when all routers of a data centre are lost and new ones replace them. Other
+// data centres still report the lost routers as alive. Without this rule the new router
+// hears none of them, considers itself cut off, and asks one lost router to confirm the
+// silence of the other. It never declares them lost, and their targets stay unserved.
 //
-// A newcomer whose way to the others alone is cut is wrong about them. They refute it
-// where they hear of it, and their duties change hands once, fenced or waited out.
-func (c *Core) alone() bool {
-	return !c.health.met && c.now.Sub(c.start) >= c.cfg.AloneAfter && c.witnessed()
+// If only the new router's path to the others is broken, its verdict is wrong. They refute
+// it where they learn of it, and their duties change hands once, protected by fencing or by
+// waiting for expiry.
+func (c *Core) neverHeardPeers() bool {
+	return !c.health.peerEverHeard && c.now.Sub(c.start) >= c.cfg.NoPeersAfter && c.hasExternalContact()
 }
 
-// recover makes a new version of this router known, since others may hold it
-// for isolated or lost.
-func (c *Core) recover() {
-	c.health.doubtUntil = c.now.Add(c.cfg.DoubtFor)
+// endCutOff publishes a new version of this router, since others may consider it isolated
+// or lost.
+func (c *Core) endCutOff() {
+	c.health.settleUntil = c.now.Add(c.cfg.SettleTime)
 	for _, w := range c.watches {
 		w.reset(c.now)
 	}
@@ -132,76 +142,78 @@
 	c.enqueue(c.self.update())
 }
 
-// peers counts the other routers of the data centre that are not known to be gone.
+// peers returns the number of other routers of the data centre that are live or isolated.
 func (c *Core) peers() int {
 	return c.home.live - 1 + c.home.isolated
 }
 
-// fit says whether this router may judge others now.
-func (c *Core) fit() bool {
-	return !c.left && !c.health.cutOff && !c.health.superseded && c.health.accused.IsZero() &&
-		!c.now.Before(c.health.doubtUntil)
+// canJudge reports whether this router may reach verdicts on others now.
+func (c *Core) canJudge() bool {
+	return !c.left && !c.health.cutOff && !c.health.superseded && c.health.declaredLostAt.IsZero() &&
+		!c.now.Before(c.health.settleUntil)
 }
 
-// lostAfter is the silence before a verdict, stretched by the local health score.
+// lostAfter returns the silence before a verdict, extended according to the local health
+// score.
 func (c *Core) lostAfter() time.Duration {
 	return c.cfg.LostAfter + time.Duration(c.health.score)*c.cfg.HealthStep
 }
 
-// checkHealth reports when this router begins or ceases to doubt itself, and when
-// it goes on for another cause.
+// checkHealth reports when this router begins or ceases to consider itself isolated, and
+// when the cause changes.
 func (c *Core) checkHealth() {
-	cause := c.doubtCause()
+	cause := c.isolationCause()
 	if cause == c.health.cause {
 		return
 	}
 	c.health.cause = cause
-	c.health.doubting = cause != ""
+	c.health.isolated = cause != ""
 	c.view = nil
-	if c.health.doubting {
+	if c.health.isolated {
 		c.out = append(c.out, Doubted{On: true, Cause: cause})
 		return
 	}
-	c.out = append(c.out, Doubted{Cause: CauseTrustedAgain})
+	c.out = append(c.out, Doubted{Cause: CauseRecovered})
 }
 
-// doubtCause returns the gravest reason to doubt, or nothing.
-func (c *Core) doubtCause() Cause {
+// isolationCause returns the most severe reason to consider this router isolated, or an
+// empty cause.
+func (c *Core) isolationCause() Cause {
 	switch {
 	case c.health.superseded:
 		return CauseSuperseded
 	case c.health.cutOff:
 		return CauseCutOff
-	case !c.health.accused.IsZero():
-		return CauseAccused
+	case !c.health.declaredLostAt.IsZero():
+		return CauseDeclaredLost
 	case c.minority():
 		return CauseMinority
-	case c.now.Before(c.health.doubtUntil):
+	case c.now.Before(c.health.settleUntil):
 		return CauseSuspended
 	}
 	return ""
 }
 
-// minority says whether this router reaches no more than half of its data centre.
+// minority reports whether this router reaches no more than half of its data centre.
 func (c *Core) minority() bool {
 	isolated := c.home.isolated
 	return isolated > 0 && 2*isolated >= c.home.live+isolated
 }
 
-// aboutSelf meets a claim about this router's own name.
-func (c *Core) aboutSelf(u Update) {
+// receiveClaimOnSelf handles a claim about this router's own name.
+func (c *Core) receiveClaimOnSelf(u Update) {
 	if u.Member.Incarnation > c.self.Incarnation {
-		c.outlived(u.Member.Incarnation)
+		c.newerInstance(u.Member.Incarnation)
 		return
 	}
 	if u.Member.Incarnation < c.self.Incarnation || c.left {
 		return
 	}
 	if u.State == Lost {
-		// Others act as if this router were gone. Until somebody answers a ping, it
-		// must not count on its duties, even if it refuted the claim already: the
-		// refutation may not have got out.
-		c.health.accused = c.now
+		// Other routers act as if this router were gone. Until one of them answers a ping,
+		// this router must not rely on its duties, even if it has already refuted the
+		// claim: the refutation may not have been delivered.
+		c.health.declaredLostAt = c.now
 	}
 	if u.Version < c.self.version || u.State == Alive && u.Version == c.self.version {
 		return
@@ -211,18 +223,19 @@
 	c.enqueue(c.self.update())
 }
 
-// outlived notes that others know a life of this router's name with the incarnation.
-// A higher one can only be a newer life, since a router asks for its former ones before
-// it starts; this one is a leftover, that must not act and keeps its incarnation.
-func (c *Core) outlived(incarnation uint64) {
+// newerInstance records that others know an instance of this router's name with the
+// incarnation. A higher incarnation always belongs to a newer instance, since a router
+// looks up its earlier incarnations before it starts. This instance is then a leftover; it
+// must not act, and it keeps its incarnation.
+func (c *Core) newerInstance(incarnation uint64) {
 	c.health.superseded = c.health.superseded || incarnation > c.self.Incarnation
 }
 
-// acquitted ends the doubt after an accusation: a router that knows the present
-// version spoke to this one.
-func (c *Core) acquitted() {
-	if !c.health.accused.IsZero() && c.now.Sub(c.health.accused) >= c.cfg.Heartbeat {
-		c.health.accused = time.Time{}
-		c.health.doubtUntil = c.now.Add(c.cfg.DoubtFor)
+// receiveAck clears a claim that this router is lost: a router that knows its current
+// version answered it.
+func (c *Core) receiveAck() {
+	if !c.health.declaredLostAt.IsZero() && c.now.Sub(c.health.declaredLostAt) >= c.cfg.Heartbeat {
+		c.health.declaredLostAt = time.Time{}
+		c.health.settleUntil = c.now.Add(c.cfg.SettleTime)
 	}
 }
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestRoutersFindEachOther(t *testing.T) {
-	f := newFleet(t, DefaultConfig(), calm(), 1, 10, "doto", "visayas")
+	f := newFleet(t, DefaultConfig(), losslessNet(), 1, 10, "doto", "visayas")
 	for _, name := range f.names {
 		assert.Equal(t, f.live(name, "doto"), 10, name)
 		assert.Equal(t, f.live(name, "visayas"), 10, name)
@@ -16,7 +16,7 @@
 }
 
 func TestDetectionIsFast(t *testing.T) {
-	f := newFleet(t, DefaultConfig(), calm(), 2, 40, "doto")
+	f := newFleet(t, DefaultConfig(), losslessNet(), 2, 40, "doto")
 	died := f.net.Now()
 	f.kill(f.names[7])
 	f.net.Run(500 * time.Millisecond)
@@ -27,7 +27,7 @@
 }
 
 func TestQuietFleetHasNoVerdicts(t *testing.T) {
-	f := newFleet(t, DefaultConfig(), calm(), 3, 30, "doto")
+	f := newFleet(t, DefaultConfig(), losslessNet(), 3, 30, "doto")
 	f.net.Run(2 * time.Minute)
 	assert.Equal(t, len(f.changes), 0, "%v", f.changes)
 }
--- a/core/membership/message.go
+++ b/core/membership/message.go
@@ -5,75 +5,76 @@
 // Kind is the type of a message between routers.
 type Kind uint8
 
-// The messages. The values are part of the wire format.
+// The kinds of messages. The values are part of the wire format.
 const (
 	KindUnknown Kind = iota
-	// Heartbeat is the regular sign of life to the observers.
+	// Heartbeat is sent to the observers at a fixed interval.
 	Heartbeat
 	// Ping asks for an Ack with the same Seq.
 	Ping
 	// Ack answers a Ping.
 	Ack
-	// PingRequest asks the receiver to ping Target, and Report carries the outcome.
+	// PingRequest asks the receiver to ping Target; Report carries the result.
 	PingRequest
 	Report
-	// Push carries changes that are to travel at once.
+	// Push carries changes that are sent without waiting for the next heartbeat.
 	Push
-	// Digest carries digests of data centres; a receiver whose own differ answers.
+	// Digest carries digests of data centres; a receiver whose own digests differ asks for
+	// the members.
 	Digest
-	// ListRequest asks for all members of DataCentre; List carries them, in as many
-	// messages as the bound on updates needs.
+	// ListRequest asks for all members of DataCentre. List carries them, in as many
+	// messages as the limit on updates requires.
 	ListRequest
 	List
-	// ListNotice is what a router passes on of the platform's list, read Silent ago. It
-	// travels by other means than between two members and is no input of Step.
+	// ListNotice passes on an extract of the platform's VM list, which was read Silent ago.
+	// It is not exchanged by Core and is not an input of Step.
 	ListNotice
 )
 
-// Message is what routers of the membership protocol say to each other. Fields
-// that a kind does not need are zero. The sender's identity comes from the
-// transport.
+// Message is a message of the membership protocol. Fields that a kind does not use are
+// zero. The sender's identity comes from the transport.
 type Message struct {
 	Kind Kind
-	// Version is the sender's own version.
+	// Version is the version of the sender's own record.
 	Version uint32
 	// Seq pairs a Ping with its Ack and a PingRequest with its Report.
 	Seq uint64
-	// Target is whom a PingRequest or Report is about.
+	// Target is the member that a PingRequest or Report is about.
 	Target string
-	// Heard says in a Report that the target answered.
+	// Heard says in a Report that the target was heard.
 	Heard bool
-	// Trying marks a Report that is not the last word: the pings are still out.
+	// Trying marks a preliminary Report: the helper is still pinging the target.
 	Trying bool
-	// Silent says in a Report for how long the helper itself has not heard the
-	// target; zero means that it never heard this life.
+	// Silent says in a Report how long ago the helper last heard the target; zero means
+	// that it never heard this instance.
 	Silent time.Duration
-	// Troubles names in a Report other members that the helper pings in vain.
+	// Troubles names in a Report other members that do not answer the helper's pings.
 	Troubles []string
-	// Deaf says that the sender hears nobody.
+	// Deaf says that the sender hears no other router of its data centre.
 	Deaf bool
-	// Leaving says that the sender drains.
+	// Leaving says that the sender is draining.
 	Leaving bool
-	// Revision is the configuration revision in force at the sender, for RevisionAge.
+	// Revision is the configuration revision in force at the sender, and RevisionAge is for
+	// how long it has been in force.
 	Revision    uint64
 	RevisionAge time.Duration
-	// DataCentre is the subject of a ListRequest or List.
+	// DataCentre is the data centre that a ListRequest or List is about.
 	DataCentre string
-	// Digests hold the sender's view of data centres.
+	// Digests are the sender's digests of data centres.
 	Digests []DCDigest
 	// Links say which data centres the sender, a representative, can hear.
 	Links   []Link
 	Updates []Update
 }
 
-// DCDigest sums up the view of one data centre.
+// DCDigest is the digest of the members of one data centre.
 type DCDigest struct {
 	DataCentre string
 	Sum        uint64
 }
 
-// Link is the statement of a representative on whether it hears another data
-// centre; the one with the highest Incarnation and Seq holds.
+// Link is the statement of a representative whether it hears another data centre. The
+// statement with the highest Incarnation and Seq applies.
 type Link struct {
 	From        string
 	Incarnation uint64
--- a/core/membership/notice.go
+++ b/core/membership/notice.go
@@ -3,25 +3,26 @@
 import "time"
 
 const (
-	// maxNotice bounds the VMs of one notice. More are a start of a fleet, in which each
-	// router reads the list itself.
-	maxNotice = 64
-	// noticeFor is the age from which a list that was passed on says nothing any more.
-	noticeFor = time.Minute
+	// maxNoticeVMs limits the VMs in one notice. More occur only when a whole fleet starts,
+	// and then each router reads the list itself.
+	maxNoticeVMs = 64
+	// maxNoticeAge is the age above which a list that was passed on is ignored.
+	maxNoticeAge = time.Minute
 )
 
-// Notice picks from the platform's list what others of this data centre cannot know from
-// the member view: VMs that are no members, and members that are about to leave. What
-// every router knows anyway stays out, so that a notice does not grow with the fleet.
+// Notice selects the entries of the platform's VM list that other routers of this data
+// centre cannot know from the member view: VMs that are not members, and members that are
+// about to leave. Entries that every router knows are left out, so that the notice does not
+// grow with the fleet.
 func (c *Core) Notice(vms []ListedVM) []ListedVM {
 	var out []ListedVM
 	for _, vm := range vms {
 		r := c.byName[vm.Name]
-		member := r != nil && onRing(r.state)
+		member := r != nil && isLive(r.state)
 		if member && !vm.Leaving || member && r.DataCentre != c.self.DataCentre {
 			continue
 		}
-		if len(out) == maxNotice {
+		if len(out) == maxNoticeVMs {
 			break
 		}
 		out = append(out, vm)
@@ -29,13 +30,13 @@
 	return out
 }
 
-// noticed takes in a list that another router read. It names VMs to try and says who is
-// about to leave. It never counts against a member: only what this router reads itself
-// can show that the list has dropped one, since nobody knows how long a notice was held
-// up on its way.
-func (c *Core) noticed(e *Noticed) {
+// receiveNotice applies a list extract that another router read. It names VMs to contact
+// and VMs that are about to leave. It is never evidence against a member: only a list that
+// this router reads itself can show that a member was removed from it, since the delay of a
+// notice is unknown.
+func (c *Core) receiveNotice(e *Noticed) {
 	at := c.now.Add(-e.Age)
-	if e.Age > noticeFor || at.Before(c.listAt) || at.Before(c.noticeAt) {
+	if e.Age > maxNoticeAge || at.Before(c.listAt) || at.Before(c.noticeAt) {
 		return
 	}
 	c.noticeAt = at
@@ -49,10 +50,10 @@
 			r.listed = vm != nil
 		}
 		if r.DataCentre == c.self.DataCentre {
-			c.hint(r, vm != nil && vm.Leaving)
+			c.setPlatformLeaving(r, vm != nil && vm.Leaving)
 		}
 	}
 	for i := range e.VMs {
-		c.listedVM(&e.VMs[i])
+		c.applyListedVM(&e.VMs[i])
 	}
 }
--- a/core/membership/observe.go
+++ b/core/membership/observe.go
@@ -5,44 +5,47 @@
 	"time"
 )
 
-// watch is an observer's file on one member.
+// watch is an observer's state for one member.
 type watch struct {
 	member *record
-	// from is the earliest time from which silence counts: the last sign of life,
-	// the beginning of the watch or the end of this router's own suspension.
-	from time.Time
-	// pinged is when the last direct ping went out.
+	// silentSince is the time from which silence is counted: the last sign of life, the
+	// beginning of the observation or the end of this router's own suspension, whichever is
+	// latest.
+	silentSince time.Time
+	// pinged is when the last direct ping was sent.
 	pinged time.Time
-	// asked says that helpers were asked in this silence; helpers are their names,
-	// reached those that reported anything and silent those that pinged in vain.
-	asked   bool
-	helpers []string
-	reached []string
-	silent  []string
-	// troubles names other members that helpers find silent.
-	troubles []string
-	// public says that others were told of the suspicion.
-	public bool
-	// hurry is set where the transport failed: probing begins at once.
-	hurry bool
+	// helpRequested says that helpers were asked during this silence. helpers are their
+	// names, reporters the helpers that sent any report, and confirmers the helpers whose
+	// pings were not answered either.
+	helpRequested bool
+	helpers       []string
+	reporters     []string
+	confirmers    []string
+	// silentOthers names other members that helpers find silent.
+	silentOthers []string
+	// published says that other routers were told of the suspicion.
+	published bool
+	// probeNow is set after the transport failed, so that probing begins at once.
+	probeNow bool
 }
 
-// reset begins a new count of silence.
+// reset restarts the count of silence.
 func (w *watch) reset(now time.Time) {
-	w.from = now
+	w.silentSince = now
 	w.pinged = time.Time{}
-	w.asked = false
+	w.helpRequested = false
 	w.helpers = nil
-	w.reached = nil
-	w.troubles = nil
-	w.silent = nil
-	w.public = false
-	w.hurry = false
+	w.reporters = nil
+	w.silentOthers = nil
+	w.confirmers = nil
+	w.published = false
+	w.probeNow = false
 }
 
-// skip leaves out of the silence the time for which this router was suspended.
-func (w *watch) skip(asleep time.Duration, now time.Time) {
-	w.from = earlier(w.from.Add(asleep), now)
+// excludeSuspension subtracts the time for which this router was suspended from the
+// silence.
+func (w *watch) excludeSuspension(suspended time.Duration, now time.Time) {
+	w.silentSince = earlier(w.silentSince.Add(suspended), now)
 }
 
 // observeAll acts on the silence of each watched member. The list is copied,
@@ -53,33 +56,33 @@
 	}
 }
 
-// observe takes the next step against one silent member: ping, ask others,
-// suspect, judge.
+// observe takes the next step for a silent member: ping, ask others, suspect, judge.
 func (c *Core) observe(w *watch) {
-	silence := c.now.Sub(w.from)
-	if silence >= c.cfg.ProbeAfter || w.hurry {
+	silence := c.now.Sub(w.silentSince)
+	if silence >= c.cfg.ProbeAfter || w.probeNow {
 		c.probe(w)
 	}
-	if silence >= c.cfg.AskAfter && !w.asked {
-		c.ask(w)
+	if silence >= c.cfg.IndirectProbeAfter && !w.helpRequested {
+		c.requestIndirectProbes(w)
 	}
-	if silence >= c.cfg.SuspectAfter && c.fit() {
+	if silence >= c.cfg.SuspectAfter && c.canJudge() {
 		c.suspect(w)
 	}
-	if silence >= c.lostAfter() && c.fit() && silence >= c.lostAfter()+c.gather(w) {
+	if silence >= c.lostAfter() && c.canJudge() && silence >= c.lostAfter()+c.verdictDelay(w) {
 		c.judge(w)
 	}
 }
 
-// probe pings directly, again and again, since one ping or its answer may drop.
+// probe pings the member directly, and repeats the ping because it or its answer may be
+// dropped.
 func (c *Core) probe(w *watch) {
 	if c.now.Sub(w.pinged) < c.cfg.ProbeEvery {
 		return
 	}
 	w.pinged = c.now
 	m := Message{Kind: Ping, Seq: c.nextSeq()}
-	if w.public {
-		// The member learns of the suspicion from the ping and refutes it.
+	if w.published {
+		// The ping carries the suspicion, so that the member can refute it.
 		m.Updates = []Update{w.member.update()}
 	}
 	c.send(w.member.Name, m)
@@ -90,13 +93,13 @@
 	return c.seq
 }
 
-// sendFailed begins to probe at once. A refused connection is a sign that the
-// process is gone, but a full queue or a resetting middle box looks the same,
-// so the times of the verdict stay as they are.
+// sendFailed begins to probe at once. A refused connection suggests that the process has
+// ended, but a full queue or a middlebox that resets connections looks the same, so the
+// times of the verdict do not change.
 func (c *Core) sendFailed(to string) {
 	for _, w := range c.watches {
 		if w.member.Name == to {
-			w.hurry = true
+			w.probeNow = true
 		}
 	}
 }
--- a/core/membership/partition_test.go
+++ b/core/membership/partition_test.go
@@ -7,42 +7,38 @@
 	"gotest.tools/v3/assert"
 )
 
-// Symptom: half of a data centre is declared dead and its keys move, though only
-// a switch failed.
-// Sequence: a partition splits 40 routers in half, 10 s later it heals.
-// Cause: each silent member is judged by itself.
-func TestAPartitionIsNotAMassDeath(t *testing.T) {
-	f := newFleet(t, DefaultConfig(), calm(), 23, 40, "doto")
-	left := f.side(20)
+// A partition splits 40 routers in half and heals after 10 s. If each silent member were
+// judged by itself, half of the data centre would be declared lost and its keys would move.
+func TestPartitionLeadsToIsolationNotLoss(t *testing.T) {
+	f := newFleet(t, DefaultConfig(), losslessNet(), 23, 40, "doto")
+	left := f.firstN(20)
 	f.net.Blocked = func(from, to string) bool { return left(from) != left(to) }
 	f.net.Run(10 * time.Second)
 	assert.Equal(t, len(f.verdicts(Lost)), 0)
 	for _, name := range f.names {
 		other := func(n string) bool { return left(n) != left(name) }
-		held := f.statesHeld(name, other)
+		held := f.countStates(name, other)
 		assert.Equal(t, held[Isolated], 20, "%s holds %v", name, held)
 		on, _ := f.nodes[name].core.View().Isolated()
-		assert.Assert(t, on, "%s reaches half and must doubt itself", name)
+		assert.Assert(t, on, "%s reaches half and must consider itself isolated", name)
 	}
 	f.net.Blocked = nil
 	f.net.Run(20 * time.Second)
 	for _, name := range f.names {
 		assert.Equal(t, f.live(name, "doto"), 40, "%s after the partition", name)
 		on, cause := f.nodes[name].core.View().Isolated()
-		assert.Assert(t, !on, "%s still doubts itself: %s", name, cause)
+		assert.Assert(t, !on, "%s still considers itself isolated: %s", name, cause)
 	}
 }
 
-// Symptom: a cut-off router declares everyone lost.
-// Sequence: one router loses all links, then gets them back.
-// Cause: it judges others by its own broken link.
-func TestACutOffRouterJudgesNobody(t *testing.T) {
-	f := newFleet(t, DefaultConfig(), calm(), 27, 20, "doto")
+// A router that loses all its links for a while must not declare the others lost.
+func TestCutOffRouterDeclaresNoMemberLost(t *testing.T) {
+	f := newFleet(t, DefaultConfig(), losslessNet(), 27, 20, "doto")
 	cut := f.names[3]
 	f.net.Blocked = func(from, to string) bool { return from == cut || to == cut }
 	f.net.Run(3 * time.Second)
 	for _, c := range f.changes {
-		assert.Assert(t, c.by != cut || !c.got.To.gone(), "the cut-off router judged %s", c.got.Member.Name)
+		assert.Assert(t, c.by != cut || !c.got.To.ended(), "the cut-off router declared lost: %s", c.got.Member.Name)
 	}
 	on, cause := f.nodes[cut].core.View().Isolated()
 	assert.Assert(t, on)
@@ -52,50 +48,46 @@
 	f.net.Run(10 * time.Second)
 	assert.Equal(t, f.nodes[f.names[9]].core.View().State(cut), Alive)
 	on, cause = f.nodes[cut].core.View().Isolated()
-	assert.Assert(t, !on, "still doubts: %s", cause)
+	assert.Assert(t, !on, "still considers itself isolated: %s", cause)
 }
 
-// Symptom: a router that hears nothing goes on as grantor, though no request can
-// reach it.
-// Sequence: messages to one router drop, those from it arrive.
-// Cause: its heartbeats still show it alive.
-func TestADeafRouterIsIsolated(t *testing.T) {
-	f := newFleet(t, DefaultConfig(), calm(), 28, 20, "doto")
-	deaf := f.names[3]
-	f.net.Blocked = func(_, to string) bool { return to == deaf }
+// Messages to one router are dropped while its own arrive. Its heartbeats must not let it
+// continue as grantor, because no request can reach it.
+func TestRouterThatHearsNobodyIsIsolated(t *testing.T) {
+	f := newFleet(t, DefaultConfig(), losslessNet(), 28, 20, "doto")
+	cut := f.names[3]
+	f.net.Blocked = func(_, to string) bool { return to == cut }
 	f.net.Run(2 * time.Second)
 	for _, name := range f.names {
-		if name != deaf {
-			assert.Equal(t, f.nodes[name].core.View().State(deaf), Isolated, name)
+		if name != cut {
+			assert.Equal(t, f.nodes[name].core.View().State(cut), Isolated, name)
 		}
 	}
 	f.net.Blocked = nil
 	f.net.Run(5 * time.Second)
 	for _, name := range f.names {
-		assert.Equal(t, f.nodes[name].core.View().State(deaf), Alive, name)
+		assert.Equal(t, f.nodes[name].core.View().State(cut), Alive, name)
 	}
 }
 
-// Symptom: a router that others hold for dead keeps acting on its duties.
-// Sequence: messages from one router drop, those to it arrive.
-// Cause: it hears the others and so takes itself to be fine.
-func TestAMuteRouterLearnsThatItIsHeldForLost(t *testing.T) {
-	f := newFleet(t, DefaultConfig(), calm(), 29, 20, "doto")
-	mute := f.names[3]
-	f.net.Blocked = func(from, _ string) bool { return from == mute }
+// Messages from one router are dropped while it hears the others. It must learn that the
+// others have declared it lost and stop acting on its duties.
+func TestRouterThatIsNotHeardLearnsThatItIsLost(t *testing.T) {
+	f := newFleet(t, DefaultConfig(), losslessNet(), 29, 20, "doto")
+	unheard := f.names[3]
+	f.net.Blocked = func(from, _ string) bool { return from == unheard }
 	f.net.Run(3 * time.Second)
-	assert.Equal(t, f.nodes[f.names[9]].core.View().State(mute), Lost)
-	on, cause := f.nodes[mute].core.View().Isolated()
+	assert.Equal(t, f.nodes[f.names[9]].core.View().State(unheard), Lost)
+	on, cause := f.nodes[unheard].core.View().Isolated()
 	assert.Assert(t, on)
-	assert.Equal(t, cause, CauseAccused)
-	assert.Equal(t, f.live(mute, "doto"), 20, "it hears the others and must not judge them")
+	assert.Equal(t, cause, CauseDeclaredLost)
+	assert.Equal(t, f.live(unheard, "doto"), 20, "it hears the others and must not judge them")
 }
 
-// Symptom: one broken link makes two live routers take each other for dead.
-// Sequence: the link between a router and one of its observers is cut both ways.
-// Cause: the observer trusts its own link alone.
-func TestABrokenLinkIsNotADeath(t *testing.T) {
-	f := newFleet(t, DefaultConfig(), calm(), 30, 20, "doto")
+// The link between a router and one of its observers is cut in both directions. Neither may
+// declare the other lost because of its own link alone.
+func TestSingleBrokenLinkLeadsToNoLoss(t *testing.T) {
+	f := newFleet(t, DefaultConfig(), losslessNet(), 30, 20, "doto")
 	a := f.names[3]
 	b := f.nodes[a].core.observers[0].Name
 	f.net.Blocked = func(from, to string) bool { return from == a && to == b || from == b && to == a }
@@ -103,11 +95,10 @@
 	assert.Equal(t, len(f.verdicts(Lost)), 0)
 }
 
-// Symptom: with two routers in a data centre, each declares the other lost.
-// Sequence: the link between them is cut while one of them reaches the platform.
-// Cause: there is no third router to ask.
-func TestOfTwoRoutersTheOneThatIsAnsweredJudges(t *testing.T) {
-	f := newFleet(t, DefaultConfig(), calm(), 36, 2, "doto")
+// The link between the only two routers of a data centre is cut, and there is no third
+// router to ask. Only the router that reaches the platform may declare the other lost.
+func TestOfTwoRoutersOnlyTheOneWithExternalContactJudges(t *testing.T) {
+	f := newFleet(t, DefaultConfig(), losslessNet(), 36, 2, "doto")
 	f.net.Blocked = func(_, _ string) bool { return true }
 	a, b := f.nodes[f.names[0]], f.nodes[f.names[1]]
 	f.net.Run(3 * time.Second)
@@ -122,12 +113,11 @@
 	assert.Equal(t, cause, CauseCutOff)
 }
 
-// Symptom: a data centre that is cut off is taken for dead.
-// Sequence: one of three data centres loses the others, then finds them again.
-// Cause: members are judged from another data centre.
-func TestADataCentreThatIsCutOffIsNotDead(t *testing.T) {
-	f := newFleet(t, DefaultConfig(), calm(), 37, 6, "abashiri", "kushiro", "nemuro")
-	cut := f.side(6)
+// One of three data centres is cut off from the others and then reachable again. Its
+// members must not be judged from another data centre.
+func TestMembersOfCutOffDataCentreStayAlive(t *testing.T) {
+	f := newFleet(t, DefaultConfig(), losslessNet(), 37, 6, "abashiri", "kushiro", "nemuro")
+	cut := f.firstN(6)
 	f.net.Run(12 * time.Second)
 	f.changes = nil
 	f.net.Blocked = func(from, to string) bool { return cut(from) != cut(to) }
@@ -154,15 +144,15 @@
 	}
 }
 
-// Symptom: many members of the far side of a partition are declared lost.
-// Sequence: data centres of several sizes split in several proportions.
-// Cause: first verdicts are due before most of the silent are suspected.
-func TestPartitionsOfManySizesBringNoFlood(t *testing.T) {
+// Data centres of several sizes are split in several proportions. The first verdicts must
+// not be reached before most of the silent members are suspect, or many members of the
+// other side are declared lost.
+func TestPartitionsOfManySizesLeadToAtMostOneLoss(t *testing.T) {
 	sizes := []struct{ all, left int }{{4, 2}, {6, 3}, {12, 6}, {12, 5}, {40, 16}, {100, 50}}
 	for _, s := range sizes {
 		for seed := range uint64(3) {
-			f := newFleet(t, DefaultConfig(), calm(), 200+seed, s.all, "doto")
-			left := f.side(s.left)
+			f := newFleet(t, DefaultConfig(), losslessNet(), 200+seed, s.all, "doto")
+			left := f.firstN(s.left)
 			f.net.Run(time.Duration(f.net.Rand().Int64N(int64(100 * time.Millisecond))))
 			f.net.Blocked = func(from, to string) bool { return left(from) != left(to) }
 			f.net.Run(3 * time.Second)
@@ -175,13 +165,11 @@
 	}
 }
 
-// Symptom: every quarter of an hour a data centre is reported as cut off for a
-// second, though nothing happened.
-// Sequence: representatives pick the receiver of their summaries at random; one
-// of them gets none for the whole timeout.
-// Cause: silence by chance passes for a cut.
+// When representatives selected the receiver of their summaries at random, one receiver
+// occasionally got none for the whole timeout, and a data centre was reported as cut off
+// for a second every quarter of an hour.
 func TestNoDataCentreIsCutOffByChance(t *testing.T) {
-	f := newFleet(t, DefaultConfig(), lossy(), 38, 4, "abashiri", "kushiro", "nemuro")
+	f := newFleet(t, DefaultConfig(), lossyNet(), 38, 4, "abashiri", "kushiro", "nemuro")
 	f.net.Run(10 * time.Second)
 	var down []Link
 	f.net.OnSend = func(_, _ string, m Message) {
@@ -195,14 +183,12 @@
 	assert.Equal(t, len(down), 0, "%v", down)
 }
 
-// Symptom: a data centre that is cut off is shown as reachable for some seconds.
-// Sequence: it is cut off; a representative of this one is lost, another router
-// takes over.
-// Cause: a representative that has said nothing yet counts as one that hears it.
-func TestANewRepresentativeDoesNotEndACut(t *testing.T) {
-	f := newFleet(t, DefaultConfig(), calm(), 39, 5, "abashiri", "kushiro")
+// A data centre is cut off, and a representative of this one is replaced. The new one has
+// not made a statement yet, which must not count as hearing the data centre.
+func TestNewRepresentativeDoesNotEndCutOff(t *testing.T) {
+	f := newFleet(t, DefaultConfig(), losslessNet(), 39, 5, "abashiri", "kushiro")
 	f.net.Run(12 * time.Second)
-	cut := f.side(5)
+	cut := f.firstN(5)
 	f.net.Blocked = func(from, to string) bool { return cut(from) != cut(to) }
 	f.net.Run(14 * time.Second)
 	for _, n := range f.nodes {
@@ -223,12 +209,10 @@
 	}
 }
 
-// Symptom: a leftover process of a replaced VM goes on acting.
-// Sequence: a router is suspended for long; the platform starts another of the
-// same name; the first one wakes.
-// Cause: both use one name and the older does not see that it was replaced.
-func TestALeftoverOfAnOlderLifeStops(t *testing.T) {
-	f := newFleet(t, DefaultConfig(), calm(), 40, 10, "doto")
+// A router is suspended for a long time, the platform starts another one of the same name,
+// and the first one resumes. It must notice that it was replaced and stop acting.
+func TestSupersededInstanceStopsActing(t *testing.T) {
+	f := newFleet(t, DefaultConfig(), losslessNet(), 40, 10, "doto")
 	old := f.nodes[f.names[4]]
 	f.kill(old.name)
 	f.net.Run(time.Second)
@@ -249,5 +233,5 @@
 		From:    f.nodes[f.names[0]].core.self.Member,
 		Message: Message{Kind: ListRequest},
 	})
-	assert.Equal(t, len(actions), 0, "it must hand out no view: %v", actions)
+	assert.Equal(t, len(actions), 0, "it must send no members: %v", actions)
 }
--- a/core/membership/property_test.go
+++ b/core/membership/property_test.go
@@ -13,8 +13,8 @@
 	"tarragongw/internal/simnet"
 )
 
-// trouble drives one random history of faults against a fleet.
-func trouble(t *rapid.T, f *fleet, steps int) {
+// injectFaults applies a random sequence of faults to a fleet.
+func injectFaults(t *rapid.T, f *fleet, steps int) {
 	for i := range steps {
 		name := f.names[rapid.IntRange(0, len(f.names)-1).Draw(t, "router")]
 		switch rapid.IntRange(0, 5).Draw(t, "fault") {
@@ -28,7 +28,7 @@
 			}
 		case 3:
 			cut := rapid.IntRange(1, len(f.names)-1).Draw(t, "cut")
-			left := f.side(cut)
+			left := f.firstN(cut)
 			oneWay := rapid.Bool().Draw(t, "one way")
 			f.net.Blocked = func(from, to string) bool {
 				return left(from) && !left(to) || !oneWay && left(to) && !left(from)
@@ -51,14 +51,14 @@
 	panic("no such VM: " + name)
 }
 
-// Whatever happened, once it is over all living routers agree: the living are
-// alive, the dead are not, and nobody doubts itself.
-func TestViewsAgreeAfterAnyTrouble(t *testing.T) {
+// Some time after all faults have ended, the running routers agree which routers are
+// running. Fleets of fewer than three routers are not checked.
+func TestViewsAgreeAfterFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		net := lossy()
+		net := lossyNet()
 		net.MaxDelay = 20 * time.Millisecond
 		f := newFleet(t, DefaultConfig(), net, rapid.Uint64().Draw(rt, "seed"), 9, "doto")
-		trouble(rt, f, rapid.IntRange(1, 8).Draw(rt, "steps"))
+		injectFaults(rt, f, rapid.IntRange(1, 8).Draw(rt, "steps"))
 		f.net.Blocked = nil
 		f.net.Run(40 * time.Second)
 		if len(f.nodes) < 3 {
@@ -74,19 +74,19 @@
 				alive := f.nodes[other] != nil
 				state := v.State(other)
 				if alive && state != Alive && state != Suspect {
-					rt.Fatalf("%s holds the living %s for %s", name, other, state)
+					rt.Fatalf("%s holds the running %s for %s", name, other, state)
 				}
 				if !alive && (state == Alive || state == Suspect) {
-					rt.Fatalf("%s holds the dead %s for %s", name, other, state)
+					rt.Fatalf("%s holds the stopped %s for %s", name, other, state)
 				}
 			}
 		}
 	})
 }
 
-// A claim never takes a record back: the order of incarnation, version and
-// gravity only rises, whatever arrives in whatever order.
-func TestClaimsNeverGoBack(t *testing.T) {
+// The incarnation and version of a record never decrease, whatever claims arrive in
+// whatever order.
+func TestIncarnationAndVersionNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := New(DefaultConfig(), Member{Name: "self", DataCentre: "doto", Incarnation: 1}, rand.New(rand.NewPCG(1, 1)))
 		var incarnation uint64
@@ -101,7 +101,7 @@
 				State:   State(rapid.IntRange(int(Alive), int(Left)).Draw(t, "state")),
 			}
 			c.Step(epoch, Received{
-				From:    Member{Name: "teller", DataCentre: "doto", Incarnation: 1},
+				From:    Member{Name: "sender", DataCentre: "doto", Incarnation: 1},
 				Message: Message{Kind: Push, Updates: []Update{u}},
 			})
 			r := c.byName["other"]
@@ -113,10 +113,10 @@
 	})
 }
 
-// The running digests must equal those computed from scratch, or the exchange of
-// digests would find differences that are not there, or none that are.
-func TestRunningSumsAreExact(t *testing.T) {
-	f := newFleet(t, DefaultConfig(), lossy(), 41, 12, "doto", "visayas")
+// The incrementally updated digests and counts must equal those computed from scratch;
+// otherwise comparing digests would report differences that do not exist or miss real ones.
+func TestIncrementalDigestsAreExact(t *testing.T) {
+	f := newFleet(t, DefaultConfig(), lossyNet(), 41, 12, "doto", "visayas")
 	f.kill(f.names[3])
 	f.net.Run(2 * time.Second)
 	f.start(f.vms[3], 2, 41)
@@ -128,8 +128,8 @@
 			live, isolated := 0, 0
 			for _, r := range d.members {
 				sum ^= r.digest()
-				live += count(onRing(r.state))
-				isolated += count(r.state == Isolated)
+				live += boolToInt(isLive(r.state))
+				isolated += boolToInt(r.state == Isolated)
 			}
 			assert.Equal(t, d.sum, sum, "%s on %s", name, d.name)
 			assert.Equal(t, d.live, live, "%s on %s", name, d.name)
@@ -138,10 +138,10 @@
 	}
 }
 
-// history runs a troubled fleet and returns a hash over every action of every
-// router in order.
-func history(t *testing.T, seed uint64) string {
-	f := newFleet(t, DefaultConfig(), lossy(), seed, 15, "doto", "visayas")
+// actionsHash runs a fleet with faults and returns a hash of all actions of all routers, in
+// order.
+func actionsHash(t *testing.T, seed uint64) string {
+	f := newFleet(t, DefaultConfig(), lossyNet(), seed, 15, "doto", "visayas")
 	h := fnv.New64a()
 	f.trace = func(name string, now time.Time, actions []Action) {
 		fmt.Fprintf(h, "%s %d %#v\n", name, now.UnixNano(), actions)
@@ -149,7 +149,7 @@
 	f.net.Pause(f.names[2], time.Second)
 	f.kill(f.names[4])
 	f.net.Run(2 * time.Second)
-	left := f.side(7)
+	left := f.firstN(7)
 	f.net.Blocked = func(from, to string) bool { return left(from) != left(to) }
 	f.net.Run(2 * time.Second)
 	f.net.Blocked = nil
@@ -159,15 +159,15 @@
 }
 
 func TestSameEventsGiveTheSameActions(t *testing.T) {
-	first := history(t, 51)
+	first := actionsHash(t, 51)
 	for range 3 {
-		assert.Equal(t, history(t, 51), first)
+		assert.Equal(t, actionsHash(t, 51), first)
 	}
-	assert.Assert(t, history(t, 52) != first, "the trace must depend on the events")
+	assert.Assert(t, actionsHash(t, 52) != first, "the trace must depend on the events")
 }
 
 // Traffic per router must not grow with the fleet.
-func TestTrafficPerRouterIsFlat(t *testing.T) {
+func TestTrafficPerRouterDoesNotGrowWithFleet(t *testing.T) {
 	perRouter := func(size int) float64 {
 		net := simnet.Config{Tick: 10 * time.Millisecond, MinDelay: 400 * time.Microsecond, MaxDelay: 600 * time.Microsecond}
 		f := newFleet(t, DefaultConfig(), net, 61, size, "doto")
--- a/core/membership/receive.go
+++ b/core/membership/receive.go
@@ -1,16 +1,16 @@
 package membership
 
-// receive takes in one message. Whatever its kind, it shows that its sender
-// lives.
+// receive processes one message. A message of any kind is evidence that its sender is
+// alive.
 func (c *Core) receive(from Member, m *Message) {
 	if from.Name == c.self.Name || from.Name == "" {
 		return
 	}
-	r := c.learn(from, m)
+	r := c.applySenderClaim(from, m)
 	if r == nil {
 		return
 	}
-	c.heardFrom(r, m)
+	c.recordSignOfLife(r, m)
 	c.applyAll(m.Updates, from.Name)
 	c.receiveLinks(m.Links)
 	switch m.Kind {
@@ -19,7 +19,7 @@
 	case Ping:
 		c.receivePing(from.Name, m)
 	case Ack:
-		c.acquitted()
+		c.receiveAck()
 	case PingRequest:
 		c.receivePingRequest(from.Name, m)
 	case Report:
@@ -31,38 +31,40 @@
 	}
 }
 
-// learn merges what the message itself claims: that its sender lives, with this
-// incarnation and version. It returns nil where the sender is to be ignored.
-func (c *Core) learn(from Member, m *Message) *record {
+// applySenderClaim merges the claim implied by the message itself: that its sender is
+// alive, with this incarnation and version. It returns nil if the rest of the message is to
+// be ignored.
+func (c *Core) applySenderClaim(from Member, m *Message) *record {
 	claim := Update{Member: from, Version: m.Version, State: Alive, Leaving: m.Leaving}
 	r := c.byName[from.Name]
 	if r == nil || claim.supersedes(r) {
 		if c.apply(claim, "") {
 			c.enqueue(claim)
 		}
-		c.askForAll(from)
+		c.requestWholeView(from)
 		return c.byName[from.Name]
 	}
-	if from.Incarnation < r.Incarnation || r.state.gone() {
-		c.receiveFromGone(from, r, m)
+	if from.Incarnation < r.Incarnation || r.state.ended() {
+		c.receiveFromEnded(from, r, m)
 		return nil
 	}
-	c.askForAll(from)
+	c.requestWholeView(from)
 	return r
 }
 
-// receiveFromGone meets an older life of r, or one that does not know yet that others
-// hold it for lost. It is told and either refutes or stops.
+// receiveFromEnded handles a message from an older instance of r, or from an instance that
+// is recorded as lost or left and may not know it. The sender is told the state and either
+// refutes it or stops.
 //
-// What goes wrong if no more is done: two routers hold each other for lost, each drops
-// all that the other says, neither hears the accusation that it would refute, and each
-// message is answered by an accusation without end. It shows as two routers of a data
-// centre that stay apart, and busy, until a third party tells them. What such a router
-// says of this one is therefore heard; it is a claim like any other.
-func (c *Core) receiveFromGone(from Member, r *record, m *Message) {
+// Claims of the sender about this router are applied as well. Otherwise two routers that
+// have declared each other lost drop everything that the other says, neither receives the
+// claim that it has to refute, and each message is answered with another claim without end:
+// the two routers of a data centre stay separated, and busy, until a third router tells
+// them.
+func (c *Core) receiveFromEnded(from Member, r *record, m *Message) {
 	for _, u := range m.Updates {
 		if u.Member.Name == c.self.Name {
-			c.aboutSelf(u)
+			c.receiveClaimOnSelf(u)
 		}
 	}
 	c.send(from.Name, Message{Kind: Push, Updates: []Update{r.update()}})
@@ -71,96 +73,98 @@
 	}
 }
 
-// heardFrom notes a sign of life of r.
-func (c *Core) heardFrom(r *record, m *Message) {
-	r.deaf = m.Deaf
-	c.seen(r)
+// recordSignOfLife records that a message from r arrived.
+func (c *Core) recordSignOfLife(r *record, m *Message) {
+	r.hearsNobody = m.Deaf
+	c.markHeard(r)
 	if r.DataCentre == c.self.DataCentre {
-		c.health.anyone = c.now
-		c.health.met = true
+		c.health.lastPeerHeard = c.now
+		c.health.peerEverHeard = true
 		return
 	}
-	c.health.witness = c.now
-	c.dataCentre(r.DataCentre).heard = c.now
+	c.health.lastExternalContact = c.now
+	c.dataCentre(r.DataCentre).lastHeard = c.now
 }
 
-// seen notes that r lives, heard directly or through another router.
-func (c *Core) seen(r *record) {
-	r.heard = c.now
+// markHeard records that r is alive, heard directly or through another router.
+func (c *Core) markHeard(r *record) {
+	r.lastHeard = c.now
 	for _, w := range c.watches {
 		if w.member == r {
 			w.reset(c.now)
 		}
 	}
-	c.heardForOthers(r.Name)
+	c.reportHeard(r.Name)
 	switch {
-	case r.deaf && onRing(r.state) && r.DataCentre == c.self.DataCentre:
-		c.declare(r, Isolated, CauseSaysDeaf)
-	case !r.deaf && r.state == Isolated:
-		// The others hold the claim too: the member is to refute it for all.
+	case r.hearsNobody && isLive(r.state) && r.DataCentre == c.self.DataCentre:
+		c.declare(r, Isolated, CauseHearsNobody)
+	case !r.hearsNobody && r.state == Isolated:
+		// Other routers hold the claim too, so the member has to refute it for all of them.
 		c.send(r.Name, Message{Kind: Push, Updates: []Update{r.update()}})
 		c.change(r, Alive, CauseHeard, "")
-	case !r.deaf && r.state == Suspect:
+	case !r.hearsNobody && r.state == Suspect:
 		c.change(r, Alive, CauseHeard, "")
 	}
 }
 
-// receiveRevision notes what the sender has in force. It never goes back within
-// one life.
+// receiveRevision records the revision that the sender has in force. It never decreases
+// within one instance.
 func (c *Core) receiveRevision(r *record, m *Message) {
 	if m.Revision <= r.revision {
 		return
 	}
 	r.revision = m.Revision
-	r.since = c.now.Add(-m.RevisionAge)
+	r.revisionSince = c.now.Add(-m.RevisionAge)
 }
 
-// askForAll asks the first router heard of the data centre for the whole view.
-func (c *Core) askForAll(from Member) {
-	if c.asked || from.DataCentre != c.self.DataCentre {
+// requestWholeView asks the first router heard from this data centre for the whole view.
+func (c *Core) requestWholeView(from Member) {
+	if c.viewRequested || from.DataCentre != c.self.DataCentre {
 		return
 	}
-	c.asked = true
+	c.viewRequested = true
 	c.send(from.Name, Message{Kind: ListRequest})
 }
 
-// listed takes in the platform's list: names to try, and who is to leave.
-func (c *Core) listed(vms []ListedVM) {
+// receiveVMList applies the platform's VM list, which names routers to contact and routers
+// that are about to leave.
+func (c *Core) receiveVMList(vms []ListedVM) {
 	c.listAt = c.now
 	for _, r := range c.byNameOrder() {
 		r.listed = false
 	}
 	for i := range vms {
-		c.listedVM(&vms[i])
+		c.applyListedVM(&vms[i])
 	}
 	if c.home.live == 1 {
-		c.contact()
+		c.pingListed()
 	}
 }
 
-func (c *Core) listedVM(vm *ListedVM) {
+func (c *Core) applyListedVM(vm *ListedVM) {
 	r := c.byName[vm.Name]
 	if r == nil {
 		u := Update{Member: Member{Name: vm.Name, DataCentre: vm.DataCentre, Address: vm.Address}}
-		if !c.admit(u, "") {
+		if !c.addMember(u, "") {
 			return
 		}
 		r = c.byName[vm.Name]
 	}
 	r.listed = true
-	c.hint(r, vm.Leaving)
+	c.setPlatformLeaving(r, vm.Leaving)
 }
 
-// hint takes the platform's word on whether a member is about to leave.
-func (c *Core) hint(r *record, leaving bool) {
-	if r.hinted != leaving {
-		r.hinted = leaving
-		c.changedIn(c.dataCentre(r.DataCentre))
+// setPlatformLeaving records whether the platform's VM list says that a member is about to
+// leave.
+func (c *Core) setPlatformLeaving(r *record, leaving bool) {
+	if r.platformLeaving != leaving {
+		r.platformLeaving = leaving
+		c.invalidate(c.dataCentre(r.DataCentre))
 	}
 }
 
-// contact pings some listed routers of the data centre, to join.
-func (c *Core) contact() {
+// pingListed pings some known routers of the data centre in order to join.
+func (c *Core) pingListed() {
 	tried := 0
 	for _, i := range c.rnd.Perm(len(c.home.members)) {
 		r := c.home.members[i]
@@ -172,28 +176,28 @@
 	}
 }
 
-// heal pings one member that is not alive, so that the two sides of a healed
-// partition find each other again.
-func (c *Core) heal() {
+// pingUnreachable pings one member that is not alive, so that the two sides of a partition
+// find each other again once it heals.
+func (c *Core) pingUnreachable() {
 	if c.home.live == 1 {
-		c.contact()
+		c.pingListed()
 		return
 	}
-	var gone []*record
+	var unreachable []*record
 	for _, r := range c.home.members {
 		if r.state == Isolated || r.state == Unknown || r.state == Lost && r.listed {
-			gone = append(gone, r)
+			unreachable = append(unreachable, r)
 		}
 	}
-	if len(gone) == 0 {
+	if len(unreachable) == 0 {
 		return
 	}
-	r := gone[c.rnd.IntN(len(gone))]
-	c.send(r.Name, Message{Kind: Ping, Seq: c.nextSeq(), Updates: c.claimOn(r)})
+	r := unreachable[c.rnd.IntN(len(unreachable))]
+	c.send(r.Name, Message{Kind: Ping, Seq: c.nextSeq(), Updates: c.claimToRefute(r)})
 }
 
-// claimOn returns the claim that r is asked to refute, if there is one.
-func (c *Core) claimOn(r *record) []Update {
+// claimToRefute returns the claim that r has to refute, if there is one.
+func (c *Core) claimToRefute(r *record) []Update {
 	if r.state == Unknown {
 		return nil
 	}
--- a/core/membership/record.go
+++ b/core/membership/record.go
@@ -16,10 +16,10 @@
 	i, _ := slices.BinarySearchFunc(d.members, r.Name, compareName)
 	d.members = slices.Insert(d.members, i, r)
 	d.sum ^= r.digest()
-	c.changedIn(d)
+	c.invalidate(d)
 }
 
-// remove forgets a record.
+// remove deletes a record.
 func (c *Core) remove(r *record) {
 	d := c.dataCentre(r.DataCentre)
 	i, ok := slices.BinarySearchFunc(d.members, r.Name, compareName)
@@ -29,59 +29,62 @@
 	d.members = slices.Delete(d.members, i, i+1)
 	d.sum ^= r.digest()
 	delete(c.byName, r.Name)
-	c.changedIn(d)
+	c.invalidate(d)
 }
 
-// retouch notes that fields of r changed; before was its digest until now.
-func (c *Core) retouch(r *record, before uint64) {
+// recordChanged updates the data centre's digest after fields of r changed; before is the
+// digest of r before the change.
+func (c *Core) recordChanged(r *record, before uint64) {
 	d := c.dataCentre(r.DataCentre)
 	after := r.digest()
 	if after != before {
 		d.sum ^= before ^ after
-		d.quietSince = c.now
+		d.sumChanged = c.now
 	}
-	c.changedIn(d)
+	c.invalidate(d)
 }
 
-func (c *Core) changedIn(d *dataCentre) {
+// invalidate discards the values derived from the members of d.
+func (c *Core) invalidate(d *dataCentre) {
 	d.dirty = true
 	d.reps = nil
 	c.view = nil
 }
 
-// setState changes the state of r and all that hangs on it: digest, ring,
-// counts, suspects.
+// setState changes the state of r and everything that depends on it: digest, ring, counts
+// and suspects.
 func (c *Core) setState(r *record, to State) {
 	from := r.state
 	before := r.digest()
 	r.state = to
-	r.changed = c.now
-	c.retouch(r, before)
+	r.stateChanged = c.now
+	c.recordChanged(r, before)
 	d := c.dataCentre(r.DataCentre)
-	d.live += count(onRing(to)) - count(onRing(from))
-	d.isolated += count(to == Isolated) - count(from == Isolated)
+	d.live += boolToInt(isLive(to)) - boolToInt(isLive(from))
+	d.isolated += boolToInt(to == Isolated) - boolToInt(from == Isolated)
 	if to == Suspect {
 		c.suspects = append(c.suspects, r)
 	}
 	if from == Suspect {
 		c.suspects = slices.DeleteFunc(c.suspects, func(s *record) bool { return s == r })
 	}
-	if d == c.home && onRing(from) != onRing(to) {
-		c.updateRing(r, onRing(to))
+	if d == c.home && isLive(from) != isLive(to) {
+		c.updateRing(r, isLive(to))
 	}
 }
 
-func count(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// onRing says whether members of the state take part in watching.
-func onRing(s State) bool { return s == Alive || s == Suspect }
+// isLive reports whether members in the state are on the ring, where they observe each
+// other.
+func isLive(s State) bool { return s == Alive || s == Suspect }
 
-// change sets the state and reports it.
+// change sets the state of r and reports the change.
 func (c *Core) change(r *record, to State, cause Cause, by string) {
 	from := r.state
 	if from == to {
@@ -91,46 +94,46 @@
 	c.out = append(c.out, Changed{Member: r.Member, From: from, To: to, Cause: cause, By: by})
 }
 
-// apply merges a claim of another router and says whether it was news.
+// apply merges a claim of another router and reports whether it changed the view.
 func (c *Core) apply(u Update, by string) bool {
-	if !u.Member.bounded() {
+	if !u.Member.withinBounds() {
 		return false
 	}
 	if u.Member.Name == c.self.Name {
-		c.aboutSelf(u)
+		c.receiveClaimOnSelf(u)
 		return false
 	}
 	r := c.byName[u.Member.Name]
 	if r == nil {
-		return c.admit(u, by)
+		return c.addMember(u, by)
 	}
 	if !u.supersedes(r) {
 		return false
 	}
-	if (u.State == Suspect || u.State == Isolated) && c.heardLately(r) {
+	if (u.State == Suspect || u.State == Isolated) && c.heardRecently(r) {
 		return false
 	}
 	c.merge(r, u, by)
 	return true
 }
 
-// heardLately says whether r itself was heard so recently that a suspicion by
-// another router is not to be believed here.
-func (c *Core) heardLately(r *record) bool {
-	return !r.heard.IsZero() && c.now.Sub(r.heard) < c.cfg.ProbeAfter
+// heardRecently reports whether r was heard so recently that another router's suspicion of
+// it is ignored.
+func (c *Core) heardRecently(r *record) bool {
+	return !r.lastHeard.IsZero() && c.now.Sub(r.lastHeard) < c.cfg.ProbeAfter
 }
 
-// admit takes in a member never heard of.
-func (c *Core) admit(u Update, by string) bool {
+// addMember adds a member that was not known before and reports whether it was accepted.
+func (c *Core) addMember(u Update, by string) bool {
 	if len(c.byName) >= c.cfg.MaxMembers || u.Member.DataCentre == "" || u.Member.Name == "" {
 		return false
 	}
-	if !u.Member.bounded() || !c.roomFor(u.Member.DataCentre) {
+	if !u.Member.withinBounds() || !c.acceptsDataCentre(u.Member.DataCentre) {
 		return false
 	}
 	r := &record{Member: u.Member, version: u.Version, leaving: u.Leaving}
 	r.ringHash = xxhash.Sum64String(r.Name)
-	r.admitted = c.now
+	r.firstKnown = c.now
 	c.byName[r.Name] = r
 	c.insert(r)
 	to := u.State
@@ -141,13 +144,13 @@
 	return true
 }
 
-// merge replaces what r holds by a newer claim.
+// merge applies a newer claim to r.
 func (c *Core) merge(r *record, u Update, by string) {
 	restarted := u.Member.Incarnation > r.Incarnation
-	wasGone := r.state.gone()
+	hadEnded := r.state.ended()
 	known := r.state != Unknown
 	if restarted {
-		c.endLife(r, by)
+		c.endInstance(r, by)
 	}
 	before := r.digest()
 	r.Incarnation = u.Member.Incarnation
@@ -156,36 +159,36 @@
 	if u.Member.Address != "" {
 		r.Address = u.Member.Address
 	}
-	c.retouch(r, before)
-	cause := causeOf(u.State, wasGone)
-	if restarted && !u.State.gone() {
+	c.recordChanged(r, before)
+	cause := causeOf(u.State, hadEnded)
+	if restarted && !u.State.ended() {
 		cause = CauseRestarted
 	}
 	if !known {
 		cause = CauseJoined
 	}
-	if u.State == Lost && r.DataCentre == c.self.DataCentre && !c.stranger(r) {
-		// A verdict counts towards the cap whoever reached it.
-		c.losses = append(c.losses, c.now)
+	if u.State == Lost && r.DataCentre == c.self.DataCentre && !c.neverHeard(r) {
+		// A loss counts towards the cap no matter which router declared it.
+		c.recentLossTimes = append(c.recentLossTimes, c.now)
 	}
 	c.change(r, u.State, cause, by)
 }
 
-// endLife reports the end of the life that a new one replaces, so that duties
-// of the old life are taken over even if the router is back already.
-func (c *Core) endLife(r *record, by string) {
-	if !r.state.gone() && r.state != Unknown {
+// endInstance reports the end of an instance that a newer one replaces, so that its duties
+// are taken over even if the router has already restarted.
+func (c *Core) endInstance(r *record, by string) {
+	if !r.state.ended() && r.state != Unknown {
 		c.change(r, Lost, CauseRestarted, by)
 	}
-	r.heard = time.Time{}
-	r.admitted = c.now
-	r.deaf = false
-	r.hinted = false
+	r.lastHeard = time.Time{}
+	r.firstKnown = c.now
+	r.hearsNobody = false
+	r.platformLeaving = false
 	r.revision = 0
 }
 
-// causeOf names why a claim changes the state.
-func causeOf(to State, wasGone bool) Cause {
+// causeOf returns the cause of a change of state by a claim.
+func causeOf(to State, hadEnded bool) Cause {
 	switch to {
 	case Suspect:
 		return CauseToldSuspect
@@ -196,7 +199,7 @@
 	case Left:
 		return CauseLeft
 	}
-	if wasGone {
+	if hadEnded {
 		return CauseRefuted
 	}
 	return CauseHeard
--- a/core/membership/remote.go
+++ b/core/membership/remote.go
@@ -7,24 +7,24 @@
 	"tarragongw/core/rendezvous"
 )
 
-// links hold the representatives' statements on other data centres, sorted by
-// data centre and representative.
+// links holds the representatives' statements on other data centres, sorted by data centre
+// and representative.
 type links struct {
-	held []Link
+	list []Link
 	seq  uint64
 }
 
-func (l *links) all() []Link { return slices.Clone(l.held) }
+func (l *links) all() []Link { return slices.Clone(l.list) }
 
-// representatives returns the routers that speak for d, chosen alike by all who
-// hold the same view.
+// representatives returns the routers that represent d. All routers with the same view
+// choose the same ones.
 func (c *Core) representatives(d *dataCentre) []string {
 	if d.reps != nil {
 		return d.reps
 	}
 	names := make([]string, 0, d.live)
 	for _, r := range d.members {
-		if onRing(r.state) && !r.leaving {
+		if isLive(r.state) && !r.leaving {
 			names = append(names, r.Name)
 		}
 	}
@@ -32,24 +32,25 @@
 	return d.reps
 }
 
-// Representative says whether this router speaks for its data centre.
+// Representative reports whether this router represents its data centre.
 func (c *Core) Representative() bool {
 	return slices.Contains(c.representatives(c.home), c.self.Name)
 }
 
-// speaks says whether this router sends on behalf of its data centre. One that is
-// leaving does so only where nobody is left who stays: its goodbye would else never
-// be heard elsewhere, and its data centre would pass for cut off while it drains.
-func (c *Core) speaks() bool {
+// speaksForDataCentre reports whether this router sends on behalf of its data centre. A
+// leaving router does so only if all others are leaving too: otherwise its leaving would
+// never be announced to other data centres, and its data centre would appear to be cut off
+// while it drains.
+func (c *Core) speaksForDataCentre() bool {
 	return c.Representative() || len(c.representatives(c.home)) == 0
 }
 
-// summarise sends the digest of this data centre to one representative of each
-// other one and states which of them can be heard. Now and then it sends the
-// digests of all, so that a data centre learns through a third one what it
-// cannot hear itself.
-func (c *Core) summarise() {
-	if !c.speaks() || c.left {
+// sendSummaries sends the digest of this data centre to one representative of each other
+// data centre, and publishes which of them can be heard. One summary in FullSummary
+// contains the digests of all data centres, so that a data centre learns through a third
+// one about those that it cannot hear itself.
+func (c *Core) sendSummaries() {
+	if !c.speaksForDataCentre() || c.left {
 		return
 	}
 	c.summaries++
@@ -65,20 +66,20 @@
 		if to := c.nextRepresentative(d); to != "" {
 			c.send(to, m)
 		}
-		if l, ok := c.linkNow(d); ok {
+		if l, ok := c.changedLink(d); ok {
 			changed = append(changed, l)
 		}
 	}
-	c.stateLinks(changed)
+	c.publishLinks(changed)
 }
 
-// nextRepresentative takes the representatives of d in turn: chosen at random,
-// one of them would now and then hear nothing for so long that it took this data
-// centre to be cut off.
+// nextRepresentative selects the representatives of d in turn. With a random choice, a
+// representative occasionally received nothing for so long that it considered this data
+// centre cut off.
 func (c *Core) nextRepresentative(d *dataCentre) string {
 	reps := c.representatives(d)
 	if len(reps) == 0 {
-		return c.anyListed(d)
+		return c.anyKnownRouter(d)
 	}
 	return reps[c.summaries%len(reps)]
 }
@@ -86,14 +87,14 @@
 func (c *Core) anyRepresentative(d *dataCentre) string {
 	reps := c.representatives(d)
 	if len(reps) == 0 {
-		return c.anyListed(d)
+		return c.anyKnownRouter(d)
 	}
 	return reps[c.rnd.IntN(len(reps))]
 }
 
-// anyListed picks a router that may not be a member, such as one known only from
-// the platform's list, but none that said goodbye.
-func (c *Core) anyListed(d *dataCentre) string {
+// anyKnownRouter returns a random known router of d that has not left. It may not be a
+// member, for example if it is known only from the platform's VM list.
+func (c *Core) anyKnownRouter(d *dataCentre) string {
 	names := make([]string, 0, len(d.members))
 	for _, r := range d.members {
 		if r.state != Left {
@@ -106,16 +107,17 @@
 	return names[c.rnd.IntN(len(names))]
 }
 
-// linkNow returns this router's statement on another data centre, if it is new.
-// Nothing is stated until the data centre was heard or should have been.
-func (c *Core) linkNow(d *dataCentre) (Link, bool) {
-	if d.heard.IsZero() && d.firstTried.IsZero() {
-		d.firstTried = c.now
+// changedLink returns this router's statement on another data centre if it differs from the
+// previous one. There is no statement until the data centre was heard, or RemoteTimeout has
+// passed since it was first expected.
+func (c *Core) changedLink(d *dataCentre) (Link, bool) {
+	if d.lastHeard.IsZero() && d.firstExpected.IsZero() {
+		d.firstExpected = c.now
 	}
-	if d.heard.IsZero() && c.now.Sub(d.firstTried) < c.cfg.RemoteTimeout {
+	if d.lastHeard.IsZero() && c.now.Sub(d.firstExpected) < c.cfg.RemoteTimeout {
 		return Link{}, false
 	}
-	up := !d.heard.IsZero() && c.now.Sub(d.heard) < c.cfg.RemoteTimeout
+	up := !d.lastHeard.IsZero() && c.now.Sub(d.lastHeard) < c.cfg.RemoteTimeout
 	if old, ok := c.findLink(c.self.Name, d.name); ok && old.Up == up && old.Incarnation == c.self.Incarnation {
 		return Link{}, false
 	}
@@ -123,13 +125,14 @@
 	return Link{From: c.self.Name, Incarnation: c.self.Incarnation, DataCentre: d.name, Seq: c.links.seq, Up: up}, true
 }
 
-// stateLinks tells the data centre what changed, in one message to each router.
-func (c *Core) stateLinks(changed []Link) {
+// publishLinks sends the changed statements to each router of the data centre in one
+// message.
+func (c *Core) publishLinks(changed []Link) {
 	if len(changed) == 0 {
 		return
 	}
 	for _, l := range changed {
-		c.holdLink(l)
+		c.storeLink(l)
 	}
 	for _, r := range c.home.ring {
 		if r != c.self {
@@ -138,15 +141,14 @@
 	}
 }
 
-// expireLinks forgets the statements of routers that speak for the data centre
-// no more.
+// expireLinks removes the statements of routers that no longer represent the data centre.
 func (c *Core) expireLinks() {
 	reps := c.representatives(c.home)
-	c.links.held = slices.DeleteFunc(c.links.held, func(l Link) bool { return !slices.Contains(reps, l.From) })
+	c.links.list = slices.DeleteFunc(c.links.list, func(l Link) bool { return !slices.Contains(reps, l.From) })
 }
 
 func (c *Core) findLink(from, dc string) (Link, bool) {
-	for _, l := range c.links.held {
+	for _, l := range c.links.list {
 		if l.From == from && l.DataCentre == dc {
 			return l, true
 		}
@@ -156,31 +158,31 @@
 
 func (c *Core) receiveLinks(list []Link) {
 	for _, l := range list {
-		if c.byName[l.From] == nil || l.DataCentre == c.home.name || l.DataCentre == "" || !c.roomFor(l.DataCentre) {
+		if c.byName[l.From] == nil || l.DataCentre == c.home.name || l.DataCentre == "" || !c.acceptsDataCentre(l.DataCentre) {
 			continue
 		}
 		old, ok := c.findLink(l.From, l.DataCentre)
 		if ok && (l.Incarnation < old.Incarnation || l.Incarnation == old.Incarnation && l.Seq <= old.Seq) {
 			continue
 		}
-		c.holdLink(l)
+		c.storeLink(l)
 	}
 }
 
-// holdLink keeps a statement and reports what it changes.
-func (c *Core) holdLink(l Link) {
+// storeLink stores a statement and reports a change of the data centre's link.
+func (c *Core) storeLink(l Link) {
 	before := c.linkUp(l.DataCentre)
-	i, found := slices.BinarySearchFunc(c.links.held, l, compareLink)
+	i, found := slices.BinarySearchFunc(c.links.list, l, compareLink)
 	if found {
-		c.links.held[i] = l
+		c.links.list[i] = l
 	} else {
-		c.links.held = slices.Insert(c.links.held, i, l)
+		c.links.list = slices.Insert(c.links.list, i, l)
 	}
 	after := c.linkUp(l.DataCentre)
 	if before == after {
 		return
 	}
-	c.changedIn(c.dataCentre(l.DataCentre))
+	c.invalidate(c.dataCentre(l.DataCentre))
 	c.out = append(c.out, LinkChanged{DataCentre: l.DataCentre, Up: after})
 }
 
@@ -191,9 +193,9 @@
 	return strings.Compare(a.From, b.From)
 }
 
-// linkUp says whether any present representative hears the data centre, or none
-// has said anything yet. One that took over a moment ago and has said nothing
-// does not outweigh another that says it hears nothing.
+// linkUp reports whether any current representative hears the data centre, or none has made
+// a statement yet. A new representative without a statement does not outweigh one that
+// states that it hears nothing.
 func (c *Core) linkUp(dc string) bool {
 	said := false
 	for _, rep := range c.representatives(c.home) {
@@ -206,24 +208,23 @@
 	return !said
 }
 
-// forward sends a change within this data centre on to the others, if this
-// router speaks for it. Suspicions stay at home.
+// forward queues a change within this data centre for the other data centres, if this
+// router represents its own. Suspicions are not forwarded.
 func (c *Core) forward(u Update) {
-	if u.State == Suspect || u.Member.DataCentre != c.self.DataCentre || len(c.dcs) == 1 || !c.speaks() {
+	if u.State == Suspect || u.Member.DataCentre != c.self.DataCentre || len(c.dcs) == 1 || !c.speaksForDataCentre() {
 		return
 	}
-	c.outbound = replaceUpdate(c.outbound, u, c.cfg.MaxQueued)
+	c.outboundQueue = replaceUpdate(c.outboundQueue, u, c.cfg.MaxQueued)
 }
 
-// flushOutbound sends gathered changes to one representative of each other data
-// centre.
+// flushOutbound sends the queued changes to one representative of each other data centre.
 func (c *Core) flushOutbound() {
-	if len(c.outbound) == 0 {
+	if len(c.outboundQueue) == 0 {
 		return
 	}
-	n := min(len(c.outbound), c.cfg.MaxUpdates)
-	batch := c.outbound[:n:n]
-	c.outbound = c.outbound[n:]
+	n := min(len(c.outboundQueue), c.cfg.MaxUpdates)
+	batch := c.outboundQueue[:n:n]
+	c.outboundQueue = c.outboundQueue[n:]
 	for _, d := range c.dcs {
 		if d == c.home {
 			continue
--- a/core/membership/ring.go
+++ b/core/membership/ring.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// compareRing orders members by position; names break ties.
+// compareRing orders members by ring position, and by name for equal positions.
 func compareRing(a, b *record) int {
 	if a.ringHash != b.ringHash {
 		return cmp.Compare(a.ringHash, b.ringHash)
@@ -14,7 +14,7 @@
 	return strings.Compare(a.Name, b.Name)
 }
 
-// updateRing adds or removes r and recomputes whom this router watches.
+// updateRing adds or removes r and recomputes the members that this router observes.
 func (c *Core) updateRing(r *record, on bool) {
 	ring := c.home.ring
 	i, found := slices.BinarySearchFunc(ring, r, compareRing)
@@ -24,13 +24,13 @@
 	case !on && found:
 		c.home.ring = slices.Delete(ring, i, i+1)
 	}
-	c.assign()
+	c.assignObservers()
 }
 
-// assign finds this router's observers, its successors on the ring, and those
-// whom it watches, its predecessors. Positions are hashes of names, so that
-// routers of one rack are spread over the ring.
-func (c *Core) assign() {
+// assignObservers finds this router's observers, which are its successors on the ring, and
+// the members that it observes, which are its predecessors. Positions are hashes of names,
+// so that the routers of one rack are spread over the ring.
+func (c *Core) assignObservers() {
 	ring := c.home.ring
 	at, found := slices.BinarySearchFunc(ring, c.self, compareRing)
 	if !found {
@@ -47,14 +47,14 @@
 	c.watches = watches
 }
 
-// watchOf returns the watch of r, a fresh one if r was not watched yet.
+// watchOf returns the watch of r, a new one if r was not observed yet.
 func (c *Core) watchOf(r *record) *watch {
 	for _, w := range c.watches {
 		if w.member == r {
 			return w
 		}
 	}
-	return &watch{member: r, from: c.now}
+	return &watch{member: r, silentSince: c.now}
 }
 
 // observersOf returns the successors of r on the ring.
--- a/core/membership/outlived_test.go
+++ b/core/membership/superseded_test.go
@@ -9,11 +9,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// Symptom: a router acts in ownership under one incarnation and in membership under
-// another.
-// Sequence: it hears of a newer life of its name, by a claim or from the transport.
-// Cause: it takes a new incarnation that only membership learns of.
-func TestAnOutlivedRouterDoubtsAndKeepsItsIncarnation(t *testing.T) {
+// A router that hears of a newer instance of its name, by a claim or from the transport,
+// must keep its incarnation: ownership would otherwise act under another incarnation than
+// membership.
+func TestSupersededRouterIsIsolatedAndKeepsItsIncarnation(t *testing.T) {
 	newer := inDoto("a")
 	newer.Incarnation = 7
 	claim := Received{From: inDoto("b"), Message: Message{Kind: Push, Updates: []Update{{Member: newer, State: Lost}}}}
--- a/core/membership/verdict.go
+++ b/core/membership/verdict.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// gather returns how much longer to wait for others' suspicions before a verdict.
+// verdictDelay returns how much longer to wait for the suspicions of other routers before a
+// verdict.
 //
-// What goes wrong otherwise: in a partition the members across fall silent at
-// once, but heartbeats are spread over their interval, so the first verdicts are
-// due when most of the others are not yet suspected, and the cap does not see
-// them. It shows as a few members declared lost on each side. Where more than
-// one member seems to be in trouble, the verdict waits for one more interval.
-func (c *Core) gather(w *watch) time.Duration {
-	silent, total := c.silentShare()
-	few := max(1, int(c.cfg.GatherShare*float64(total)))
-	if silent-1 >= few || c.helpersSilent(w) || c.troubles(w) >= min(few, maxTroubles) {
+// In a partition all members on the other side fall silent at once, but heartbeats are
+// spread over their interval, so the first verdicts are due when most of the silent members
+// are not suspected yet and do not count towards the cap. Without the delay a few members
+// are declared lost on each side. If more than one member appears to be silent, the verdict
+// waits for one more heartbeat interval.
+func (c *Core) verdictDelay(w *watch) time.Duration {
+	silent, total := c.silentCount()
+	few := max(1, int(c.cfg.MassSilenceShare*float64(total)))
+	if silent-1 >= few || c.helpersUnreachable(w) || c.silentOthers(w) >= min(few, silentOthersForDelay) {
 		return c.cfg.Heartbeat
 	}
 	return 0
 }
 
-// maxTroubles is how many other silent members among the few that this router
-// and its helpers watch are enough to wait for more.
-const maxTroubles = 2
+// silentOthersForDelay is the number of other silent members, among the few that this
+// router and its helpers observe, from which a verdict is delayed.
+const silentOthersForDelay = 2
 
-// troubles counts the other members that this router or a helper finds silent
-// without having made it public yet.
-func (c *Core) troubles(w *watch) int {
-	names := slices.Clone(w.troubles)
+// silentOthers returns the number of other members that this router or a helper finds
+// silent, whether or not the suspicion was published.
+func (c *Core) silentOthers(w *watch) int {
+	names := slices.Clone(w.silentOthers)
 	for _, name := range c.silentWatches(w.member.Name) {
 		if !slices.Contains(names, name) {
 			names = append(names, name)
@@ -37,94 +38,95 @@
 	return len(names)
 }
 
-// silentWatches returns whom this router watches and pinged in vain, but for one.
+// silentWatches returns the names of the members other than except that this router
+// observes and whose pings were not answered.
 func (c *Core) silentWatches(except string) []string {
 	var names []string
 	for _, w := range c.watches {
-		if w.member.Name != except && c.now.Sub(w.from) >= c.cfg.ProbeAfter+c.cfg.ProbeEvery {
+		if w.member.Name != except && c.now.Sub(w.silentSince) >= c.cfg.ProbeAfter+c.cfg.ProbeEvery {
 			names = append(names, w.member.Name)
 		}
 	}
 	return names
 }
 
-// helpersSilent says whether half or more of those asked said nothing at all.
-func (c *Core) helpersSilent(w *watch) bool {
-	return len(w.helpers) > 0 && 2*(len(w.helpers)-len(w.reached)) >= len(w.helpers)
+// helpersUnreachable reports whether half or more of the helpers sent no report at all.
+func (c *Core) helpersUnreachable(w *watch) bool {
+	return len(w.helpers) > 0 && 2*(len(w.helpers)-len(w.reporters)) >= len(w.helpers)
 }
 
-// suspect marks the member and, where it is not the only one in trouble, makes
-// the suspicion public, so that everyone can count how many are silent at once
-// before the first verdict. A lone suspicion stays private: telling all of each
-// pause of each router would make everyone's traffic grow with the fleet.
+// suspect marks the member as suspect. If other members are silent too, it publishes the
+// suspicion, so that every router can count the silent members before the first verdict. A
+// single suspicion is not published: if every pause of every router were announced to all,
+// the traffic per router would grow with the fleet.
 func (c *Core) suspect(w *watch) {
-	if w.public || !onRing(w.member.state) || c.stranger(w.member) {
+	if w.published || !isLive(w.member.state) || c.neverHeard(w.member) {
 		return
 	}
 	c.change(w.member, Suspect, CauseSilent, "")
-	if c.gather(w) > 0 {
-		w.public = true
+	if c.verdictDelay(w) > 0 {
+		w.published = true
 		c.enqueue(w.member.update())
 	}
 }
 
-// judge declares a silent member lost, or isolated where too many are silent.
+// judge declares a silent member lost, or isolated if too many members are silent.
 func (c *Core) judge(w *watch) {
 	r := w.member
-	if !onRing(r.state) || !c.confirmed(w) {
+	if !isLive(r.state) || !c.confirmed(w) {
 		return
 	}
 	if c.overCap() || c.minority() {
 		c.declare(r, Isolated, CauseOverCap)
 		return
 	}
-	if c.stranger(r) {
+	if c.neverHeard(r) {
 		c.declare(r, Lost, CauseNeverHeard)
 		return
 	}
-	c.losses = append(c.losses, c.now)
+	c.recentLossTimes = append(c.recentLossTimes, c.now)
 	c.declare(r, Lost, CauseSilent)
-	// It may live and merely not be heard: then it learns that it is not.
+	// The member may be alive although it is not heard. It then learns of the claim and can
+	// refute it.
 	c.send(r.Name, Message{Kind: Push, Updates: []Update{r.update()}})
 }
 
-// stranger says whether r was only lately heard of and never from itself. A
-// router that returns with an old view brings many such members; their silence
-// is no sign of a partition and does not count towards the cap.
-func (c *Core) stranger(r *record) bool {
-	return r.heard.IsZero() && (c.now.Sub(r.admitted) < c.cfg.StrangerFor || c.alone())
+// neverHeard reports whether r became known recently and was never heard itself. A router
+// that returns with an old view introduces many such members; their silence is not a sign
+// of a partition and does not count towards the cap.
+func (c *Core) neverHeard(r *record) bool {
+	return r.lastHeard.IsZero() && (c.now.Sub(r.firstKnown) < c.cfg.NeverHeardGrace || c.neverHeardPeers())
 }
 
-// declare reports a verdict and spreads it.
+// declare reports a verdict and publishes it.
 func (c *Core) declare(r *record, to State, cause Cause) {
 	c.change(r, to, cause, "")
 	c.enqueue(r.update())
 }
 
-// confirmed says whether enough others found the member silent too. Another
-// router's public suspicion counts as one. Where there is nobody to ask, an
-// answer from outside the data centre's routers must show that this router is
-// not the one that is cut off.
+// confirmed reports whether enough helpers found the member silent too. If there is no
+// other router to ask, a recent response from outside the data centre's routers must show
+// that it is not this router that is cut off.
 func (c *Core) confirmed(w *watch) bool {
 	others := c.home.live - 2
-	if others <= 0 || c.alone() {
-		return c.witnessed()
+	if others <= 0 || c.neverHeardPeers() {
+		return c.hasExternalContact()
 	}
-	return len(w.silent) >= min(c.cfg.Confirmations, others)
+	return len(w.confirmers) >= min(c.cfg.Confirmations, others)
 }
 
-// overCap says whether so many members are silent at once that a partition is
-// likelier than their deaths.
+// overCap reports whether so many members are silent at once that a partition is more
+// likely than their loss.
 func (c *Core) overCap() bool {
-	silent, total := c.silentShare()
-	return silent > c.allowance(total)
+	silent, total := c.silentCount()
+	return silent > c.maxSilent(total)
 }
 
-// silentShare counts members of the data centre that are suspected, isolated or
-// lost within the window, and all that were there at its beginning.
-func (c *Core) silentShare() (silent, total int) {
+// silentCount returns the number of members of the data centre that are suspect, isolated
+// or were lost within the window, and the number of all members including these.
+func (c *Core) silentCount() (silent, total int) {
 	for _, s := range c.suspects {
-		if s.DataCentre == c.self.DataCentre && !c.stranger(s) {
+		if s.DataCentre == c.self.DataCentre && !c.neverHeard(s) {
 			silent++
 		}
 	}
@@ -135,19 +137,19 @@
 	return silent + lost, total + lost
 }
 
-// recentLosses counts losses within the window and forgets older ones.
+// recentLosses returns the number of losses within the window and discards older ones.
 func (c *Core) recentLosses() int {
 	old := 0
-	for old < len(c.losses) && c.now.Sub(c.losses[old]) > c.cfg.LostWindow {
+	for old < len(c.recentLossTimes) && c.now.Sub(c.recentLossTimes[old]) > c.cfg.LostWindow {
 		old++
 	}
-	c.losses = c.losses[old:]
-	return len(c.losses)
+	c.recentLossTimes = c.recentLossTimes[old:]
+	return len(c.recentLossTimes)
 }
 
-// allowance is how many of total may be silent at once and still be judged:
-// always one, and in a small data centre any strict minority.
-func (c *Core) allowance(total int) int {
+// maxSilent returns how many of total members may be silent at once and still be declared
+// lost: always one, and in a small data centre any strict minority.
+func (c *Core) maxSilent(total int) int {
 	n := int(c.cfg.LostShare * float64(total))
 	if total <= c.cfg.SmallFleet {
 		n = max(n, (total-1)/2)
--- a/core/membership/view.go
+++ b/core/membership/view.go
@@ -6,17 +6,15 @@
 	"time"
 )
 
-// Status is what a view holds of one member.
+// Status is the state of one member in a view.
 type Status struct {
 	Member
 	State State
-	// Leaving says that the member drains or that the platform is about to remove
-	// it.
+	// Leaving says that the member is draining or that the platform is about to remove it.
 	Leaving bool
 }
 
-// View is an immutable picture of the members. It may be shared between
-// goroutines.
+// View is an immutable snapshot of the members. It may be shared between goroutines.
 type View struct {
 	self     Member
 	dcs      []*dcView
@@ -31,12 +29,12 @@
 	up   bool
 }
 
-// View returns the present view. It is cheap where nothing changed.
+// View returns the current view. It is cached until something changes.
 func (c *Core) View() *View {
 	if c.view != nil {
 		return c.view
 	}
-	v := &View{self: c.self.Member, doubting: c.health.doubting, cause: c.health.cause}
+	v := &View{self: c.self.Member, doubting: c.health.isolated, cause: c.health.cause}
 	for _, d := range c.dcs {
 		v.dcs = append(v.dcs, c.viewOf(d))
 	}
@@ -44,10 +42,10 @@
 	return v
 }
 
-// viewOf returns the picture of d, the former one if nothing in it changed.
+// viewOf returns the view of d, the cached one if nothing in it changed.
 func (c *Core) viewOf(d *dataCentre) *dcView {
-	if !d.dirty && d.picture != nil {
-		return d.picture
+	if !d.dirty && d.cachedView != nil {
+		return d.cachedView
 	}
 	p := &dcView{name: d.name, up: d == c.home || c.linkUp(d.name)}
 	p.all = make([]Status, 0, len(d.members))
@@ -55,13 +53,13 @@
 		if r.state == Unknown {
 			continue
 		}
-		p.all = append(p.all, Status{Member: r.Member, State: r.state, Leaving: r.leaving || r.hinted})
-		if onRing(r.state) {
+		p.all = append(p.all, Status{Member: r.Member, State: r.state, Leaving: r.leaving || r.platformLeaving})
+		if isLive(r.state) {
 			p.live = append(p.live, r.Member)
 		}
 	}
 	d.dirty = false
-	d.picture = p
+	d.cachedView = p
 	return p
 }
 
@@ -85,8 +83,8 @@
 	return v.dcs[i]
 }
 
-// Live returns the members of the data centre that are alive or merely
-// suspected, sorted by name. The slice must not be changed.
+// Live returns the members of the data centre that are alive or suspect, sorted by name.
+// The slice must not be modified.
 func (v *View) Live(dc string) []Member {
 	if d := v.find(dc); d != nil {
 		return d.live
@@ -94,8 +92,8 @@
 	return nil
 }
 
-// Members returns all that are remembered of the data centre, sorted by name.
-// The slice must not be changed.
+// Members returns all members of the data centre, including those that have ended and are
+// still remembered, sorted by name. The slice must not be modified.
 func (v *View) Members(dc string) []Status {
 	if d := v.find(dc); d != nil {
 		return d.all
@@ -103,7 +101,7 @@
 	return nil
 }
 
-// Status returns what is held of the member with the name.
+// Status returns the status of the member with the name.
 func (v *View) Status(name string) (Status, bool) {
 	for _, d := range v.dcs {
 		i, ok := slices.BinarySearchFunc(d.all, name, func(s Status, n string) int { return strings.Compare(s.Name, n) })
@@ -123,14 +121,14 @@
 	return s.State
 }
 
-// Up says whether the data centre can be heard.
+// Up reports whether the data centre can be heard.
 func (v *View) Up(dc string) bool {
 	d := v.find(dc)
 	return d != nil && d.up
 }
 
-// Isolated says whether this router takes itself to be cut off, suspended,
-// declared lost or in a minority, and why. It then must not act on the silence
+// Isolated reports whether this router considers itself superseded, cut off, declared lost,
+// in a minority or recently suspended, and the cause. It must then not act on the silence
 // of others.
 func (v *View) Isolated() (bool, Cause) {
 	if !v.doubting {
@@ -139,8 +137,8 @@
 	return true, v.cause
 }
 
-// Reported is the configuration revision that a router reported to have in
-// force, and since when.
+// Reported is the configuration revision that a router reported to have in force, and since
+// when.
 type Reported struct {
 	Member   Member
 	State    State
@@ -148,9 +146,9 @@
 	Since    time.Time
 }
 
-// Reports returns this router's own revision and those of the routers that
-// report to it, in order of name. Together the reports of all routers of a data
-// centre cover it several times over, also for routers that answer no more.
+// Reports returns this router's own revision and those of the routers that it observes, in
+// order of name. Together the reports of all routers of a data centre cover every router
+// several times, including routers that no longer respond.
 func (c *Core) Reports() []Reported {
 	list := []Reported{reportOf(c.self)}
 	for _, w := range c.watches {
@@ -161,5 +159,5 @@
 }
 
 func reportOf(r *record) Reported {
-	return Reported{Member: r.Member, State: r.state, Revision: r.revision, Since: r.since}
+	return Reported{Member: r.Member, State: r.state, Revision: r.revision, Since: r.revisionSince}
 }
--- a/core/membership/wake.go
+++ b/core/membership/wake.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// maxSleep bounds the time between two ticks of a router at rest. A suspension is
-// noticed by the lateness of a tick; one that ends before the next tick is due is
-// not, and must stay well below LostAfter.
+// maxSleep limits the time between two ticks of an idle router. A suspension is detected by
+// a late tick; a suspension that ends before the next tick is due is not detected, so the
+// limit must be well below LostAfter.
 const maxSleep = 5 // ticks
 
-// Wake returns how long after now the next Tick is due, at least one Config.Tick.
-// The shell may send it earlier or at each Config.Tick; what it sends later counts
-// as a suspension of this router.
+// Wake returns how long after now the next Tick is due, at least one Config.Tick. The shell
+// may send it earlier or at each Config.Tick; a later Tick may count as a suspension of
+// this router.
 func (c *Core) Wake(now time.Time) time.Duration {
 	tick := c.cfg.Tick
 	next := now.Add(tick)
-	if c.calm() {
+	if c.idle() {
 		next = c.nextDue(now.Add(maxSleep * tick))
 	}
 	d := max(next.Sub(now), tick)
@@ -21,12 +21,12 @@
 	return d
 }
 
-// calm says that nobody is silent and that nothing waits but periodic duties.
-func (c *Core) calm() bool {
-	if c.start.IsZero() || c.health.doubting || c.health.cutOff || c.health.score > 0 || !c.health.accused.IsZero() {
+// idle reports whether no member is silent and only periodic tasks are pending.
+func (c *Core) idle() bool {
+	if c.start.IsZero() || c.health.isolated || c.health.cutOff || c.health.score > 0 || !c.health.declaredLostAt.IsZero() {
 		return false
 	}
-	return len(c.helping) == 0 && len(c.suspects) == 0 && len(c.outbound) == 0 && c.home.isolated == 0
+	return len(c.indirectProbes) == 0 && len(c.suspects) == 0 && len(c.outboundQueue) == 0 && c.home.isolated == 0
 }
 
 // nextDue returns the earliest time before latest at which a tick has something to do.
@@ -37,13 +37,13 @@
 		next = earlier(next, at)
 	}
 	for _, w := range c.watches {
-		if w.hurry {
+		if w.probeNow {
 			return c.now
 		}
-		next = earlier(next, w.from.Add(c.cfg.ProbeAfter))
+		next = earlier(next, w.silentSince.Add(c.cfg.ProbeAfter))
 	}
 	if c.peers() > 0 {
-		next = earlier(next, c.health.anyone.Add(c.cfg.CutOffAfter))
+		next = earlier(next, c.health.lastPeerHeard.Add(c.cfg.CutOffAfter))
 	}
 	return next
 }
