--- a/core/health/health.go
+++ b/core/health/health.go
@@ -1,10 +1,9 @@
-// Package health judges targets. What requests experience comes first; probes
-// come second and cannot clear what requests show; a target's own reports are
-// hints that lower confidence a little, for a while.
+// Package health judges targets. The results of requests have priority; probes come second
+// and cannot override what requests show. A target's own reports are only hints that lower
+// its weight by a limited amount for a while.
 //
-// The package is deterministic: time is a parameter, and verdicts change only in
-// Tick, where all targets of a service are judged together. A Set is not safe for
-// concurrent use.
+// The package is deterministic: time is a parameter, and verdicts change only in Tick,
+// where all targets of a service are judged together. A Set is not safe for concurrent use.
 package health
 
 import "time"
@@ -19,9 +18,9 @@
 	Suspect
 	// SlowStart targets are cold or back on trial; their weight grows.
 	SlowStart
-	// Ejected targets get no new work for a time.
+	// Ejected targets get no new work for a limited time.
 	Ejected
-	// Lost targets answer nothing on any connection; their keys may be moved.
+	// Lost targets do not answer on any connection; their keys may be moved.
 	Lost
 	// Draining targets are leaving; they get no new work.
 	Draining
@@ -37,23 +36,25 @@
 	return stateNames[s]
 }
 
-// Signal is what one request or probe experienced.
+// Signal is the outcome of one request or probe.
 type Signal uint8
 
 const (
-	// OK means an answer that is not the target's failure.
+	// OK means an answer that does not indicate a failure of the target.
 	OK Signal = iota
-	// Failed means an answer that is the target's failure, or a broken connection.
+	// Failed means an answer that indicates a failure of the target, or a broken
+	// connection.
 	Failed
 	// ConnectFailed means that no connection could be opened.
 	ConnectFailed
 	// Stalled means that a connection made no progress.
 	Stalled
-	// Shed means that the target refused for want of room: busy, not ill.
+	// Shed means that the target rejected the request because it is busy, which is not a
+	// failure.
 	Shed
 )
 
-// Result is one experience with a target.
+// Result is the result of one request to a target.
 type Result struct {
 	Signal Signal
 	// Fresh says that the connection was opened for this request.
@@ -62,10 +63,10 @@
 	Latency time.Duration
 }
 
-// Report is what a target says about itself.
+// Report is a target's report about itself.
 type Report struct {
 	Healthy bool
-	// Load is the share of its slots in use, from 0 to 1.
+	// Load is the share of the target's slots that are in use, from 0 to 1.
 	Load float64
 }
 
@@ -73,7 +74,7 @@
 type Change struct {
 	Target   string
 	From, To State
-	// Cause names the evidence.
+	// Cause names the evidence for the change.
 	Cause string
 }
 
@@ -95,33 +96,37 @@
 	DefaultHintHalfLife   = 5 * time.Second
 )
 
-// Config bounds the judgement. The zero value of a field means its default.
+// Config holds the limits and times of the verdicts. The zero value of a field means its
+// default.
 type Config struct {
-	// Consecutive failures eject a target; SuspectAfter of them make it suspect.
+	// Consecutive is the number of consecutive failures that eject a target, and
+	// SuspectAfter the number that makes it suspect.
 	Consecutive, SuspectAfter int
 	// MinSuccess is the success rate below which a target with at least MinSamples
 	// results within the window is ejected.
 	MinSuccess float64
 	MinSamples int
-	// Ejection is the first ejection's length; each further one doubles it up to
-	// MaxEjection. An equal time in good health halves it again.
+	// Ejection is the length of the first ejection. Each further one is twice as long, up
+	// to MaxEjection; after an equally long time in good health the length is halved again.
 	Ejection, MaxEjection time.Duration
-	// MaxEjected is the greatest share of a service's targets that is ejected or lost
-	// by verdict of the success rate; a service of at least two may always lose one.
+	// MaxEjected is the largest share of a service's targets that may be ejected or lost
+	// when another one is ejected. In a service of at least two targets one may always be
+	// ejected.
 	MaxEjected float64
-	// MaxLost is the share of targets in doubt above which none is declared lost,
-	// because a common cause, perhaps on this router's side, is likelier.
+	// MaxLost is the share of unreachable targets above which none is declared lost,
+	// because a common cause, possibly at this router, is more likely.
 	MaxLost float64
-	// LostAfter failures of fresh connections or probes without any success for
-	// LostSilence make a target lost.
+	// LostAfter is the number of failures of fresh connections or probes, without any
+	// success for LostSilence, that make a target lost.
 	LostAfter   int
 	LostSilence time.Duration
-	// SlowStart is how long the weight grows from SlowStartFloor to 1.
+	// SlowStart is the time in which the weight grows from SlowStartFloor to 1.
 	SlowStart      time.Duration
 	SlowStartFloor float64
-	// SlowFactor times the median latency makes a target suspect.
+	// SlowFactor is the multiple of the median latency above which a target becomes
+	// suspect.
 	SlowFactor float64
-	// HintHalfLife is how fast a report's effect fades.
+	// HintHalfLife is the half-life of the effect of a target's report.
 	HintHalfLife time.Duration
 }
 
--- a/core/health/health_test.go
+++ b/core/health/health_test.go
@@ -13,7 +13,7 @@
 
 const tick = 100 * time.Millisecond
 
-// newSet returns n targets t0.. that have each answered well.
+// newSet returns a set of n targets, t00 and so on, that have each answered 20 requests.
 func newSet(n int) *Set {
 	s := NewSet(Config{})
 	for i := range n {
@@ -33,7 +33,7 @@
 	}
 }
 
-func count(s *Set, n int, state State) (c int) {
+func countState(s *Set, n int, state State) (c int) {
 	for i := range n {
 		if s.State(name(i)) == state {
 			c++
@@ -42,7 +42,7 @@
 	return c
 }
 
-func TestFailuresMakeSuspectThenEjectThenTrial(t *testing.T) {
+func TestFailuresLeadToSuspectThenEjectedThenSlowStart(t *testing.T) {
 	s := newSet(4)
 	now := epoch.Add(tick)
 	send(s, now, "t00", 2, Result{Signal: Failed})
@@ -84,17 +84,16 @@
 	assert.DeepEqual(t, lengths, []time.Duration{DefaultEjection, 2 * DefaultEjection, 4 * DefaultEjection})
 }
 
-func TestBusyIsNotIll(t *testing.T) {
+func TestBusyTargetStaysHealthy(t *testing.T) {
 	s := newSet(3)
 	send(s, epoch, "t00", 1000, Result{Signal: Shed})
 	s.Tick(epoch)
 	assert.Equal(t, s.State("t00"), Healthy)
 }
 
-// Symptom: all targets of a service are ejected and every request is refused,
-// although a part of the requests would still succeed.
-// Sequence: a shared dependency fails; each target's requests fail.
-// Cause: targets judged one by one, with no cap over all.
+// A shared dependency fails and with it requests at each target. Without a cap over all
+// targets the whole service would be ejected, and requests that would still succeed would
+// be refused.
 func TestCommonCauseEjectsNoMoreThanTheCap(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 7, 16} {
 		s := newSet(n)
@@ -106,15 +105,14 @@
 			}
 			s.Tick(now)
 			limit := max(int(DefaultMaxEjected*float64(n)), min(1, n-1))
-			assert.Assert(t, count(s, n, Ejected) <= limit, "%d of %d ejected", count(s, n, Ejected), n)
+			assert.Assert(t, countState(s, n, Ejected) <= limit, "%d of %d ejected", countState(s, n, Ejected), n)
 		}
 	}
 }
 
-// Symptom: the only target of three that has been used fails, and is never ejected.
-// Sequence: nothing is known of the other two, which are not judged.
-// Cause: the cap is taken for a share of those that are judged.
-func TestTargetsThatAreNotJudgedCountForTheCap(t *testing.T) {
+// Only one of three targets has been used, and it fails. The cap is a share of all targets,
+// not only of the judged ones, or it could not be ejected.
+func TestTargetsThatAreNotJudgedCountTowardsCap(t *testing.T) {
 	s := newSet(1)
 	s.SetSize(3)
 	send(s, epoch, name(0), 5, Result{Signal: Failed})
@@ -122,11 +120,9 @@
 	assert.Equal(t, s.State(name(0)), Ejected)
 }
 
-// Symptom: a router that lost its own network declares every target dead and
-// moves all keys when it returns.
-// Sequence: all connections of the router fail at once.
-// Cause: losses of connections were taken for losses of targets one by one.
-func TestOwnNetworkLossCondemnsNobody(t *testing.T) {
+// All connections of a router fail at once because of its own network. It must not declare
+// the targets lost, or it would move all keys when it returns.
+func TestLossOfRoutersOwnNetworkMakesNoTargetLost(t *testing.T) {
 	s := newSet(7)
 	now := epoch
 	for range 50 {
@@ -137,10 +133,11 @@
 		s.Tick(now)
 	}
 	assert.Assert(t, s.CommonCause())
-	assert.Equal(t, count(s, 7, Lost), 0)
+	assert.Equal(t, countState(s, 7, Lost), 0)
 }
 
-// The price of the rule above in a very small service, as docs/design says.
+// In a very small service the rule for a common cause, described in docs/design, also
+// delays real losses.
 func TestTwoOfThreeAreNotDeclaredLost(t *testing.T) {
 	s := newSet(3)
 	now := epoch
@@ -151,7 +148,7 @@
 		s.Result(now, "t02", Result{Signal: OK})
 		s.Tick(now)
 	}
-	assert.Equal(t, count(s, 3, Lost), 0)
+	assert.Equal(t, countState(s, 3, Lost), 0)
 	s.Probe(now, "t01", true)
 	s.Result(now, "t00", Result{Signal: ConnectFailed})
 	s.Tick(now.Add(tick))
@@ -176,7 +173,7 @@
 	assert.Equal(t, s.State("t03"), SlowStart)
 }
 
-func TestTwoFailedConnectionsAreNoLoss(t *testing.T) {
+func TestTwoFailedConnectionsDoNotMakeTargetLost(t *testing.T) {
 	s := newSet(7)
 	send(s, epoch.Add(tick), "t03", DefaultLostAfter-1, Result{Signal: ConnectFailed})
 	s.Tick(epoch.Add(time.Minute))
@@ -186,10 +183,10 @@
 	assert.Equal(t, s.State("t03"), Lost)
 }
 
-// Symptom: a target that is well loses its keys when a firewall restarts.
-// Sequence: all of its open connections go silent; new ones work.
-// Cause: the silence of old connections was counted as failure of the target.
-func TestSilentConnectionsDoNotCondemn(t *testing.T) {
+// A firewall restarts, and all open connections of a target stall while new ones work.
+// Stalls of old connections must not count as failures of the target, or it would lose its
+// keys.
+func TestStalledOldConnectionsDoNotMakeTargetLost(t *testing.T) {
 	s := newSet(3)
 	now := epoch.Add(time.Second)
 	send(s, now, "t00", 130, Result{Signal: Stalled})
@@ -202,10 +199,9 @@
 	assert.Assert(t, !s.WantsProbe("t00"))
 }
 
-// Symptom: a frozen target keeps its keys although nothing on it moves.
-// Sequence: its kernel accepts connections; no request on any is answered.
-// Cause: silence was always blamed on the connection.
-func TestSilenceOfFreshConnectionsCondemns(t *testing.T) {
+// The kernel of a frozen target accepts connections, but no request is answered. Stalls of
+// fresh connections must count against the target, or it would keep its keys.
+func TestStalledFreshConnectionsMakeTargetLost(t *testing.T) {
 	s := newSet(3)
 	now := epoch
 	for range 5 {
@@ -216,10 +212,9 @@
 	assert.Equal(t, s.State("t00"), Lost)
 }
 
-// Symptom: a target fails all work and stays in use.
-// Sequence: its health endpoint answers well, its requests fail.
-// Cause: a good probe cleared the evidence of requests.
-func TestGoodProbesDoNotClearFailedWork(t *testing.T) {
+// A target answers probes and fails all requests. Successful probes must not clear the
+// evidence of requests, or it would stay in use.
+func TestSuccessfulProbesDoNotClearFailedRequests(t *testing.T) {
 	s := newSet(4)
 	now := epoch
 	for range 5 {
@@ -232,10 +227,9 @@
 	assert.Equal(t, s.State("t00"), Ejected)
 }
 
-// Symptom: a good target gets no work.
-// Sequence: its report says unhealthy and full for minutes while it answers well.
-// Cause: reports were believed against what requests experience.
-func TestLyingReportsTakeAtMostHalfAndFade(t *testing.T) {
+// A target reports for minutes that it is unhealthy and full while it answers well. Its
+// reports must not outweigh the results of requests.
+func TestFalseReportsTakeAtMostHalfTheWeightAndExpire(t *testing.T) {
 	s := newSet(4)
 	now := epoch
 	before := 1.0
@@ -245,17 +239,16 @@
 		s.Report(now, "t00", Report{Healthy: false, Load: 1})
 		s.Tick(now)
 		weight := s.Weight(now, "t00")
-		assert.Assert(t, before-weight <= hintStep+1e-9, "lowered from %.2f to %.2f in one step", before, weight)
+		assert.Assert(t, before-weight <= reportPenaltyStep+1e-9, "lowered from %.2f to %.2f in one step", before, weight)
 		before = weight
 	}
 	assert.Equal(t, s.State("t00"), Healthy)
-	assert.Assert(t, before >= hintFloor-1e-9)
+	assert.Assert(t, before >= minReportTrust-1e-9)
 	assert.Assert(t, s.Weight(now.Add(5*DefaultHintHalfLife), "t00") > 0.98)
 }
 
-// Symptom: one slow target holds up a third of the requests.
-// Sequence: it answers all, at eight times the latency of the others.
-// Cause: only failures were counted.
+// A target answers all requests, but at eight times the latency of the others. Latency must
+// count as well as failures, or it delays its share of the requests.
 func TestSlowTargetIsSuspect(t *testing.T) {
 	s := newSet(4)
 	now := epoch.Add(tick)
@@ -267,7 +260,7 @@
 	assert.Equal(t, s.State("t00"), Healthy)
 }
 
-func TestDrainingGetsNothingAndBackIsSlow(t *testing.T) {
+func TestDrainingTargetGetsNoWorkAndReturnsSlowly(t *testing.T) {
 	s := newSet(2)
 	s.SetDraining("t01", true)
 	s.Tick(epoch)
@@ -280,11 +273,9 @@
 	assert.Equal(t, s.State("t01"), Lost)
 }
 
-// Symptom: after a restart of half of the targets the cold ones time out for
-// minutes.
-// Sequence: 8 of 16 come back with empty caches and get their full load at once.
-// Cause: a cold target was treated as a warm one.
-func TestColdHalfRampsUp(t *testing.T) {
+// 8 of 16 targets restart with empty caches. If they got their full load at once, requests
+// to them would time out for minutes.
+func TestColdTargetsStartSlowly(t *testing.T) {
 	s := newSet(8)
 	for i := 8; i < 16; i++ {
 		s.Add(epoch, name(i), true)
@@ -298,7 +289,7 @@
 	}
 }
 
-func TestAnyHistoryKeepsCapsAndRepeats(t *testing.T) {
+func TestRandomEventsKeepCapAndAreDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "targets")
 		a, b := newSet(n), newSet(n)
@@ -315,7 +306,7 @@
 				t.Fatalf("same events, different verdicts")
 			}
 			limit := max(int(DefaultMaxEjected*float64(n)), min(1, n-1))
-			if got := count(a, n, Ejected); got > limit {
+			if got := countState(a, n, Ejected); got > limit {
 				t.Fatalf("%d of %d ejected", got, n)
 			}
 			if w := a.Weight(now, target); w < 0 || w > 1 {
--- a/core/health/set.go
+++ b/core/health/set.go
@@ -12,17 +12,17 @@
 	cfg Config
 	// targets are sorted by name, so that equal events give equal verdicts.
 	targets []*target
-	// size is the number of the service's targets, those that are not judged included.
-	size    int
-	changes []Change
-	common  bool
+	// size is the number of the service's targets, including those that are not judged.
+	size        int
+	changes     []Change
+	commonCause bool
 }
 
 // NewSet returns an empty set.
 func NewSet(cfg Config) *Set { return &Set{cfg: cfg.withDefaults()} }
 
-// Add begins to judge a target; a cold one starts slowly. A known one is left as
-// it is.
+// Add begins to judge a target; a cold one starts with a low weight. A target that is
+// already in the set is not changed.
 func (s *Set) Add(now time.Time, name string, cold bool) {
 	i, found := s.find(name)
 	if found {
@@ -35,14 +35,13 @@
 	s.targets = slices.Insert(s.targets, i, t)
 }
 
-// SetSize tells how many targets the service has. Those that were not added count as
-// well where a share of all decides, as they would if they had been and nothing had
-// happened to them since.
+// SetSize sets the number of the service's targets. Targets that were not added count in
+// shares of the service's targets as if nothing were known against them.
 func (s *Set) SetSize(targets int) { s.size = targets }
 
-func (s *Set) all() int { return max(s.size, len(s.targets)) }
+func (s *Set) total() int { return max(s.size, len(s.targets)) }
 
-// Names ranges over the targets that are judged, in order.
+// Names iterates over the names of the judged targets, in order.
 func (s *Set) Names() iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for _, t := range s.targets {
@@ -53,29 +52,29 @@
 	}
 }
 
-// Spotless reports that nothing is held against a target: to forget it changes no
-// verdict. One that is not judged is spotless.
+// Spotless reports whether there is no evidence against a target, so that removing it
+// changes no verdict. A target that is not judged has none.
 func (s *Set) Spotless(now time.Time, name string) bool {
 	t := s.get(name)
-	return t == nil || s.spotless(now, t)
+	return t == nil || s.clean(now, t)
 }
 
-func (s *Set) spotless(now time.Time, t *target) bool {
-	doubted := t.consecutive > 0 || t.silent > 0 || t.unreachable > 0 || !t.firstDoubt.IsZero()
+func (s *Set) clean(now time.Time, t *target) bool {
+	failing := t.consecutiveFailures > 0 || t.stalls > 0 || t.connectFailures > 0 || !t.doubtSince.IsZero()
 	_, samples := t.rate(now)
-	return t.state == Healthy && !t.draining && !doubted && samples == 0 &&
-		t.ejection <= s.cfg.Ejection && t.faded(now, s.cfg.HintHalfLife) < forgettable
+	return t.state == Healthy && !t.draining && !failing && samples == 0 &&
+		t.ejection <= s.cfg.Ejection && t.currentPenalty(now, s.cfg.HintHalfLife) < negligiblePenalty
 }
 
-// forgettable is the lost confidence that makes no difference.
-const forgettable = 1e-3
+// negligiblePenalty is the penalty for reports below which it is ignored.
+const negligiblePenalty = 1e-3
 
-// Prune forgets the spotless targets that are not kept.
+// Prune removes the targets without evidence against them for which kept is false.
 func (s *Set) Prune(now time.Time, kept func(name string) bool) {
-	s.targets = slices.DeleteFunc(s.targets, func(t *target) bool { return !kept(t.name) && s.spotless(now, t) })
+	s.targets = slices.DeleteFunc(s.targets, func(t *target) bool { return !kept(t.name) && s.clean(now, t) })
 }
 
-// Remove forgets a target.
+// Remove stops judging a target.
 func (s *Set) Remove(name string) {
 	if i, found := s.find(name); found {
 		s.targets = slices.Delete(s.targets, i, i+1)
@@ -101,41 +100,42 @@
 	return nil
 }
 
-// Result takes what a request experienced; an unknown target is ignored.
+// Result records the result of a request; an unknown target is ignored.
 func (s *Set) Result(now time.Time, name string, r Result) {
 	if t := s.get(name); t != nil {
 		t.record(now, r)
 	}
 }
 
-// Probe takes the result of a probe on a fresh connection.
+// Probe records the result of a probe on a fresh connection.
 func (s *Set) Probe(now time.Time, name string, ok bool) {
 	if t := s.get(name); t != nil {
 		t.probe(now, ok)
 	}
 }
 
-// Report takes what a target says about itself.
+// Report records a target's report about itself.
 func (s *Set) Report(now time.Time, name string, r Report) {
 	if t := s.get(name); t != nil {
 		t.report(now, r, s.cfg.HintHalfLife)
 	}
 }
 
-// SetDraining marks a target as leaving or as back.
+// SetDraining marks a target as draining or no longer draining.
 func (s *Set) SetDraining(name string, draining bool) {
 	if t := s.get(name); t != nil {
 		t.draining = draining
 	}
 }
 
-// WantsProbe says that a fresh connection would settle a doubt.
+// WantsProbe reports whether a probe on a fresh connection is needed to decide on a
+// suspected failure.
 func (s *Set) WantsProbe(name string) bool {
 	t := s.get(name)
-	return t != nil && !t.firstDoubt.IsZero()
+	return t != nil && !t.doubtSince.IsZero()
 }
 
-// State returns the verdict; an unknown target is Lost.
+// State returns the verdict on a target; an unknown target is Lost.
 func (s *Set) State(name string) State {
 	if t := s.get(name); t != nil {
 		return t.state
@@ -143,7 +143,7 @@
 	return Lost
 }
 
-// Latency is the mean latency of answered requests; zero where none was seen.
+// Latency returns the mean latency of answered requests; zero if there were none.
 func (s *Set) Latency(name string) time.Duration {
 	if t := s.get(name); t != nil {
 		return time.Duration(t.latency * float64(time.Second))
@@ -151,39 +151,40 @@
 	return 0
 }
 
-// CommonCause says that so many targets fail at once that none is condemned.
-func (s *Set) CommonCause() bool { return s.common }
+// CommonCause reports whether so many targets are unreachable at once that none is declared
+// lost.
+func (s *Set) CommonCause() bool { return s.commonCause }
 
-// Weight is the share of its normal work that a target should get, from 0 to 1.
+// Weight returns the share of its normal work that a target should get, from 0 to 1.
 func (s *Set) Weight(now time.Time, name string) float64 {
 	t := s.get(name)
 	if t == nil {
 		return 0
 	}
-	trust := 1 - t.faded(now, s.cfg.HintHalfLife)
+	trust := 1 - t.currentPenalty(now, s.cfg.HintHalfLife)
 	switch t.state {
 	case Healthy:
 		return trust
 	case Suspect:
 		return trust * suspectWeight
 	case SlowStart:
-		return trust * s.ramp(now, t)
+		return trust * s.slowStartWeight(now, t)
 	default:
 		return 0
 	}
 }
 
-func (s *Set) ramp(now time.Time, t *target) float64 {
+func (s *Set) slowStartWeight(now time.Time, t *target) float64 {
 	part := now.Sub(t.since).Seconds() / s.cfg.SlowStart.Seconds()
 	return min(max(part, s.cfg.SlowStartFloor), 1)
 }
 
-// Tick judges all targets and returns the changes in order of name; the slice is
-// valid until the next call. Call it every 100 ms or so.
+// Tick judges all targets and returns the changes in order of name; the slice is valid
+// until the next call. Call it about every 100 ms.
 func (s *Set) Tick(now time.Time) []Change {
 	s.changes = s.changes[:0]
 	median := s.medianLatency()
-	s.common = s.inDoubt(now) > s.cfg.MaxLost
+	s.commonCause = s.unreachableShare(now) > s.cfg.MaxLost
 	for _, t := range s.targets {
 		s.judge(now, t, median)
 	}
@@ -200,24 +201,25 @@
 	return s.changes
 }
 
-// inDoubt is the share of targets, of at least three, whose connections fail.
-func (s *Set) inDoubt(now time.Time) float64 {
-	doubtful := 0
+// unreachableShare returns the share of the service's targets that are lost or whose
+// connections fail; zero if there is at most one of them.
+func (s *Set) unreachableShare(now time.Time) float64 {
+	unreachable := 0
 	for _, t := range s.targets {
-		if t.state == Lost || (t.unreachable > 0 && now.After(t.lastSuccess)) {
-			doubtful++
+		if t.state == Lost || (t.connectFailures > 0 && now.After(t.lastSuccess)) {
+			unreachable++
 		}
 	}
-	if doubtful <= 1 {
+	if unreachable <= 1 {
 		return 0
 	}
-	return float64(doubtful) / float64(s.all())
+	return float64(unreachable) / float64(s.total())
 }
 
 func (s *Set) medianLatency() float64 {
 	var seen []float64
 	for _, t := range s.targets {
-		if t.latencySeen >= s.cfg.MinSamples {
+		if t.latencySamples >= s.cfg.MinSamples {
 			seen = append(seen, t.latency)
 		}
 	}
@@ -228,16 +230,16 @@
 	return seen[len(seen)/2]
 }
 
-// judge decides on all verdicts but ejection, which is capped over all targets.
+// judge reaches all verdicts except ejection, which is limited over all targets.
 func (s *Set) judge(now time.Time, t *target, median float64) {
 	switch {
 	case t.draining:
 		s.change(now, t, Draining, "marked as leaving")
 	case t.state == Draining:
-		s.trial(now, t, "mark taken back")
+		s.beginSlowStart(now, t, "mark taken back")
 	case t.state == Lost:
-		if t.unreachable == 0 {
-			s.trial(now, t, "answers again")
+		if t.connectFailures == 0 {
+			s.beginSlowStart(now, t, "answers again")
 		}
 	case s.unreachable(now, t):
 		s.change(now, t, Lost, "no connection works")
@@ -245,39 +247,39 @@
 		s.endEjection(now, t)
 	case t.state == SlowStart && now.Sub(t.since) < s.cfg.SlowStart:
 	default:
-		s.weigh(now, t, median)
+		s.judgeByRequests(now, t, median)
 	}
 }
 
 func (s *Set) unreachable(now time.Time, t *target) bool {
-	return !s.common && t.unreachable >= s.cfg.LostAfter && now.Sub(t.lastSuccess) >= s.cfg.LostSilence
+	return !s.commonCause && t.connectFailures >= s.cfg.LostAfter && now.Sub(t.lastSuccess) >= s.cfg.LostSilence
 }
 
 func (s *Set) endEjection(now time.Time, t *target) {
 	if now.Before(t.until) {
 		return
 	}
-	if t.unreachable > 0 && !s.common {
+	if t.connectFailures > 0 && !s.commonCause {
 		t.until = now.Add(s.cfg.Ejection)
-		t.unreachable = 0
+		t.connectFailures = 0
 		return
 	}
-	s.trial(now, t, "ejection is over")
+	s.beginSlowStart(now, t, "ejection is over")
 }
 
-func (s *Set) trial(now time.Time, t *target, cause string) {
+func (s *Set) beginSlowStart(now time.Time, t *target, cause string) {
 	t.clear()
 	s.change(now, t, SlowStart, cause)
 }
 
-// weigh tells healthy from suspect.
-func (s *Set) weigh(now time.Time, t *target, median float64) {
+// judgeByRequests decides between healthy and suspect.
+func (s *Set) judgeByRequests(now time.Time, t *target, median float64) {
 	rate, samples := t.rate(now)
-	slow := median > 0 && t.latencySeen >= s.cfg.MinSamples && t.latency > s.cfg.SlowFactor*median
+	slow := median > 0 && t.latencySamples >= s.cfg.MinSamples && t.latency > s.cfg.SlowFactor*median
 	switch {
-	case t.consecutive >= s.cfg.SuspectAfter:
+	case t.consecutiveFailures >= s.cfg.SuspectAfter:
 		s.change(now, t, Suspect, "consecutive failures")
-	case t.silent > 0:
+	case t.stalls > 0:
 		s.change(now, t, Suspect, "a connection went silent")
 	case samples >= s.cfg.MinSamples && rate < (1+s.cfg.MinSuccess)/2:
 		s.change(now, t, Suspect, "success rate")
@@ -285,23 +287,24 @@
 		s.change(now, t, Suspect, "slower than the others")
 	default:
 		s.change(now, t, Healthy, "evidence is good")
-		s.forgive(now, t)
+		s.shortenEjection(now, t)
 	}
 }
 
-// forgive shortens the next ejection after good health for as long as it.
-func (s *Set) forgive(now time.Time, t *target) {
+// shortenEjection halves the length of the next ejection after the target was healthy for
+// that length.
+func (s *Set) shortenEjection(now time.Time, t *target) {
 	if t.ejection > s.cfg.Ejection && now.Sub(t.since) >= t.ejection {
 		t.ejection = max(t.ejection/2, s.cfg.Ejection)
 		t.since = now
 	}
 }
 
-// eject takes out the worst targets, within the cap. Without the cap a fault that
-// all targets share, such as a bad release or a broken store, would take out the
-// whole service and leave nobody to serve what still works.
+// eject ejects the worst targets, within the cap. Without the cap, a fault that all targets
+// share, such as a bad release or a broken store, would eject the whole service and leave
+// no target for the requests that still work.
 func (s *Set) eject(now time.Time) {
-	room := max(int(s.cfg.MaxEjected*float64(s.all())), min(1, s.all()-1))
+	room := max(int(s.cfg.MaxEjected*float64(s.total())), min(1, s.total()-1))
 	var candidates []*target
 	for _, t := range s.targets {
 		switch t.state {
@@ -313,7 +316,7 @@
 			}
 		}
 	}
-	slices.SortStableFunc(candidates, func(a, b *target) int { return b.consecutive - a.consecutive })
+	slices.SortStableFunc(candidates, func(a, b *target) int { return b.consecutiveFailures - a.consecutiveFailures })
 	for _, t := range candidates {
 		if room <= 0 {
 			return
@@ -326,7 +329,7 @@
 }
 
 func (s *Set) failing(now time.Time, t *target) bool {
-	if t.consecutive >= s.cfg.Consecutive {
+	if t.consecutiveFailures >= s.cfg.Consecutive {
 		return true
 	}
 	rate, samples := t.rate(now)
--- a/core/health/target.go
+++ b/core/health/target.go
@@ -11,10 +11,10 @@
 	bucketLength = time.Second
 	// latencyGain is the weight of a new sample in the mean latency.
 	latencyGain = 0.1
-	// hintStep is how much confidence one bad report takes, and hintFloor what is left
-	// at the least: a target that lies about itself loses half its weight, no more.
-	hintStep  = 0.1
-	hintFloor = 0.5
+	// reportPenaltyStep is how much one bad report lowers the weight, and minReportTrust
+	// the factor that always remains: false reports cost a target at most half its weight.
+	reportPenaltyStep = 0.1
+	minReportTrust    = 0.5
 	// suspectWeight is the weight of a suspect target.
 	suspectWeight = 0.5
 	// busyLoad is the reported load from which a report counts as bad.
@@ -22,38 +22,42 @@
 )
 
 type bucket struct {
-	start  time.Time
-	ok, no int
+	start      time.Time
+	ok, failed int
 }
 
-// target is all evidence about one target.
+// target holds all evidence about one target.
 type target struct {
 	name  string
 	state State
 	cause string
-	// since is when the state began; until ends an ejection.
+	// since is when the state began; until is the end of an ejection.
 	since, until time.Time
 	// ejection is the length of the next ejection.
 	ejection time.Duration
 	draining bool
 
 	window [buckets]bucket
-	// consecutive counts failures since the last success of a request. Stalls of old
-	// connections are not in it.
-	consecutive int
-	// silent counts stalls of old connections since the last success.
-	silent int
-	// unreachable counts failures of fresh connections and probes since any success.
-	unreachable int
-	lastSuccess time.Time
-	firstDoubt  time.Time
-
-	latency     float64
-	latencySeen int
-
-	// hint is the confidence taken away by reports, as of hintAt.
-	hint   float64
-	hintAt time.Time
+	// consecutiveFailures is the number of failures since the last successful request.
+	// Stalls of old connections are not included.
+	consecutiveFailures int
+	// stalls is the number of stalls of old connections since the last success.
+	stalls int
+	// connectFailures is the number of failures of fresh connections and probes since the
+	// last answer.
+	connectFailures int
+	lastSuccess     time.Time
+	// doubtSince is when the first failure or stall after the last answer occurred; zero if
+	// there was none.
+	doubtSince time.Time
+
+	latency        float64
+	latencySamples int
+
+	// reportPenalty is the share of the weight taken away by reports, at the time
+	// reportPenaltyAt.
+	reportPenalty   float64
+	reportPenaltyAt time.Time
 }
 
 func (t *target) record(now time.Time, r Result) {
@@ -61,12 +65,12 @@
 	case r.Signal == OK:
 		t.succeeded(now, r)
 	case r.Signal == Shed:
-		t.reached(now)
+		t.recordAnswer(now)
 	case r.Signal == Stalled && !r.Fresh:
-		// Something between the two ends may have lost track of the one connection while
-		// new ones work. Counted as a failure it would condemn a target that is well;
-		// the stall only raises doubt, which a fresh connection settles.
-		t.silent++
+		// A device between router and target may have lost the state of this one connection
+		// while new ones work. Counted as a failure, the stall could eject a healthy
+		// target; instead it requests a probe on a fresh connection, which decides.
+		t.stalls++
 		t.doubt(now)
 	default:
 		t.failed(now, r)
@@ -75,48 +79,50 @@
 
 func (t *target) succeeded(now time.Time, r Result) {
 	t.bucket(now).ok++
-	t.consecutive = 0
-	t.silent = 0
-	t.reached(now)
-	t.latencySeen++
-	if t.latencySeen == 1 {
+	t.consecutiveFailures = 0
+	t.stalls = 0
+	t.recordAnswer(now)
+	t.latencySamples++
+	if t.latencySamples == 1 {
 		t.latency = r.Latency.Seconds()
 		return
 	}
 	t.latency += latencyGain * (r.Latency.Seconds() - t.latency)
 }
 
-// reached notes that the target spoke.
-func (t *target) reached(now time.Time) {
-	t.unreachable = 0
+// recordAnswer records that the target answered.
+func (t *target) recordAnswer(now time.Time) {
+	t.connectFailures = 0
 	t.lastSuccess = now
-	t.firstDoubt = time.Time{}
+	t.doubtSince = time.Time{}
 }
 
 func (t *target) failed(now time.Time, r Result) {
-	t.bucket(now).no++
-	t.consecutive++
+	t.bucket(now).failed++
+	t.consecutiveFailures++
 	if r.Fresh || r.Signal == ConnectFailed {
-		t.unreachable++
+		t.connectFailures++
 	}
 	t.doubt(now)
 }
 
-// probe takes a probe on a fresh connection. Its success is no success of work: a
-// target that answers probes and fails requests stays where its requests put it.
+// probe records the result of a probe on a fresh connection. A successful probe does not
+// count as a successful request: a target that answers probes and fails requests keeps the
+// state that its requests gave it.
 func (t *target) probe(now time.Time, ok bool) {
 	if ok {
-		t.silent = 0
-		t.reached(now)
+		t.stalls = 0
+		t.recordAnswer(now)
 		return
 	}
-	t.unreachable++
+	t.connectFailures++
 	t.doubt(now)
 }
 
+// doubt records the beginning of a suspected failure.
 func (t *target) doubt(now time.Time) {
-	if t.firstDoubt.IsZero() {
-		t.firstDoubt = now
+	if t.doubtSince.IsZero() {
+		t.doubtSince = now
 	}
 }
 
@@ -136,7 +142,7 @@
 	for _, b := range t.window {
 		if now.Sub(b.start) < buckets*bucketLength {
 			ok += b.ok
-			samples += b.ok + b.no
+			samples += b.ok + b.failed
 		}
 	}
 	if samples == 0 {
@@ -146,26 +152,26 @@
 }
 
 func (t *target) report(now time.Time, r Report, halfLife time.Duration) {
-	t.hint = t.faded(now, halfLife)
-	t.hintAt = now
+	t.reportPenalty = t.currentPenalty(now, halfLife)
+	t.reportPenaltyAt = now
 	if !r.Healthy || r.Load >= busyLoad {
-		t.hint = min(t.hint+hintStep, 1-hintFloor)
+		t.reportPenalty = min(t.reportPenalty+reportPenaltyStep, 1-minReportTrust)
 	}
 }
 
-// faded is the confidence that reports still take away.
-func (t *target) faded(now time.Time, halfLife time.Duration) float64 {
-	if t.hint == 0 {
+// currentPenalty returns the share of the weight that reports still take away.
+func (t *target) currentPenalty(now time.Time, halfLife time.Duration) float64 {
+	if t.reportPenalty == 0 {
 		return 0
 	}
-	age := now.Sub(t.hintAt).Seconds() / halfLife.Seconds()
-	return t.hint * math.Exp2(-max(age, 0))
+	age := now.Sub(t.reportPenaltyAt).Seconds() / halfLife.Seconds()
+	return t.reportPenalty * math.Exp2(-max(age, 0))
 }
 
-// clear forgets the evidence when a trial begins.
+// clear resets the evidence when a slow start begins.
 func (t *target) clear() {
 	t.window = [buckets]bucket{}
-	t.consecutive, t.silent, t.unreachable = 0, 0, 0
-	t.firstDoubt = time.Time{}
-	t.latencySeen, t.latency = 0, 0
+	t.consecutiveFailures, t.stalls, t.connectFailures = 0, 0, 0
+	t.doubtSince = time.Time{}
+	t.latencySamples, t.latency = 0, 0
 }
--- a/core/membership/config.go
+++ b/core/membership/config.go
@@ -35,7 +35,7 @@
 	// isolated. Losses within LostWindow count together.
 	LostShare  float64
 	LostWindow time.Duration
-	// MassSilenceShare, from 0 to 1, is the share of silent members above which a verdict
+	// MassSilenceShare, from 0 to 1, is the share of silent members from which a verdict
 	// waits for one more heartbeat interval, so that all silent members are counted first.
 	MassSilenceShare float64
 	// NeverHeardGrace is the time after a member was first known for which it does not
--- a/core/membership/protocol_test.go
+++ b/core/membership/protocol_test.go
@@ -121,7 +121,7 @@
 		return nil
 	}), time.Duration(0), "a member that a helper hears")
 
-	// The helpers heard it 10 ms before they were asked, 170 ms after this router did.
+	// The helpers heard it 10 ms before they were asked, 180 ms after this router did.
 	later := newTestRouter("b", "c", "d").lossTime(silentReports(Message{Silent: 10 * time.Millisecond}, Message{Silent: 90 * time.Millisecond}))
 	assert.Assert(t, later >= usual+150*time.Millisecond, "lost after %s, %s without that report", later, usual)
 
--- a/core/reach/reach.go
+++ b/core/reach/reach.go
@@ -1,30 +1,30 @@
-// Package reach decides whether another data centre can be reached from this router,
-// from what its connections met. It is a pure function of time and evidence: times are
-// those of one monotonic clock, and nothing fails. docs/design/membership.md says why
+// Package reach decides whether another data centre can be reached from this router, based
+// on the results of its connections. It is a pure function of time and evidence: times are
+// from one monotonic clock, and nothing fails. docs/design/membership.md explains why
 // connections decide and not the statements of other routers.
 package reach
 
 import "time"
 
-// Defaults of Config. By DefaultLeast one lost router is not taken for a cut where the
-// data centre has others.
+// Defaults of Config. DefaultLeast ensures that one lost router is not mistaken for a lost
+// link, if the data centre has others.
 const (
 	DefaultSettle = 200 * time.Millisecond
 	DefaultSteady = 2 * time.Second
 	DefaultLeast  = 2
 )
 
-// Config holds the times and counts of the verdict. The zero value of a field means
-// its default.
+// Config holds the times and counts of the verdict. The zero value of a field means its
+// default.
 type Config struct {
-	// Settle is how long all contact must be missing before requests are refused.
+	// Settle is how long there must be no contact at all before requests are refused.
 	Settle time.Duration
-	// Steady is how long contact must last before an isolation counts as over. Requests
-	// are sent from the first contact on; a contact that is lost again sooner refuses
-	// them at once, without another Settle in which callers wait.
+	// Steady is how long contact must last before an isolation ends. Requests are sent from
+	// the first contact on. If contact is lost again before Steady has passed, requests are
+	// refused at once, without another Settle during which callers wait.
 	Steady time.Duration
-	// Least is the number of the data centre's routers that must have been tried in
-	// vain; all of them where there are fewer.
+	// Least is the number of the data centre's routers that must have been tried without an
+	// answer; all of them if there are fewer.
 	Least int
 }
 
@@ -41,36 +41,39 @@
 	return c
 }
 
-// Evidence is what the connections to the routers of a data centre met.
+// Evidence is the recent results of the connections to the routers of a data centre.
 type Evidence struct {
-	// Live is the number of its routers that are held for alive.
+	// Live is the number of its routers that are considered live.
 	Live int
-	// Reached answered lately; Unreached were tried lately and did not.
+	// Reached is the number of routers that answered recently, and Unreached the number
+	// that were tried recently and did not answer.
 	Reached, Unreached int
 }
 
-// State is the verdict on one data centre. The zero value is that of one with which
-// nothing is wrong.
+// State is the verdict on one data centre. The zero value is that of a reachable data
+// centre.
 type State struct {
 	// Refuse says that requests for the data centre are to be refused at once.
 	Refuse bool
-	// Isolated says that an isolation lasts, begun at Since, when contact began to be
-	// missing. It outlasts Refuse by Steady, so that a link that flaps makes one isolation
-	// and not many.
+	// Isolated says that the data centre is isolated since Since, which is when contact was
+	// lost. It lasts longer than Refuse, by Steady, so that an unstable link causes one
+	// isolation and not many.
 	Isolated bool
 	Since    time.Duration
 
-	// silent and contact say what the last evidence showed, and since when without a
-	// break; neither holds before the first.
-	silent, contact           bool
-	silentSince, contactSince time.Duration
+	// noContact and contact say what the latest evidence showed, and noContactSince and
+	// contactSince since when without interruption; neither is set before the first
+	// evidence.
+	noContact, contact           bool
+	noContactSince, contactSince time.Duration
 }
 
-// AtRest reports whether nothing is wrong and nothing suspected.
-func (s State) AtRest() bool { return !s.Isolated && !s.silent }
+// AtRest reports whether the data centre is not isolated and the latest evidence shows no
+// loss of contact.
+func (s State) AtRest() bool { return !s.Isolated && !s.noContact }
 
-// Next returns the verdict after the evidence of the time now, which must not go back.
-// Evidence that shows neither contact nor its absence leaves the verdict as it is.
+// Next returns the verdict after the evidence at the time now, which must not decrease.
+// Evidence that shows neither contact nor its absence does not change the verdict.
 func (c Config) Next(s State, now time.Duration, e Evidence) State {
 	c = c.withDefaults()
 	switch {
@@ -86,7 +89,7 @@
 	if !s.contact {
 		s.contact, s.contactSince = true, now
 	}
-	s.silent, s.Refuse = false, false
+	s.noContact, s.Refuse = false, false
 	if s.Isolated && now-s.contactSince >= c.Steady {
 		s.Isolated = false
 	}
@@ -94,12 +97,12 @@
 }
 
 func (c Config) unreached(s State, now time.Duration) State {
-	if !s.silent {
-		s.silent, s.silentSince = true, now
+	if !s.noContact {
+		s.noContact, s.noContactSince = true, now
 	}
 	s.contact = false
-	if !s.Isolated && now-s.silentSince >= c.Settle {
-		s.Isolated, s.Since = true, s.silentSince
+	if !s.Isolated && now-s.noContactSince >= c.Settle {
+		s.Isolated, s.Since = true, s.noContactSince
 	}
 	s.Refuse = s.Isolated
 	return s
--- a/core/reach/reach_test.go
+++ b/core/reach/reach_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// step is evidence at a time in milliseconds and the verdict that is due.
+// step is evidence at a time in milliseconds and the expected verdict.
 type step struct {
 	at       int
 	evidence Evidence
@@ -24,25 +24,24 @@
 	noMember = Evidence{Unreached: 2}
 )
 
-// Symptom: callers wait out their deadline for a data centre that is known to be cut
-// off; or keys are refused because one router of it died; or requests are refused and
-// sent by turns while a link flaps.
-// Sequence: each row is a history of evidence.
-// Cause: no verdict, one on too little, or one without hysteresis.
+// Each row is a sequence of evidence. Without a verdict callers would wait until their
+// deadline for a data centre that is cut off; a verdict on too little evidence would refuse
+// keys because one router died; a verdict without hysteresis would refuse and send requests
+// in turn while a link is unstable.
 func TestVerdicts(t *testing.T) {
 	for name, history := range map[string][]step{
-		"contact":                        {{0, contact, false, false}, {5000, contact, false, false}},
-		"no contact is not believed yet": {{0, none, false, false}, {199, none, false, false}},
-		"no contact for long enough":     {{0, none, false, false}, {200, none, true, true}},
-		"one router is not enough":       {{0, one, false, false}, {5000, one, false, false}},
-		"the only router is":             {{0, lastOne, false, false}, {200, lastOne, true, true}},
-		"no known router is no verdict":  {{0, noMember, false, false}, {5000, noMember, false, false}},
-		"contact begins the count anew":  {{0, none, false, false}, {150, contact, false, false}, {250, none, false, false}, {449, none, false, false}, {450, none, true, true}},
-		"contact ends the refusal":       {{0, none, false, false}, {200, none, true, true}, {210, contact, false, true}},
-		"steady contact ends isolation":  {{0, none, false, false}, {200, none, true, true}, {210, contact, false, true}, {2209, contact, false, true}, {2210, contact, false, false}},
-		"a flap refuses at once":         {{0, none, false, false}, {200, none, true, true}, {210, contact, false, true}, {220, none, true, true}, {230, contact, false, true}, {2229, contact, false, true}, {2230, contact, false, false}},
-		"after steady contact anew":      {{0, none, false, false}, {200, none, true, true}, {300, contact, false, true}, {2300, contact, false, false}, {2400, none, false, false}, {2600, none, true, true}},
-		"nothing known changes nothing":  {{0, none, false, false}, {200, none, true, true}, {9000, unknown, true, true}, {9001, contact, false, true}, {9002, unknown, false, true}},
+		"contact":                          {{0, contact, false, false}, {5000, contact, false, false}},
+		"short loss of contact is ignored": {{0, none, false, false}, {199, none, false, false}},
+		"no contact for long enough":       {{0, none, false, false}, {200, none, true, true}},
+		"one router is not enough":         {{0, one, false, false}, {5000, one, false, false}},
+		"the only router is enough":        {{0, lastOne, false, false}, {200, lastOne, true, true}},
+		"no known router is no verdict":    {{0, noMember, false, false}, {5000, noMember, false, false}},
+		"contact restarts the count":       {{0, none, false, false}, {150, contact, false, false}, {250, none, false, false}, {449, none, false, false}, {450, none, true, true}},
+		"contact ends the refusal":         {{0, none, false, false}, {200, none, true, true}, {210, contact, false, true}},
+		"steady contact ends isolation":    {{0, none, false, false}, {200, none, true, true}, {210, contact, false, true}, {2209, contact, false, true}, {2210, contact, false, false}},
+		"unstable link refuses at once":    {{0, none, false, false}, {200, none, true, true}, {210, contact, false, true}, {220, none, true, true}, {230, contact, false, true}, {2229, contact, false, true}, {2230, contact, false, false}},
+		"second isolation after recovery":  {{0, none, false, false}, {200, none, true, true}, {300, contact, false, true}, {2300, contact, false, false}, {2400, none, false, false}, {2600, none, true, true}},
+		"no evidence changes nothing":      {{0, none, false, false}, {200, none, true, true}, {9000, unknown, true, true}, {9001, contact, false, true}, {9002, unknown, false, true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var s State
@@ -55,7 +54,7 @@
 	}
 }
 
-func TestIsolationCountsFromTheFirstSilence(t *testing.T) {
+func TestIsolationBeginsWithFirstLossOfContact(t *testing.T) {
 	s := Config{}.Next(State{}, 3*time.Second, none)
 	assert.Assert(t, !s.AtRest())
 	s = Config{}.Next(s, 4*time.Second, none)
--- a/core/routing/routing.go
+++ b/core/routing/routing.go
@@ -1,21 +1,22 @@
-// Package routing holds the immutable snapshot that the request path reads:
-// which target owns a unit of keys and which router, its grantor, may send to
-// that target. It does no I/O.
+// Package routing holds the immutable snapshot that requests are routed by: which target
+// owns a unit of keys, and which router, the target's grantor, may send to that target. It
+// does no I/O.
 package routing
 
 import "strconv"
 
-// UnitKind tells the three kinds of ownership units apart.
+// UnitKind distinguishes the kinds of ownership units.
 type UnitKind uint8
 
 const (
 	// SlotUnit is a hash slot of a service's key space.
 	SlotUnit UnitKind = iota
-	// RangeUnit is an operators' key range; a range of one key is a single-key override.
+	// RangeUnit is a key range set by an operator; a range of one key is a single-key
+	// override.
 	RangeUnit
 )
 
-// Unit is the smallest set of keys that changes owner as a whole.
+// Unit is the smallest set of keys that changes its owner as a whole.
 type Unit struct {
 	Service string
 	Kind    UnitKind
@@ -33,23 +34,23 @@
 	return u.Service + "/" + strconv.FormatUint(uint64(u.Slot), 10)
 }
 
-// Owner is who owns a unit.
+// Owner is the owner of a unit.
 type Owner struct {
 	// Target is the name of the owning target; empty means that there is none.
 	Target string
 	// Token is the fencing token; it grows with each change of owner.
 	Token uint64
-	// Releasing means the owner takes no new work because the unit is moving.
+	// Releasing says that the owner takes no new work because the unit is moving.
 	Releasing bool
 }
 
 // Grantor is the one router that may send to a target.
 type Grantor struct {
-	// Router is the name of the router and Incarnation tells its lives apart.
+	// Router is the name of the router, and Incarnation distinguishes its instances.
 	Router      string
 	Incarnation uint64
 	// Term grows with each change of grantor.
 	Term uint64
-	// DataCentre is where the router is, if not in the target's own data centre.
+	// DataCentre is the router's data centre if it is not the target's own.
 	DataCentre string
 }
