--- a/core/membership/core.go
+++ b/core/membership/core.go
@@ -103,7 +103,7 @@
 		c.now = now
 	}
 	c.handle(event)
-	c.pushUrgent()
+	c.sendPushQueue()
 	return c.out
 }
 
--- a/core/membership/fleet_test.go
+++ b/core/membership/fleet_test.go
@@ -40,7 +40,7 @@
 	name string
 	// skew is added to the time that the node sees.
 	skew time.Duration
-	// isolationCauses holds the causes of the Doubted actions that began an isolation.
+	// isolationCauses holds the causes for which the node considered itself isolated.
 	isolationCauses []Cause
 	links           []LinkChanged
 	// nextTick is when the core asked for the next tick. The test sends it at the first
--- a/core/membership/gossip.go
+++ b/core/membership/gossip.go
@@ -47,9 +47,9 @@
 	return append(list, u)
 }
 
-// pushUrgent sends new changes to a few random routers, at most once per tick, so that
+// sendPushQueue sends new changes to a few random routers, at most once per tick, so that
 // changes that occur together share a message.
-func (c *Core) pushUrgent() {
+func (c *Core) sendPushQueue() {
 	if len(c.pushQueue) == 0 || c.now.Sub(c.pushedAt) < c.cfg.Tick {
 		return
 	}
--- a/core/membership/health.go
+++ b/core/membership/health.go
@@ -51,8 +51,8 @@
 	c.resumeAfterSuspension(c.now.Sub(last))
 }
 
-// resumeAfterSuspension continues after this router was suspended for no longer than
-// suspended.
+// resumeAfterSuspension continues after a suspension of this router, which lasted for at most
+// the time suspended.
 //
 // The time without verdicts is no longer than the suspension, and after a short suspension
 // the silence counted so far is kept. If each suspension were followed by SettleTime and a
