--- a/core/confirm/ask.go
+++ b/core/confirm/ask.go
@@ -5,129 +5,131 @@
 	"time"
 )
 
-// question is what this router waits for an answer to.
+// question is a question of this router that has not been answered.
 type question struct {
 	sequence uint64
-	to       string
-	at       time.Duration
+	relay    string
+	sentAt   time.Duration
 	deadline time.Duration
 	reads    []Read
-	// held are the records whose revisions the question names. An answer that says
-	// "unchanged" is about these, whatever this router has learnt since.
-	held []Record
-	// pending says that the relay waits for the store, probe that this router reads in
+	// baseline holds the records whose revisions the question gives. An answer leaves out
+	// records that are unchanged; it refers to these, whatever this router has learnt since.
+	baseline []Record
+	// pending says that the relay is waiting for the store, probe that this router reads in
 	// its place to see whether the store is slow.
 	pending bool
 	probe   bool
-	// lossy says that question and answer go the way on which more is lost.
+	// lossy says that question and answer may take the transport that loses more messages.
 	lossy bool
 }
 
-// ask puts the records to a relay, or to the store.
+// ask sends the question to a relay, or queues it for a list call of this router.
 func (c *Core) ask(reads []Read) {
-	c.sequence++
-	q := &question{sequence: c.sequence, at: c.now, reads: reads}
+	c.lastSequence++
+	q := &question{sequence: c.lastSequence, sentAt: c.now, reads: reads}
 	for _, r := range reads {
 		h := c.known[r.Target]
 		h.Target, h.askedAt = r.Target, c.now
 		c.known[r.Target] = h
-		q.held = append(q.held, h.Record)
+		q.baseline = append(q.baseline, h.Record)
 	}
 	switch to := c.choose(); to {
 	case "":
-		c.readAlone(q, NoRelay)
+		c.readDirectly(q, NoRelay)
 	case c.cfg.Self.Name:
-		c.waiting = append(c.waiting, &asking{own: q, at: c.now})
+		c.queued = append(c.queued, &waiter{own: q, queuedAt: c.now})
 	default:
-		q.to, q.deadline = to, c.now+c.cfg.answerWithin()
-		q.lossy = c.now >= c.missed[to].until
+		q.relay, q.deadline = to, c.now+c.cfg.answerTimeout()
+		q.lossy = c.now >= c.lossyFailures[to].until
 		c.questions = append(c.questions, q)
-		c.do(Send{To: to, Message: c.questionOf(q), Lossy: q.lossy})
+		c.emit(Send{To: to, Message: c.questionMessage(q), Lossy: q.lossy})
 	}
 }
 
-func (c *Core) questionOf(q *question) Message {
+func (c *Core) questionMessage(q *question) Message {
 	m := Message{Kind: Question, Life: c.cfg.Self.Incarnation, Sequence: q.sequence, Surely: !q.lossy}
-	for _, h := range q.held {
+	for _, h := range q.baseline {
 		m.Known = append(m.Known, Known{Target: h.Target, Revision: h.Revision})
 	}
 	return m
 }
 
-// readAlone reads for this router without delay, within the limit. What is beyond it
-// is given up: the core of ownership reads by itself once confirmations stay away.
-func (c *Core) readAlone(q *question, cause Cause) {
-	if c.cfg.omit == omitFallback || !c.tokens.take(c.now, c.cfg.Every) {
+// readDirectly queues the question for an immediate list call of this router, within the limit
+// on fallbacks. Beyond the limit the question is dropped: core/ownership reads by itself if
+// confirmations stop.
+func (c *Core) readDirectly(q *question, cause Cause) {
+	if c.cfg.omit == omitFallback || !c.fallbackTokens.take(c.now, c.cfg.Every) {
 		c.stats.Limited++
 		return
 	}
 	c.stats.Fallbacks[cause]++
-	c.waiting = append(c.waiting, &asking{own: q, at: c.now, urgent: true})
+	c.queued = append(c.queued, &waiter{own: q, queuedAt: c.now, urgent: true})
 }
 
-// overdue gives up waiting for relays that are silent.
-func (c *Core) overdue() {
+// expireQuestions handles the questions whose deadline has passed.
+func (c *Core) expireQuestions() {
 	for _, q := range slices.Clone(c.questions) {
 		if c.now < q.deadline {
 			continue
 		}
-		c.drop(q)
+		c.removeQuestion(q)
 		if c.now-q.deadline >= c.cfg.Every {
-			// This router itself was paused; that says nothing about the relay, and what
-			// the question is good for has nearly run out.
+			// This router itself was paused, which says nothing about the relay. An answer now
+			// would be of almost no use.
 			continue
 		}
 		if q.pending {
-			c.relayWaits(q)
+			c.pendingOverdue(q)
 			continue
 		}
 		if q.lossy {
-			c.miss(q.to)
+			c.recordLossyFailure(q.relay)
 		} else {
-			c.suspect(q.to)
+			c.suspect(q.relay)
 		}
-		c.readAlone(q, Silent)
+		c.readDirectly(q, Silent)
 	}
 }
 
-// relayWaits is called when a relay that waits for the store is overdue. Either the
-// store is slow, and reads of all askers would make it slower, or the relay is cut off
-// from it. One read of this router's own tells which.
-func (c *Core) relayWaits(q *question) {
+// pendingOverdue handles the deadline of a question whose relay is waiting for the store.
+// Either the store is slow, and reads by all askers would slow it further, or the relay is cut
+// off from the store. A single read by this router tells which.
+func (c *Core) pendingOverdue(q *question) {
 	if c.now < c.probeAt {
-		if c.now < q.at+c.cfg.giveUp() {
-			q.deadline = q.at + c.cfg.giveUp()
+		if c.now < q.sentAt+c.cfg.pendingTimeout() {
+			q.deadline = q.sentAt + c.cfg.pendingTimeout()
 			c.questions = append(c.questions, q)
 		}
 		return
 	}
-	c.probeAt = c.now + c.cfg.probeEvery()
+	c.probeAt = c.now + c.cfg.probeInterval()
 	q.probe = true
-	c.readAlone(q, Waiting)
+	c.readDirectly(q, Waiting)
 }
 
-// probed takes in how long a probe took. A store that answers at once is not what the
-// relay waited for.
-func (c *Core) probed(q *question, took time.Duration) {
-	if q.probe && took <= c.cfg.quickRead() {
-		c.suspect(q.to)
+// probeDone checks how long a probe took. If the store answered fast, the store is not the
+// reason for the relay's delay, and the relay is suspected.
+func (c *Core) probeDone(q *question, took time.Duration) {
+	if q.probe && took <= c.cfg.fastReadLimit() {
+		c.suspect(q.relay)
 		c.probeAt = c.now
 	}
 }
 
-func (c *Core) drop(q *question) {
+func (c *Core) removeQuestion(q *question) {
 	c.questions = slices.DeleteFunc(c.questions, func(o *question) bool { return o == q })
 }
 
-// answered takes in what a relay says to a question of this router. The life tells an
-// answer to a question of an earlier life: sequences begin anew with each, and that
-// question left before the one of this life that has the same number.
-func (c *Core) answered(e Received) {
+// receiveReply handles a relay's reply to a question of this router. The incarnation
+// identifies replies to questions of an earlier instance: sequence numbers start again with
+// each instance, and the earlier question was sent before the question of this instance that
+// has the same number.
+func (c *Core) receiveReply(e Received) {
 	m := &e.Message
-	if m.Life != c.cfg.Self.Incarnation && c.cfg.omit != omitLife {
+	if m.Life != c.cfg.Self.Incarnation && c.cfg.omit != omitIncarnation {
 		return
 	}
-	i := slices.IndexFunc(c.questions, func(q *question) bool { return q.sequence == m.Sequence && q.to == e.From.Name })
+	i := slices.IndexFunc(c.questions, func(q *question) bool { return q.sequence == m.Sequence && q.relay == e.From.Name })
 	if i < 0 {
 		return
 	}
@@ -136,22 +138,22 @@
 	case Pending:
 		q.pending = true
 	case Refusal:
-		c.drop(q)
-		c.suspect(q.to)
-		c.readAlone(q, Refused)
+		c.removeQuestion(q)
+		c.suspect(q.relay)
+		c.readDirectly(q, Refused)
 	case Answer:
-		c.drop(q)
-		delete(c.suspects, q.to)
-		if found, ok := q.found(m.Changed); ok {
+		c.removeQuestion(q)
+		delete(c.suspects, q.relay)
+		if found, ok := q.applyChanges(m.Changed); ok {
 			c.stats.Relayed += uint64(len(found))
-			c.confirm(q, found, min(max(m.Earlier, 0), c.cfg.spacing()))
+			c.confirm(q, found, min(max(m.Earlier, 0), c.cfg.listSpacing()))
 		}
 	}
 }
 
-// found returns what the store held: what the question named, but for the changes.
-func (q *question) found(changed []Change) ([]Record, bool) {
-	found := slices.Clone(q.held)
+// applyChanges returns the records that the store held: the baseline with the changes applied.
+func (q *question) applyChanges(changed []Change) ([]Record, bool) {
+	found := slices.Clone(q.baseline)
 	for _, change := range changed {
 		if change.Index < 0 || change.Index >= len(found) {
 			return nil, false
@@ -167,15 +169,15 @@
 			h.Record = rec
 			c.known[rec.Target] = h
 		}
-		c.do(Confirmed{Record: rec, SentAt: q.reads[i].SentAt, Earlier: earlier})
+		c.emit(Confirmed{Record: rec, SentAt: q.reads[i].SentAt, Earlier: earlier})
 	}
 }
 
-// forgetRecords drops what was not asked for in a long time: the target has another
-// grantor.
-func (c *Core) forgetRecords() {
+// evictRecords removes records that have not been asked for within staleAfter, because the
+// target has another grantor.
+func (c *Core) evictRecords() {
 	for target, h := range c.known {
-		if c.now-h.askedAt > c.cfg.forget() {
+		if c.now-h.askedAt > c.cfg.staleAfter() {
 			delete(c.known, target)
 		}
 	}
--- a/core/confirm/choose.go
+++ b/core/confirm/choose.go
@@ -7,19 +7,19 @@
 	"tarragongw/core/rendezvous"
 )
 
-// maxFailures bounds the failures that are counted, so that doubling once for each does
-// not overflow; suspectMost is reached long before.
+// maxFailures bounds the counted failures, so that doubling once for each doesn't overflow.
+// maxSuspicion is reached long before.
 const maxFailures = 16
 
 // suspicion keeps a relay that failed from being asked for a while.
 type suspicion struct {
 	until time.Duration
-	// times is how often it failed without an answer between.
-	times int
+	// failures is the number of failures since the relay's last answer.
+	failures int
 }
 
-// setMembers takes in the live routers. Questions to a relay that is lost are not
-// waited for.
+// setMembers handles a change of the live routers. Questions to a relay that is no longer live
+// are read directly.
 func (c *Core) setMembers(e Members) {
 	c.order = c.askOrder(e)
 	for name := range c.suspects {
@@ -27,31 +27,31 @@
 			delete(c.suspects, name)
 		}
 	}
-	for name := range c.missed {
+	for name := range c.lossyFailures {
 		if !slices.Contains(e.Live, name) {
-			delete(c.missed, name)
+			delete(c.lossyFailures, name)
 		}
 	}
 	for _, q := range slices.Clone(c.questions) {
-		if !slices.Contains(e.Live, q.to) {
-			c.drop(q)
-			c.readAlone(q, Lost)
+		if !slices.Contains(e.Live, q.relay) {
+			c.removeQuestion(q)
+			c.readDirectly(q, Lost)
 		}
 	}
-	c.forgetRecords()
+	c.evictRecords()
 }
 
-// askOrder returns whom this router asks in turn. One router in PerRelay is a relay,
-// the next by weight are there for when these fail, and each asker has an order of
-// its own among the relays, so that they share the askers, and those of one that is
-// lost, about evenly.
+// askOrder returns the routers that this one asks, first choice first. One router in PerRelay
+// is a relay. The next routers by rendezvous weight are the spares for relays that fail. Each
+// asker has its own order among the relays, so that the askers, also those of a relay that is
+// lost, spread about evenly over the relays.
 func (c *Core) askOrder(e Members) []string {
-	stay := slices.DeleteFunc(slices.Clone(e.Live), func(name string) bool { return slices.Contains(e.Leaving, name) })
-	if !slices.Contains(e.Live, c.cfg.Self.Name) || len(stay) == 0 {
+	remaining := slices.DeleteFunc(slices.Clone(e.Live), func(name string) bool { return slices.Contains(e.Leaving, name) })
+	if !slices.Contains(e.Live, c.cfg.Self.Name) || len(remaining) == 0 {
 		return []string{c.cfg.Self.Name}
 	}
-	relays := (len(stay) + c.cfg.PerRelay - 1) / c.cfg.PerRelay
-	top := rendezvous.Top("confirm\x00"+c.cfg.DataCentre, relays+candidates-1, stay)
+	relays := (len(remaining) + c.cfg.PerRelay - 1) / c.cfg.PerRelay
+	top := rendezvous.Top("confirm\x00"+c.cfg.DataCentre, relays+candidates-1, remaining)
 	if at := slices.Index(top, c.cfg.Self.Name); at >= 0 && at < relays {
 		return []string{c.cfg.Self.Name}
 	}
@@ -60,7 +60,7 @@
 	return order[:min(candidates, len(order))]
 }
 
-// choose returns the first of the order that did not fail shortly before.
+// choose returns the first router of the order that did not fail recently.
 func (c *Core) choose() string {
 	for _, name := range c.order {
 		if name == c.cfg.Self.Name || c.now >= c.suspects[name].until {
@@ -73,41 +73,41 @@
 // suspect keeps the relay from being asked for a while, longer with each failure.
 func (c *Core) suspect(name string) {
 	s := c.suspects[name]
-	s.times = min(s.times+1, maxFailures)
-	s.until = c.now + min(c.cfg.suspectFor()<<(s.times-1), c.cfg.suspectMost())
+	s.failures = min(s.failures+1, maxFailures)
+	s.until = c.now + min(c.cfg.minSuspicion()<<(s.failures-1), c.cfg.maxSuspicion())
 	c.suspects[name] = s
 }
 
-// miss has questions to the relay go the way on which little is lost for a while, longer
-// with each further time. It says nothing about the relay yet.
+// recordLossyFailure makes questions to the relay take the reliable transport for a while,
+// longer with each further loss. It doesn't suspect the relay yet.
 //
-// What would go wrong with a suspicion at once: where one datagram in twenty is lost,
-// each asker would leave its relay every second, and all would read by themselves.
-func (c *Core) miss(name string) {
-	s := c.missed[name]
-	if c.now-s.until > c.cfg.suspectMost() {
-		s.times = 0
+// If one lost reply were enough to suspect the relay, then with one datagram in twenty lost
+// each asker would leave its relay every second, and all askers would read by themselves.
+func (c *Core) recordLossyFailure(name string) {
+	s := c.lossyFailures[name]
+	if c.now-s.until > c.cfg.maxSuspicion() {
+		s.failures = 0
 	}
-	s.times = min(s.times+1, maxFailures)
-	s.until = c.now + min(c.cfg.surelyFor()<<(s.times-1), c.cfg.suspectMost())
-	c.missed[name] = s
+	s.failures = min(s.failures+1, maxFailures)
+	s.until = c.now + min(c.cfg.minReliable()<<(s.failures-1), c.cfg.maxSuspicion())
+	c.lossyFailures[name] = s
 }
 
-// bucket limits what a router reads in place of its relays.
-type bucket struct {
-	// left is the number of reads that may be made at once, as of the time at.
-	left float64
-	at   time.Duration
+// tokenBucket limits the reads that a router makes in place of its relays.
+type tokenBucket struct {
+	// tokens is the number of reads that could be made at once at updatedAt.
+	tokens    float64
+	updatedAt time.Duration
 }
 
-// take reports whether a read may be made now, and counts it; one more is allowed
-// after each time every.
-func (b *bucket) take(now, every time.Duration) bool {
-	b.left = min(ownBurst, b.left+float64(now-b.at)/float64(every))
-	b.at = now
-	if b.left < 1 {
+// take reports whether a read may be made now, and counts it. One more read is allowed after
+// each interval.
+func (b *tokenBucket) take(now, every time.Duration) bool {
+	b.tokens = min(fallbackBurst, b.tokens+float64(now-b.updatedAt)/float64(every))
+	b.updatedAt = now
+	if b.tokens < 1 {
 		return false
 	}
-	b.left--
+	b.tokens--
 	return true
 }
--- a/core/confirm/core.go
+++ b/core/confirm/core.go
@@ -6,66 +6,72 @@
 	"time"
 )
 
-// Core is one router's part, as asker and as relay. It is not safe for concurrent use.
+// Core is the protocol state of one router, both as asker and as relay. It is not safe for
+// concurrent use.
 type Core struct {
-	cfg Config
-	now time.Duration
-	out []Action
+	cfg     Config
+	now     time.Duration
+	actions []Action
 
-	// order are the routers that this one asks, in turn; see choose.
+	// order lists the routers that this one asks, first choice first; see choose.
 	order    []string
 	suspects map[string]suspicion
-	// missed are the routers from which an answer stayed away on the lossy way.
-	missed map[string]suspicion
-	// sequence is the number of the last question.
-	sequence uint64
-	// questions wait for their relay, in order of sequence.
+	// lossyFailures records the routers whose replies were lost on the lossy transport.
+	lossyFailures map[string]suspicion
+	// lastSequence is the number of the last question.
+	lastSequence uint64
+	// questions are waiting for a reply of their relay.
 	questions []*question
-	// known are the last records by target.
-	known  map[string]held
-	tokens bucket
-	// probeAt is when this router may next probe a store that a relay waits for.
+	// known holds the last record seen of each target.
+	known          map[string]knownRecord
+	fallbackTokens tokenBucket
+	// probeAt is the earliest time at which this router may next probe a store that a relay is
+	// waiting for.
 	probeAt time.Duration
 
-	// waiting are the questions for the next list call, and lists the calls under way.
-	waiting []*asking
-	lists   []*list
-	// listID is the number of the last list call, which was sent at listedAt.
-	listID   uint64
-	listedAt time.Duration
-	// beatAt is when the last call was sent that all askers should share; see align.
-	beatAt time.Duration
-	// othersAt is when another router last asked.
-	othersAt time.Duration
-	stats    Stats
+	// queued are the questions for the next list call, calls the list calls in flight.
+	queued []*waiter
+	calls  []*listCall
+	// lastListID is the number of the last list call, which was sent at lastListAt.
+	lastListID uint64
+	lastListAt time.Duration
+	// sharedCallAt is when the last shared call was sent, the one in each interval that all
+	// askers should share; see align.
+	sharedCallAt time.Duration
+	// lastRemoteQuestionAt is when the last question of another router was received.
+	lastRemoteQuestionAt time.Duration
+	stats                Stats
 }
 
-// Stats count since the core was made.
+// Stats counts events since the core was created.
 type Stats struct {
-	// Relayed and Own are the records that another router or this one read.
+	// Relayed counts the records that another router read for this one, Own those that this
+	// router read itself.
 	Relayed, Own uint64
-	// Lists are the list calls of this router, Served the questions of others in them.
+	// Lists counts the list calls of this router, Served the questions of other routers that
+	// they answered.
 	Lists, Served uint64
-	// Fallbacks are the questions that this router put to the store by itself, by cause.
+	// Fallbacks counts the questions that this router took to the store itself, by cause.
 	Fallbacks [causeCount]uint64
-	// Limited are the questions that were given up for the limit on these.
+	// Limited counts the questions that were dropped because the limit on fallbacks was
+	// reached.
 	Limited uint64
 }
 
-// Cause says why a router read by itself.
+// Cause says why a router read the store itself.
 type Cause uint8
 
 // The causes.
 const (
-	// Silent: the relay didn't answer in time.
+	// Silent: the relay didn't reply in time.
 	Silent Cause = iota
 	// Refused: the relay couldn't read.
 	Refused
-	// Lost: the relay is lost.
+	// Lost: the relay is no longer among the live routers.
 	Lost
-	// NoRelay: all that could be asked failed shortly before.
+	// NoRelay: all routers that may be asked failed recently.
 	NoRelay
-	// Waiting: the relay waits for the store; the read tells whether the store is slow.
+	// Waiting: the relay is waiting for the store; the read tells whether the store is slow.
 	Waiting
 	causeCount
 )
@@ -78,17 +84,17 @@
 // Causes returns all causes.
 func Causes() []Cause { return []Cause{Silent, Refused, Lost, NoRelay, Waiting} }
 
-// held is the last record that this router was told of.
-type held struct {
+// knownRecord is the last record that this router has seen of a target.
+type knownRecord struct {
 	Record
 	askedAt time.Duration
 }
 
-// New returns the core of a router that knows no other.
+// New returns the core of a router that knows no other router yet.
 func New(cfg Config) *Core {
-	c := &Core{cfg: cfg.withDefaults(), suspects: map[string]suspicion{}, missed: map[string]suspicion{}, known: map[string]held{}}
-	c.listedAt, c.beatAt, c.othersAt = -c.cfg.spacing(), -2*c.cfg.Every, -c.cfg.forget()
-	c.tokens.left = ownBurst
+	c := &Core{cfg: cfg.withDefaults(), suspects: map[string]suspicion{}, lossyFailures: map[string]suspicion{}, known: map[string]knownRecord{}}
+	c.lastListAt, c.sharedCallAt, c.lastRemoteQuestionAt = -c.cfg.listSpacing(), -2*c.cfg.Every, -c.cfg.staleAfter()
+	c.fallbackTokens.tokens = fallbackBurst
 	c.setMembers(Members{})
 	return c
 }
@@ -96,13 +102,13 @@
 // Stats returns the counts.
 func (c *Core) Stats() Stats { return c.stats }
 
-// Relay returns the router that this one asks now; itself where it reads for others,
-// and empty where all of them failed shortly before.
+// Relay returns the router that this one asks now. It returns this router's own name if it is
+// a relay itself, and an empty string if all routers that may be asked failed recently.
 func (c *Core) Relay() string { return c.choose() }
 
-// Step takes in one event and returns what is to be done. now must not go back.
+// Step handles one event and returns the actions to be done. now must not go back.
 func (c *Core) Step(now time.Duration, e Event) []Action {
-	c.now, c.out = now, nil
+	c.now, c.actions = now, nil
 	switch e := e.(type) {
 	case Members:
 		c.setMembers(e)
@@ -111,29 +117,29 @@
 	case Received:
 		c.receive(e)
 	case Listed:
-		c.listed(e)
+		c.receiveList(e)
 	}
-	c.overdue()
-	c.advance()
-	return c.out
+	c.expireQuestions()
+	c.serveQueued()
+	return c.actions
 }
 
-func (c *Core) do(a Action) { c.out = append(c.out, a) }
+func (c *Core) emit(a Action) { c.actions = append(c.actions, a) }
 
-// Wake returns how long after now the next Tick is due at the latest.
+// Wake returns the time from now within which the shell must send the next Tick.
 func (c *Core) Wake(now time.Duration) time.Duration {
 	next := now + time.Hour
 	for _, q := range c.questions {
 		next = min(next, q.deadline)
 	}
-	if len(c.waiting) > 0 && len(c.lists) < maxLists {
-		next = min(next, c.nextList())
+	if len(c.queued) > 0 && len(c.calls) < maxLists {
+		next = min(next, c.nextListAt())
 	}
-	next = min(next, c.nextPending(next))
-	for _, l := range c.lists {
-		next = min(next, l.at+c.cfg.forget())
-		if c.hedges(l) {
-			next = min(next, l.at+c.cfg.hedgeAfter())
+	next = min(next, c.nextPendingAt(next))
+	for _, l := range c.calls {
+		next = min(next, l.sentAt+c.cfg.staleAfter())
+		if c.canHedge(l) {
+			next = min(next, l.sentAt+c.cfg.hedgeDelay())
 		}
 	}
 	return max(next-now, time.Millisecond)
--- a/core/confirm/event.go
+++ b/core/confirm/event.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-// Event is what Core.Step takes in. It is one of the types of this file.
+// Event is an input of Core.Step, one of the types of this file.
 type Event interface{ isEvent() }
 
-// Tick makes time pass; the shell sends one when Wake says so at the latest.
+// Tick reports that time has passed. The shell sends one no later than Wake says.
 type Tick struct{}
 
 // Members are the names of the live routers of this data centre, sorted.
 type Members struct {
 	Live []string
-	// Leaving are those of them that are on their planned way out. They answer to their
-	// end, and are asked no more so that nobody notices it.
+	// Leaving are the live routers that are in a planned stop. They answer until they end, but
+	// are no longer asked, so that their end delays no question.
 	Leaving []string
 }
 
-// Read is a record that this router needs confirmed.
+// Read is a record that this router needs to have confirmed.
 type Read struct {
 	Target string
-	// SentAt comes back in Confirmed.
+	// SentAt is returned in Confirmed.
 	SentAt time.Duration
 }
 
-// Asked are the records that are to be read now.
+// Asked requests that the records be read now.
 type Asked struct{ Reads []Read }
 
-// Received is a message of another router of this data centre.
+// Received is a message from another router of this data centre.
 type Received struct {
 	From    Router
 	Message Message
 }
 
-// Record is a target's record in the store; with Revision zero it is absent.
+// Record is a target's record in the store. Revision zero means that there is none.
 type Record struct {
 	Target   string
 	Revision uint64
 	Value    []byte
 }
 
-// Listed answers a List, also when the call failed.
+// Listed is the result of a List, also of one that failed.
 type Listed struct {
 	ID uint64
-	// OK says that the store answered.
+	// OK reports whether the store answered.
 	OK bool
 	// Records are sorted by target.
 	Records []Record
@@ -54,28 +54,29 @@
 func (Received) isEvent() {}
 func (Listed) isEvent()   {}
 
-// Action is what Core.Step asks the shell to do, in order.
+// Action is an output of Core.Step. The shell does the actions in order.
 type Action interface{ isAction() }
 
-// Send asks for a message to another router; it may be lost.
+// Send sends a message to another router. The message may be lost.
 type Send struct {
 	To      string
 	Message Message
-	// Lossy says that it may go the cheaper way on which more is lost.
+	// Lossy says that the message may take the cheaper transport, which loses more messages.
 	Lossy bool
 }
 
-// List asks for a list call of all grantor records of the data centre. It must be
-// sent after Step returned and answered from no cache; the shell answers with Listed.
+// List requests a list call of all grantor records of the data centre. The call must be sent
+// after Step has returned and must not be answered from a cache. The shell reports the result
+// as Listed.
 type List struct{ ID uint64 }
 
-// Confirmed tells that the store was asked for the record after SentAt, and what it
+// Confirmed reports that the store was asked for the record after SentAt, and which record it
 // held.
 type Confirmed struct {
 	Record Record
 	SentAt time.Duration
-	// Earlier is by how much the next question should come sooner than Every after this
-	// one, so that it shares a list call with others; at most half of Every.
+	// Earlier is by how much sooner than Every after this question the next one should be
+	// sent, so that it shares a list call with others. It is at most half of Every.
 	Earlier time.Duration
 }
 
@@ -83,45 +84,46 @@
 func (List) isAction()      {}
 func (Confirmed) isAction() {}
 
-// Kind says what a message is.
+// Kind is the kind of a message.
 type Kind uint8
 
 const (
-	// Question asks the relay to have records read.
+	// Question asks the relay to read records.
 	Question Kind = iota + 1
-	// Answer brings what the store held.
+	// Answer returns the records that the store held.
 	Answer
-	// Pending says that the relay still waits for the store.
+	// Pending says that the relay is still waiting for the store.
 	Pending
-	// Refusal says that the relay couldn't read.
+	// Refusal says that the relay couldn't read the records.
 	Refusal
 )
 
-// Known is the revision at which the asker holds a record; zero: none.
+// Known is the revision at which the asker knows a record; zero means that it knows none.
 type Known struct {
 	Target   string
 	Revision uint64
 }
 
-// Change is a record of a question that is not at the revision that the asker named.
+// Change is a record that is not at the revision given in the question.
 type Change struct {
-	// Index is the record's place in the question.
+	// Index is the record's position in the question.
 	Index    int
 	Revision uint64
 	Value    []byte
 }
 
-// Message goes between an asker and its relay.
+// Message is sent between an asker and its relay.
 type Message struct {
 	Kind Kind
 	// Life is the incarnation of the asker, and Sequence the number of its question.
 	Life     uint64
 	Sequence uint64
-	// Surely asks in a question that the answer goes the way on which little is lost.
+	// Surely is set in a question if the answer must take the transport that loses few
+	// messages.
 	Surely bool
-	// Earlier belongs to an answer, see Confirmed.
+	// Earlier is set in an answer; see Confirmed.
 	Earlier time.Duration
-	// Known belongs to a question, Changed to an answer.
+	// Known is set in a question, Changed in an answer.
 	Known   []Known
 	Changed []Change
 }
--- a/core/confirm/export_test.go
+++ b/core/confirm/export_test.go
@@ -1,21 +1,21 @@
 package confirm
 
-// Omitted is a rule that a test leaves out to see that its absence is caught.
+// Omitted names a check that a test disables to show that the test fails without it.
 type Omitted = check
 
-// The rules that may be left out.
+// The checks that may be disabled.
 const (
-	OmitNone     = omitNone
-	OmitFresh    = omitFresh
-	OmitLife     = omitLife
-	OmitFallback = omitFallback
+	OmitNone        = omitNone
+	OmitFresh       = omitFresh
+	OmitIncarnation = omitIncarnation
+	OmitFallback    = omitFallback
 )
 
-// Without returns the settings with the rule left out.
+// Without returns the configuration with the check disabled.
 func (c Config) Without(rule Omitted) Config {
 	c.omit = rule
 	return c
 }
 
-// Order returns whom the router asks, in turn.
+// Order returns the routers that this one asks, first choice first.
 func (c *Core) Order() []string { return c.order }
--- a/core/confirm/relay.go
+++ b/core/confirm/relay.go
@@ -5,63 +5,66 @@
 	"time"
 )
 
-// asking is a question that waits for a list call, of this router or of another.
-type asking struct {
-	at time.Duration
-	// own is this router's question; else from and message are another's.
+// waiter is a question that waits for a list call, either this router's own or another
+// router's.
+type waiter struct {
+	queuedAt time.Duration
+	// own is set for this router's own question, from and message for another router's.
 	own     *question
 	from    string
 	message Message
-	// urgent doesn't wait for others to share its call.
+	// urgent says that the question doesn't wait for others to share its call.
 	urgent bool
-	// told says that the asker knows that the store is waited for.
-	told bool
-	// earlier is by how much the asker's next question should come sooner.
+	// pendingSent says that the asker was sent a Pending.
+	pendingSent bool
+	// earlier is by how much the asker's next question should be sent sooner.
 	earlier time.Duration
 }
 
-// list is a list call under way, with the questions that had come before it was sent.
-type list struct {
-	id     uint64
-	at     time.Duration
-	askers []*asking
+// listCall is a list call in flight, with the questions that were queued before it was sent.
+type listCall struct {
+	id      uint64
+	sentAt  time.Duration
+	waiters []*waiter
 }
 
 func (c *Core) receive(e Received) {
 	if e.Message.Kind == Question {
-		c.questioned(e)
+		c.receiveQuestion(e)
 		return
 	}
-	c.answered(e)
+	c.receiveReply(e)
 }
 
-// questioned takes in a question of another router. It waits for a call that is yet
-// to be sent: one that is under way may have been carried out before the asker's
-// question left, and would let a grantor go on that was superseded between.
-func (c *Core) questioned(e Received) {
-	c.othersAt = c.now
-	a := &asking{at: c.now, from: e.From.Name, message: e.Message}
-	if len(c.waiting) >= maxQuestions || len(e.Message.Known) > MaxTargets {
+// receiveQuestion handles a question of another router. The question waits for a list call
+// that has not been sent yet: the store may have executed a call in flight before the asker
+// sent the question, so an answer from it could confirm a grantor that was superseded in
+// between.
+func (c *Core) receiveQuestion(e Received) {
+	c.lastRemoteQuestionAt = c.now
+	a := &waiter{queuedAt: c.now, from: e.From.Name, message: e.Message}
+	if len(c.queued) >= maxQueued || len(e.Message.Known) > MaxTargets {
 		c.reply(a, Refusal, nil)
 		return
 	}
-	if c.cfg.omit == omitFresh && len(c.lists) > 0 {
-		last := c.lists[len(c.lists)-1]
-		last.askers = append(last.askers, a)
+	if c.cfg.omit == omitFresh && len(c.calls) > 0 {
+		last := c.calls[len(c.calls)-1]
+		last.waiters = append(last.waiters, a)
 		return
 	}
-	c.waiting = append(c.waiting, a)
+	c.queued = append(c.queued, a)
 }
 
-// advance sends the next list call when it is due and tells those who wait long.
-func (c *Core) advance() {
-	c.lists = slices.DeleteFunc(c.lists, func(l *list) bool { return c.now-l.at >= c.cfg.forget() })
+// serveQueued sends the next list call when it is due and sends Pending to askers that have
+// waited for long.
+func (c *Core) serveQueued() {
+	c.calls = slices.DeleteFunc(c.calls, func(l *listCall) bool { return c.now-l.sentAt >= c.cfg.staleAfter() })
 	if c.listDue() {
-		c.list()
+		c.sendList()
 	}
-	for _, a := range c.unanswered() {
-		if c.now-a.at >= c.cfg.pendingAfter() {
-			a.told = true
+	for _, a := range c.withoutPending() {
+		if c.now-a.queuedAt >= c.cfg.pendingDelay() {
+			a.pendingSent = true
 			c.reply(a, Pending, nil)
 		}
 	}
@@ -71,147 +74,152 @@
 	if c.hedgeDue() {
 		return true
 	}
-	if len(c.waiting) == 0 || len(c.lists) >= maxLists {
+	if len(c.queued) == 0 || len(c.calls) >= maxLists {
 		return false
 	}
-	urgent := slices.ContainsFunc(c.waiting, func(a *asking) bool { return a.urgent })
-	return urgent || c.now >= c.nextList()
+	urgent := slices.ContainsFunc(c.queued, func(a *waiter) bool { return a.urgent })
+	return urgent || c.now >= c.nextListAt()
 }
 
-// nextList is when those who wait have their call. The one that all askers should share
-// does not wait for the spacing: a call for one that came at another time would put it
-// off, and all would seem to come at another time next.
-func (c *Core) nextList() time.Duration {
-	spaced := min(c.listedAt+c.cfg.spacing(), c.nextBeat())
-	return max(spaced, c.gathered())
+// nextListAt returns when the queued questions get their list call. The call that all askers
+// should share doesn't wait for listSpacing: otherwise a call for an asker out of step would
+// delay it, and in the next interval all askers would seem to be out of step.
+func (c *Core) nextListAt() time.Duration {
+	spaced := min(c.lastListAt+c.cfg.listSpacing(), c.nextSharedCallAt())
+	return max(spaced, c.gatheredAt())
 }
 
-// nextBeat is from when on a call is the one that all askers should share.
-func (c *Core) nextBeat() time.Duration { return c.beatAt + c.cfg.Every - 2*c.cfg.gather() }
+// nextSharedCallAt returns the earliest time at which a call counts as the next one that all
+// askers should share.
+func (c *Core) nextSharedCallAt() time.Duration {
+	return c.sharedCallAt + c.cfg.Every - 2*c.cfg.gatherDelay()
+}
 
-// gathered is when those who wait need not wait for others any longer.
-func (c *Core) gathered() time.Duration {
-	first := c.waiting[0].at
-	if alone, rested := first-c.othersAt >= c.cfg.forget(), first-c.beatAt >= 2*c.cfg.Every; alone || rested {
+// gatheredAt returns when the queued questions need not wait any longer for others to share
+// their call.
+func (c *Core) gatheredAt() time.Duration {
+	first := c.queued[0].queuedAt
+	if noOthers, idle := first-c.lastRemoteQuestionAt >= c.cfg.staleAfter(), first-c.sharedCallAt >= 2*c.cfg.Every; noOthers || idle {
 		return first
 	}
-	return first + c.cfg.gather()
+	return first + c.cfg.gatherDelay()
 }
 
-// list sends a call for all that wait.
-func (c *Core) list() {
+// sendList sends a list call for all queued questions.
+func (c *Core) sendList() {
 	c.align()
-	c.listID++
-	c.lists = append(c.lists, &list{id: c.listID, at: c.now, askers: c.waiting})
-	c.waiting, c.listedAt = nil, c.now
+	c.lastListID++
+	c.calls = append(c.calls, &listCall{id: c.lastListID, sentAt: c.now, waiters: c.queued})
+	c.queued, c.lastListAt = nil, c.now
 	c.stats.Lists++
-	c.do(List{ID: c.listID})
+	c.emit(List{ID: c.lastListID})
 }
 
-// align tells those who ask at another time than the others to come sooner, until one
-// call in each interval carries all questions.
+// align sets by how much askers that are out of step with the others should ask sooner, until
+// one list call in each interval serves all questions.
 //
-// Askers know nothing of each other, and each asks Every after it last did. Left alone
-// they stay as they happened to start, and a relay makes two calls in each interval,
-// and is woken by each asker at another time.
+// Askers don't know of each other, and each asks again Every after its last question. Without
+// align they would keep the offsets at which they started, and a relay would make two list
+// calls in each interval and be woken for each asker separately.
 func (c *Core) align() {
-	if c.now >= c.nextBeat() {
-		c.beatAt = c.now
+	if c.now >= c.nextSharedCallAt() {
+		c.sharedCallAt = c.now
 		return
 	}
-	for _, a := range c.waiting {
-		a.earlier = min(max(a.at-c.beatAt, 0)+c.cfg.gather()/2, c.cfg.spacing())
+	for _, a := range c.queued {
+		a.earlier = min(max(a.queuedAt-c.sharedCallAt, 0)+c.cfg.gatherDelay()/2, c.cfg.listSpacing())
 	}
 }
 
-// hedges says that the call is the last one under way and carries questions, so that
-// another is sent beside it if it stays away. That one carries none unless they came
-// between, and is answered for those of the call before.
-func (c *Core) hedges(l *list) bool {
-	return len(l.askers) > 0 && l == c.lists[len(c.lists)-1] && len(c.lists) < maxLists
+// canHedge reports whether a second call may be sent in parallel to this one if it is late: it
+// must be the last call in flight and carry questions. The second call carries only questions
+// that were queued since, and its result also answers the questions of the first call.
+func (c *Core) canHedge(l *listCall) bool {
+	return len(l.waiters) > 0 && l == c.calls[len(c.calls)-1] && len(c.calls) < maxLists
 }
 
 func (c *Core) hedgeDue() bool {
-	if len(c.lists) == 0 {
+	if len(c.calls) == 0 {
 		return false
 	}
-	last := c.lists[len(c.lists)-1]
-	return c.hedges(last) && c.now-last.at >= c.cfg.hedgeAfter()
+	last := c.calls[len(c.calls)-1]
+	return c.canHedge(last) && c.now-last.sentAt >= c.cfg.hedgeDelay()
 }
 
-// unanswered returns the questions of others that were told nothing yet.
-func (c *Core) unanswered() []*asking {
-	var out []*asking
-	collect := func(askers []*asking) {
-		for _, a := range askers {
-			if a.own == nil && !a.told {
+// withoutPending returns the questions of other routers that have been sent neither an answer
+// nor a Pending.
+func (c *Core) withoutPending() []*waiter {
+	var out []*waiter
+	collect := func(waiters []*waiter) {
+		for _, a := range waiters {
+			if a.own == nil && !a.pendingSent {
 				out = append(out, a)
 			}
 		}
 	}
-	for _, l := range c.lists {
-		collect(l.askers)
+	for _, l := range c.calls {
+		collect(l.waiters)
 	}
-	collect(c.waiting)
+	collect(c.queued)
 	return out
 }
 
-// nextPending returns when the first of others is to be told to wait, or latest.
-func (c *Core) nextPending(latest time.Duration) time.Duration {
-	for _, a := range c.unanswered() {
-		latest = min(latest, a.at+c.cfg.pendingAfter())
+// nextPendingAt returns when the first Pending is due, or latest if that is earlier.
+func (c *Core) nextPendingAt(latest time.Duration) time.Duration {
+	for _, a := range c.withoutPending() {
+		latest = min(latest, a.queuedAt+c.cfg.pendingDelay())
 	}
 	return latest
 }
 
-// listed answers all that waited for the call, and with what it found also those that
-// wait for calls sent before it: theirs are the older questions.
-func (c *Core) listed(e Listed) {
-	i := slices.IndexFunc(c.lists, func(l *list) bool { return l.id == e.ID })
+// receiveList answers the questions of the call that returned, and also those of calls sent
+// before it, because their questions are older.
+func (c *Core) receiveList(e Listed) {
+	i := slices.IndexFunc(c.calls, func(l *listCall) bool { return l.id == e.ID })
 	if i < 0 {
 		return
 	}
-	l := c.lists[i]
-	c.lists = slices.Delete(c.lists, i, i+1)
+	l := c.calls[i]
+	c.calls = slices.Delete(c.calls, i, i+1)
 	if !e.OK {
-		c.failed(l, i)
+		c.listFailed(l, i)
 		return
 	}
-	for _, earlier := range c.lists[:i] {
-		c.tellAll(earlier, e.Records)
+	for _, earlier := range c.calls[:i] {
+		c.answerAll(earlier, e.Records)
 	}
-	c.tellAll(l, e.Records)
+	c.answerAll(l, e.Records)
 }
 
-// failed hands the questions of a call that failed to the one sent after it, if there
-// is one, and refuses them otherwise.
-func (c *Core) failed(l *list, at int) {
-	if at < len(c.lists) {
-		next := c.lists[at]
-		next.askers = append(l.askers, next.askers...)
+// listFailed moves the questions of a failed call to the call sent after it, or refuses them
+// if there is none.
+func (c *Core) listFailed(l *listCall, at int) {
+	if at < len(c.calls) {
+		next := c.calls[at]
+		next.waiters = append(l.waiters, next.waiters...)
 		return
 	}
-	for _, a := range l.askers {
+	for _, a := range l.waiters {
 		if a.own == nil {
 			c.reply(a, Refusal, nil)
 		}
 	}
 }
 
-func (c *Core) tellAll(l *list, records []Record) {
-	for _, a := range l.askers {
+func (c *Core) answerAll(l *listCall, records []Record) {
+	for _, a := range l.waiters {
 		if a.own == nil {
 			c.answer(a, records)
 			continue
 		}
 		c.stats.Own += uint64(len(a.own.reads))
-		c.probed(a.own, c.now-a.at)
-		c.confirm(a.own, recordsOf(a.own.held, records), a.earlier)
+		c.probeDone(a.own, c.now-a.queuedAt)
+		c.confirm(a.own, findAll(a.own.baseline, records), a.earlier)
 	}
-	l.askers = nil
+	l.waiters = nil
 }
 
-func recordsOf(wanted, records []Record) []Record {
+func findAll(wanted, records []Record) []Record {
 	found := make([]Record, len(wanted))
 	for i := range wanted {
 		found[i] = find(records, wanted[i].Target)
@@ -219,8 +227,8 @@
 	return found
 }
 
-// answer sends what the asker doesn't know yet.
-func (c *Core) answer(a *asking, records []Record) {
+// answer sends the records that the asker doesn't know yet.
+func (c *Core) answer(a *waiter, records []Record) {
 	var changed []Change
 	size := 0
 	for i, known := range a.message.Known {
@@ -231,7 +239,7 @@
 		size += len(rec.Value)
 		changed = append(changed, Change{Index: i, Revision: rec.Revision, Value: rec.Value})
 	}
-	if size > maxAnswer {
+	if size > maxAnswerBytes {
 		c.reply(a, Refusal, nil)
 		return
 	}
@@ -239,7 +247,7 @@
 	c.reply(a, Answer, changed)
 }
 
-func (c *Core) reply(a *asking, kind Kind, changed []Change) {
+func (c *Core) reply(a *waiter, kind Kind, changed []Change) {
 	answer := Message{Kind: kind, Life: a.message.Life, Sequence: a.message.Sequence, Changed: changed, Earlier: a.earlier}
-	c.do(Send{To: a.from, Message: answer, Lossy: !a.message.Surely && len(changed) == 0})
+	c.emit(Send{To: a.from, Message: answer, Lossy: !a.message.Surely && len(changed) == 0})
 }
