--- a/core/spread/hold_test.go
+++ b/core/spread/changelimiter_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// deltas counts, from now on, the messages with records that each router receives.
-func (f *fleet) deltas() map[string]int {
+// countDeltas counts, from now on, the messages with full records that each router receives.
+func (f *fleet) countDeltas() map[string]int {
 	got := map[string]int{}
 	f.net.OnSend = func(_, to string, m Message) {
 		if m.Kind == Delta {
@@ -19,17 +19,17 @@
 	return got
 }
 
-// Symptom: a script that applies 50 changes takes all bytes that control may use.
-// Sequence: 50 changes of the one record of the configuration within a second.
-// Cause: each is sent to every router whole, although only the last counts.
+// A burst of changes of the one configuration record must not be sent to every router change
+// by change: only the last one counts, and a script with 50 changes would use up the bandwidth
+// for control messages.
 func TestABurstOfChangesOfOneRecordIsSentAFewTimes(t *testing.T) {
-	f := newFleet(DefaultConfig(), calm(), 51, 40, "doto")
-	got := f.deltas()
+	f := newFleet(DefaultConfig(), reliable(), 51, 40, "doto")
+	got := f.countDeltas()
 	for i := range 50 {
 		f.write("config/current", Configuration, fmt.Sprint("change ", i))
 		f.net.Run(20 * time.Millisecond)
 	}
-	f.net.Run(f.cfg.HoldEvery + 50*time.Millisecond)
+	f.net.Run(f.cfg.MinChangeInterval + 50*time.Millisecond)
 	assert.Equal(t, len(f.behind()), 0)
 	for name, n := range got {
 		// At once, every 200 ms and once at the end, in each of two trees.
@@ -37,8 +37,8 @@
 	}
 }
 
-func TestASingleChangeAndOwnershipAreNotHeld(t *testing.T) {
-	f := newFleet(DefaultConfig(), calm(), 52, 40, "doto")
+func TestASingleChangeAndOwnershipAreNotDelayed(t *testing.T) {
+	f := newFleet(DefaultConfig(), reliable(), 52, 40, "doto")
 	f.write("config/current", Configuration, "one")
 	f.net.Run(30 * time.Millisecond)
 	assert.Equal(t, len(f.behind()), 0)
@@ -50,21 +50,19 @@
 	}
 }
 
-// Symptom: an accepted change is in force nowhere after a watcher died.
-// Sequence: two changes of one record follow each other; the watcher that keeps the
-// second back dies, and later the other one too.
-// Cause: what is kept back is nowhere else.
-func TestAHeldChangeOutlivesItsWatchers(t *testing.T) {
-	f := newFleet(DefaultConfig(), calm(), 53, 40, "doto")
+// A change that a watcher delays must reach all routers even if that watcher dies, and the
+// other one too.
+func TestADelayedChangeSurvivesItsWatchers(t *testing.T) {
+	f := newFleet(DefaultConfig(), reliable(), 53, 40, "doto")
 	watchers := f.watchersIn("doto")
 	f.write("config/current", Configuration, "first")
 	f.net.Run(20 * time.Millisecond)
 	f.write("config/current", Configuration, "second")
 	f.net.Run(10 * time.Millisecond)
-	assert.Assert(t, len(f.behind()) > 0, "nothing was kept back")
+	assert.Assert(t, len(f.behind()) > 0, "nothing was delayed")
 	f.kill(watchers[0])
-	f.net.Run(f.cfg.HoldEvery + 50*time.Millisecond)
-	f.forget(watchers[0])
+	f.net.Run(f.cfg.MinChangeInterval + 50*time.Millisecond)
+	f.removeMembers(watchers[0])
 	assert.Equal(t, len(f.behind()), 0)
 
 	f.write("config/current", Configuration, "third")
@@ -73,18 +71,16 @@
 	f.net.Run(10 * time.Millisecond)
 	for _, name := range f.watchersIn("doto") {
 		f.kill(name)
-		f.forget(name)
+		f.removeMembers(name)
 	}
 	f.net.Run(500 * time.Millisecond)
 	assert.Equal(t, len(f.behind()), 0, "the next watchers read everything")
 }
 
-// Symptom: a router goes back to a change that was replaced, or loses the end of a record.
-// Sequence: a change is kept back; all of the store is read, with a newer one or without
-// the record; the time of the change that was kept back comes.
-// Cause: what was kept back goes on whatever came meanwhile.
-func TestAHeldChangeNeverUndoesALaterOne(t *testing.T) {
-	f := newFleet(DefaultConfig(), calm(), 54, 10, "doto")
+// A delayed change must not undo a newer one, or a deletion, that a complete list from the
+// store brought in the meantime.
+func TestADelayedChangeNeverUndoesALaterOne(t *testing.T) {
+	f := newFleet(DefaultConfig(), reliable(), 54, 10, "doto")
 	watcher := f.nodes[f.watchersIn("doto")[0]]
 	change := func(rev uint64, value string) {
 		e := Entry{Key: "config/current", Revision: rev, Class: Configuration, Value: []byte(value)}
@@ -101,13 +97,13 @@
 	newest := Entry{Key: "config/current", Revision: 13, Class: Configuration, Value: []byte("newest")}
 	watcher.step(f.net.Now(), FromStore{Entries: []Entry{newest}, Whole: true, Upto: 13})
 	assert.Equal(t, value(), "newest")
-	f.net.Run(2 * f.cfg.HoldEvery)
+	f.net.Run(2 * f.cfg.MinChangeInterval)
 	assert.Equal(t, value(), "newest")
 
 	change(20, "again")
 	change(22, "held again")
 	change(21, "late again")
-	f.net.Run(f.cfg.HoldEvery + 20*time.Millisecond)
+	f.net.Run(f.cfg.MinChangeInterval + 20*time.Millisecond)
 	assert.Equal(t, value(), "held again")
-	assert.Equal(t, len(watcher.core.hold.waiting), 0)
+	assert.Equal(t, len(watcher.core.limiter.delayed), 0)
 }
--- a/core/spread/core.go
+++ b/core/spread/core.go
@@ -9,74 +9,75 @@
 
 // Core is the state machine of one router. It is not safe for concurrent use.
 type Core struct {
-	cfg  Config
-	self string
-	dc   string
-	life uint64
-	rnd  *rand.Rand
-	now  time.Time
-	out  []Action
-
-	table   *table
-	members Members
-	trees   map[string][]string
-	pending []outbox
-	flushed time.Time
-
-	watching  bool
-	storeUp   bool
-	storeSeq  uint64
-	states    map[string]storeState
-	past      pastSums
-	repairDue time.Time
-	digestDue time.Time
-	remoteDue time.Time
-	join      join
-	hold      hold
-	// wanted is when the whole record of a key was last asked for after a patch.
-	wanted map[uint64]time.Time
-	// noticed is the last notice of each router that announces.
-	noticed   map[string]noticeID
-	noticeSeq uint64
-	// inquiries are the questions whose answers come by this router.
-	inquiries []*inquiry
+	cfg         Config
+	self        string
+	dc          string
+	incarnation uint64
+	rnd         *rand.Rand
+	now         time.Time
+	actions     []Action
+
+	table     *table
+	members   Members
+	trees     map[string][]string
+	outboxes  []outbox
+	lastFlush time.Time
+
+	watching    bool
+	storeUp     bool
+	storeSeq    uint64
+	storeStates map[string]storeState
+	recentSums  sumHistory
+	repairDue   time.Time
+	digestDue   time.Time
+	remoteDue   time.Time
+	join        join
+	limiter     changeLimiter
+	// requestedAt is when the full record of a key, by hash, was last requested because a
+	// patch could not be applied.
+	requestedAt map[uint64]time.Time
+	// lastNotice is the last notice of each router that announces.
+	lastNotice map[string]noticeID
+	noticeSeq  uint64
+	// questions are those for which this router collects the answers of its subtree.
+	questions []*question
 }
 
-// storeState is what a watcher said of its way to the store.
+// storeState is a watcher's last report of whether it reaches the store.
 type storeState struct {
-	life, seq uint64
-	down      bool
+	incarnation, seq uint64
+	down             bool
 }
 
-// New returns the core of the router self of data centre dc. life is its
-// incarnation. rnd must be seeded by the caller and is used by nobody else.
-func New(cfg Config, self, dc string, life uint64, rnd *rand.Rand) *Core {
+// New returns the core of the router self of data centre dc. incarnation is its incarnation. The
+// caller must seed rnd and not use it elsewhere.
+func New(cfg Config, self, dc string, incarnation uint64, rnd *rand.Rand) *Core {
 	return &Core{
-		cfg: cfg, self: self, dc: dc, life: life, rnd: rnd,
-		table:   newTable(cfg.Groups),
-		trees:   map[string][]string{},
-		states:  map[string]storeState{},
-		noticed: map[string]noticeID{},
-		wanted:  map[uint64]time.Time{},
-		hold:    hold{passed: map[string]time.Time{}},
-		storeUp: true,
+		cfg: cfg, self: self, dc: dc, incarnation: incarnation, rnd: rnd,
+		table:       newTable(cfg.Groups),
+		trees:       map[string][]string{},
+		storeStates: map[string]storeState{},
+		lastNotice:  map[string]noticeID{},
+		requestedAt: map[uint64]time.Time{},
+		limiter:     changeLimiter{passedAt: map[string]time.Time{}},
+		storeUp:     true,
 	}
 }
 
-// Step applies one event at the time now and returns what is to be done, in
-// order. A time before the last one counts as the last one.
+// Step applies one event at the time now and returns the actions to be done, in order. A time
+// before that of the previous event counts as that time.
 func (c *Core) Step(now time.Time, event Event) []Action {
-	c.out = nil
+	c.actions = nil
 	if c.now.IsZero() {
-		c.digestDue = now.Add(c.jitter(c.cfg.DigestEvery))
-		c.remoteDue = now.Add(c.jitter(c.cfg.RemoteEvery))
+		c.digestDue = now.Add(c.jitter(c.cfg.DigestInterval))
+		c.remoteDue = now.Add(c.jitter(c.cfg.RemoteDigestInterval))
 	}
 	if now.After(c.now) {
 		c.now = now
 	}
 	switch e := event.(type) {
 	case Tick:
-		c.tick()
+		c.runTimers()
 	case Members:
 		c.setMembers(e)
 	case FromStore:
@@ -86,7 +87,7 @@
 	case Received:
 		c.receive(e.From, &e.Message)
 	case Unread:
-		c.sendWhole(e.To, &e.Message)
+		c.sendFullRecords(e.To, &e.Message)
 	case Announce:
 		c.announce(e.Value)
 	case AskAll:
@@ -95,18 +96,18 @@
 		c.answer(&e)
 	}
 	c.flush()
-	return c.out
+	return c.actions
 }
 
-func (c *Core) tick() {
+func (c *Core) runTimers() {
 	c.tickJoin()
 	c.repairDigests()
-	c.tickAsks()
-	c.releaseHeld()
-	if schedule.Due(&c.digestDue, c.now, c.cfg.DigestEvery) {
+	c.expireQuestions()
+	c.releaseDelayed()
+	if schedule.Due(&c.digestDue, c.now, c.cfg.DigestInterval) {
 		c.sendDigest(c.randomHome())
 	}
-	if schedule.Due(&c.remoteDue, c.now, c.cfg.RemoteEvery) && c.watching {
+	if schedule.Due(&c.remoteDue, c.now, c.cfg.RemoteDigestInterval) && c.watching {
 		c.sendDigest(c.randomRemote())
 	}
 }
@@ -119,19 +120,19 @@
 	if to == "" || to == c.self {
 		return
 	}
-	c.out = append(c.out, Send{To: to, Message: m})
+	c.actions = append(c.actions, Send{To: to, Message: m})
 }
 
 // Revision returns the highest revision held, of any key.
 func (c *Core) Revision() uint64 { return c.table.max }
 
-// Digest returns the sum over all records: equal sums mean equal records.
+// Digest returns the digest of all records: equal digests mean equal records.
 func (c *Core) Digest() uint64 { return c.table.sum }
 
 // Size returns the number of records held and their bytes.
 func (c *Core) Size() (entries, bytes int) { return len(c.table.byKey), c.table.bytes }
 
-// Entry returns the record held of key.
+// Entry returns the record of key.
 func (c *Core) Entry(key string) (Entry, bool) {
 	h := c.table.byKey[key]
 	if h == nil {
@@ -150,8 +151,8 @@
 	return out
 }
 
-// Watching says whether this router is to watch the store.
+// Watching reports whether this router has to watch the store.
 func (c *Core) Watching() bool { return c.watching }
 
-// Joined says whether this router holds a whole view.
+// Joined reports whether this router has a complete view.
 func (c *Core) Joined() bool { return c.join.done }
--- a/core/spread/event.go
+++ b/core/spread/event.go
@@ -6,8 +6,8 @@
 // Tick drives the timers.
 type Tick struct{}
 
-// Members is the member view: the live routers of this data centre and of the
-// others, sorted by name.
+// Members is the member view: the live routers of this data centre and of the others, sorted
+// by name.
 type Members struct {
 	Home   []string
 	Remote []DataCentre
@@ -19,17 +19,17 @@
 	Live []string
 }
 
-// FromStore are records read from the store or written to it by this router.
+// FromStore reports records read from the store, or written to it by this router.
 type FromStore struct {
 	Entries []Entry
-	// Whole says that Entries are all records under Prefix at store revision Upto:
-	// keys that are held and not among them are gone.
+	// Whole says that Entries are all records under Prefix at store revision Upto: keys that
+	// this router holds and that are not among them were deleted.
 	Whole  bool
 	Prefix string
 	Upto   uint64
 }
 
-// StoreReached says whether a watcher reaches the store.
+// StoreReached reports whether a watcher reaches the store.
 type StoreReached struct{ Up bool }
 
 // Received is a message from another router.
@@ -38,19 +38,20 @@
 	Message Message
 }
 
-// Unread says that a message with patches was not sent, as the other router doesn't
-// read them or isn't known to.
+// Unread reports that a message with patches was not sent, because the other router doesn't
+// support patches or isn't known to.
 type Unread struct {
 	To      string
 	Message Message
 }
 
-// Announce passes something on to all routers of this data centre, down this router's
-// tree. It is no record: who is not reached is not told later, and a later one replaces it.
+// Announce sends a value to all routers of this data centre, down this router's tree. It is
+// not a record: a router that is not reached does not get it later, and a later value replaces
+// it.
 type Announce struct{ Value []byte }
 
-// AskAll asks every router for what it has in force; the answers arrive as
-// Answered actions with the same Seq. The asker's own is not among them.
+// AskAll asks every router what it has in force. The answers arrive as Answered actions with
+// the same Seq. This router's own answer is not among them.
 type AskAll struct{ Seq uint64 }
 
 // Answer is the shell's answer to Asked.
@@ -79,32 +80,32 @@
 	Message Message
 }
 
-// Deliver hands over records that are news, ownership first.
+// Deliver reports records that are newer than those held before, ownership first.
 type Deliver struct{ Entries []Entry }
 
-// Watch begins or ends this router's duty to watch the store.
+// Watch starts or stops this router's watch of the store.
 type Watch struct{ On bool }
 
-// Ready says that this router holds a whole view: from the store, or a snapshot
-// from the best of the peers that answered.
+// Ready reports that this router has a complete view, either from the store or from a snapshot
+// of the peer with the highest revision among those that answered.
 type Ready struct {
-	// From is the peer, or empty for the store.
+	// From is the peer, or empty if the view came from the store.
 	From     string
 	Revision uint64
 }
 
-// Refused reports a record that the bounds on memory keep out.
+// Refused reports a record that was dropped because of the bounds on memory.
 type Refused struct {
 	Key  string
 	Size int
 }
 
-// Unpatched reports a patch that was dropped; the whole record was asked for.
+// Unpatched reports a patch that was dropped. The full record is requested instead.
 type Unpatched struct {
 	Key  string
 	From string
-	// Wrong says that the patch is damaged or gives something else than its sender
-	// holds, not only that its base isn't held here.
+	// Wrong says that the patch is damaged or doesn't produce the sender's value. If it is
+	// false, only the base of the patch was not held here.
 	Wrong bool
 }
 
@@ -114,13 +115,13 @@
 	ID AskID
 }
 
-// Announced hands over what another router announced.
+// Announced reports a value that another router announced.
 type Announced struct {
 	From  string
 	Value []byte
 }
 
-// Answered hands over what came by one router: its own report, or those of its branch.
+// Answered reports an answer to AskAll from one router: its own row, or those of its subtree.
 type Answered struct {
 	From string
 	Seq  uint64
--- a/core/spread/failure_test.go
+++ b/core/spread/failure_test.go
@@ -11,7 +11,7 @@
 	"tarragongw/internal/simnet"
 )
 
-// lossy is a network that drops, delays and repeats messages.
+// lossy returns a network that drops, delays and duplicates messages.
 func lossy() simnet.Config {
 	return simnet.Config{
 		Tick: 10 * time.Millisecond, MinDelay: 300 * time.Microsecond, MaxDelay: 20 * time.Millisecond,
@@ -19,7 +19,7 @@
 	}
 }
 
-// watchersIn returns the names of the routers that watch the store.
+// watchersIn returns the routers of a data centre that watch the store.
 func (f *fleet) watchersIn(dc string) []string {
 	var list []string
 	for _, name := range f.dcs[dc] {
@@ -30,13 +30,11 @@
 	return list
 }
 
-// Symptom: a change is in force nowhere in a data centre though the store has it.
-// Sequence: both watchers of the data centre are lost, a change is written, the
-// member view drops them.
-// Cause: the duty to watch stays with the lost, or their successors watch only
-// what is written later.
+// When both watchers of a data centre die and a change is written before the member view drops
+// them, the data centre must still get the change. It doesn't if nobody replaces the watchers,
+// or if their successors only see later writes.
 func TestLostWatchersAreReplacedAtOnce(t *testing.T) {
-	f := newFleet(DefaultConfig(), calm(), 11, 20, "doto")
+	f := newFleet(DefaultConfig(), reliable(), 11, 20, "doto")
 	lost := f.watchersIn("doto")
 	assert.Equal(t, len(lost), 2)
 	for _, name := range lost {
@@ -44,18 +42,17 @@
 	}
 	f.write("ownership/1", Ownership, "during the gap")
 	f.net.Run(350 * time.Millisecond)
-	f.forget(lost...)
+	f.removeMembers(lost...)
 	assert.Equal(t, len(f.watchersIn("doto")), 2)
 	f.net.Run(300 * time.Millisecond)
 	assert.Equal(t, len(f.behind()), 0)
 }
 
-// Symptom: part of a data centre works with an old configuration for minutes.
-// Sequence: 40 of 400 routers die at once, inner nodes of the trees among them,
-// and a change is written before anyone knows.
-// Cause: the branches below lost inner nodes are never told.
+// Routers below dead inner nodes must not keep an old configuration for minutes. 40 of 400
+// routers die at once, inner nodes of the trees among them, and a change is written before the
+// member view drops them.
 func TestTheTreeRepairsItself(t *testing.T) {
-	f := newFleet(DefaultConfig(), calm(), 12, 400, "doto")
+	f := newFleet(DefaultConfig(), reliable(), 12, 400, "doto")
 	var lost []string
 	for i := 0; i < 400; i += 10 {
 		lost = append(lost, f.dcs["doto"][i])
@@ -63,21 +60,20 @@
 	}
 	f.write("config/a", Configuration, "while 40 are dead")
 	f.net.Run(350 * time.Millisecond)
-	f.forget(lost...)
+	f.removeMembers(lost...)
 	f.net.Run(100 * time.Millisecond)
-	assert.Equal(t, len(f.behind()), 0, "shortly after the loss is known")
+	assert.Equal(t, len(f.behind()), 0, "behind after the loss is known")
 }
 
-// Symptom: a router goes back to a configuration that was replaced an hour ago.
-// Sequence: a router is cut off, changes are written, it comes back and offers
-// what it holds; the store answers a listing late.
-// Cause: records are taken by order of arrival instead of by revision.
+// Records must be ordered by revision, not by arrival. A router is cut off while changes are
+// written and then returns with its old records, and a list from the store arrives late; no
+// router may go back to an old configuration.
 func TestARecordNeverGoesBack(t *testing.T) {
 	f := newFleet(DefaultConfig(), lossy(), 13, 30, "doto", "visayas")
 	cut := f.dcs["doto"][5]
 	f.write("config/a", Configuration, "old")
 	f.net.Run(time.Second)
-	stale := f.whole()
+	stale := f.storeEntries()
 	staleAt := f.rev
 	f.net.Blocked = func(from, to string) bool { return from == cut || to == cut }
 	for i := range 20 {
@@ -90,16 +86,14 @@
 	f.net.Run(3 * time.Second)
 	assert.Equal(t, len(f.behind()), 0)
 	for _, name := range f.names() {
-		assert.Equal(t, f.nodes[name].fell, 0, name)
+		assert.Equal(t, f.nodes[name].regressions, 0, name)
 	}
 }
 
-// Symptom: a router restarted during a store outage serves by an old configuration.
-// Sequence: one peer was cut off and is behind; the store is down; a router
-// restarts and asks its peers, the one that is behind among them.
-// Cause: the newcomer believes the first peer that answers.
-func TestANewcomerTakesTheHighestOfSeveralPeers(t *testing.T) {
-	slow := calm()
+// A router that restarts while the store is unreachable must not take an old configuration
+// from a peer that was cut off. It would if it used the first peer that answers.
+func TestJoinTakesTheHighestRevisionOfSeveralPeers(t *testing.T) {
+	slow := reliable()
 	slow.MaxDelay = 60 * time.Millisecond
 	for seed := range uint64(40) {
 		f := newFleet(DefaultConfig(), slow, 100+seed, 6, "doto")
@@ -112,7 +106,7 @@
 		before := f.nodes[name].core.Revision()
 		n := f.start(name, "doto", 2)
 		n.cutFromStore = true
-		f.tell(n)
+		f.sendMembers(n)
 		for len(n.ready) == 0 && f.net.Now().Before(epoch.Add(time.Minute)) {
 			f.net.Run(10 * time.Millisecond)
 		}
@@ -121,34 +115,30 @@
 	}
 }
 
-// Symptom: a router refuses nothing and serves by an empty configuration.
-// Sequence: a whole data centre restarts while the store is down.
-// Cause: peers without a view of their own answer as if they had one.
-func TestNobodyIsReadyWithoutAnyoneWhoKnows(t *testing.T) {
+// When a whole data centre restarts while the store is unreachable, no router may become ready
+// with an empty configuration: peers without a complete view of their own must not offer one.
+func TestNobodyIsReadyWithoutACompletePeer(t *testing.T) {
 	f := &fleet{cfg: DefaultConfig(), nodes: map[string]*node{}, dcs: map[string][]string{"doto": {"a", "b", "c"}}, store: map[string]Entry{}}
-	f.net = simnet.New[Message](calm(), epoch, 1)
+	f.net = simnet.New[Message](reliable(), epoch, 1)
 	for _, name := range f.dcs["doto"] {
 		f.start(name, "doto", 1).cutFromStore = true
 	}
-	f.tellMembers()
+	f.sendMembersToAll()
 	f.net.Run(5 * time.Second)
 	for _, name := range f.dcs["doto"] {
 		assert.Equal(t, len(f.nodes[name].ready), 0, name)
 	}
-	f.nodes["a"].readWhole()
+	f.nodes["a"].readStore()
 	f.net.Run(2 * time.Second)
 	for _, name := range f.dcs["doto"] {
 		assert.Equal(t, len(f.nodes[name].ready), 1, name)
 	}
 }
 
-// Symptom: a data centre that lost only the store stays on an old configuration,
-// though it reaches the other data centres.
-// Sequence: every router of one data centre loses the store; a change is written
-// elsewhere.
-// Cause: records travel within data centres only.
+// A data centre in which no router reaches the store must get changes from another data
+// centre.
 func TestADataCentreWithoutTheStoreLearnsFromAnother(t *testing.T) {
-	f := newFleet(DefaultConfig(), calm(), 14, 20, "doto", "visayas")
+	f := newFleet(DefaultConfig(), reliable(), 14, 20, "doto", "visayas")
 	for _, name := range f.dcs["doto"] {
 		f.nodes[name].cutFromStore = true
 	}
@@ -157,11 +147,10 @@
 	assert.Equal(t, len(f.behind()), 0)
 }
 
-// Symptom: a data centre misses changes while all but its watchers reach the store.
-// Sequence: one watcher, then the other, loses the store alone.
-// Cause: the duty is tied to being alive and not to reaching the store.
+// A watcher that loses the store but stays alive must be replaced, so that its data centre
+// doesn't miss changes while other routers reach the store.
 func TestAWatcherThatLosesTheStoreIsReplaced(t *testing.T) {
-	f := newFleet(DefaultConfig(), calm(), 15, 20, "doto")
+	f := newFleet(DefaultConfig(), reliable(), 15, 20, "doto")
 	first := f.watchersIn("doto")
 	for _, name := range first {
 		f.nodes[name].cutFromStore = true
@@ -178,11 +167,10 @@
 	assert.Equal(t, len(f.behind()), 0)
 }
 
-// Symptom: the store comes back and falls over again under calls.
-// Sequence: the store is down for everyone; watcher after watcher gives up.
-// Cause: the duty to try moves on through the whole data centre.
+// When the store is unreachable for all, the watch must not move on through the whole data
+// centre, because calls of all routers could bring down the store again when it returns.
 func TestAStoreOutageDoesNotMakeEveryRouterTry(t *testing.T) {
-	f := newFleet(DefaultConfig(), calm(), 16, 60, "doto")
+	f := newFleet(DefaultConfig(), reliable(), 16, 60, "doto")
 	tried := map[string]bool{}
 	for range 100 {
 		for _, name := range f.watchersIn("doto") {
@@ -195,14 +183,12 @@
 	assert.Equal(t, len(f.watchersIn("doto")), 2)
 }
 
-// Symptom: a router's memory grows until it is killed.
-// Sequence: records beyond the bounds arrive from a peer.
-// Cause: what comes from peers is not bounded, or dropped without a word.
+// Records from peers beyond the bounds on memory must be dropped, and each drop reported.
 func TestMemoryIsBoundedAndRefusalsAreReported(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.MaxEntries = 10
 	cfg.MaxValue = 100
-	c := New(cfg, "a", "doto", 1, anyRand())
+	c := New(cfg, "a", "doto", 1, fixedRand())
 	var refused int
 	for i := range 30 {
 		e := Entry{Key: fmt.Sprint("k", i), Revision: uint64(i + 1), Value: make([]byte, 90)}
@@ -220,20 +206,18 @@
 	assert.Equal(t, held.Revision, uint64(2))
 }
 
-// Symptom: a large record goes out in one frame with everything else and control
-// messages behind it wait.
-// Sequence: many records change at once.
-// Cause: messages without a bound on their size.
+// When many large records change at once, each message must stay within its bound, so that
+// control messages don't wait behind it, and ownership must be sent first.
 func TestMessagesAreBoundedAndOwnershipGoesFirst(t *testing.T) {
 	cfg := DefaultConfig()
-	c := New(cfg, "a", "doto", 1, anyRand())
+	c := New(cfg, "a", "doto", 1, fixedRand())
 	c.Step(epoch, Members{Home: []string{"a", "b"}})
 	var entries []Entry
 	for i := range 200 {
 		class := Class(i % 3)
 		entries = append(entries, Entry{Key: fmt.Sprint("k", i), Revision: uint64(i + 1), Class: class, Value: make([]byte, 8<<10)})
 	}
-	// A first change opens the tick, so that what follows has to wait for the next.
+	// The first change is sent in this tick, so that the following ones wait for the next.
 	now := epoch
 	c.Step(now, FromStore{Entries: []Entry{{Key: "first", Revision: 1}}})
 	rest := slices.Clone(entries)
@@ -265,11 +249,10 @@
 	assert.Equal(t, sent, 200)
 }
 
-// Symptom: routers below a lost inner node wait for a random exchange.
-// Sequence: an inner node is lost with a change in hand; the member view drops it.
-// Cause: nobody asks those who would have sent the change had the tree been right.
+// After an inner node died before it passed a change on, the routers below it must send
+// digests to their parents in the repaired tree, instead of waiting for a random exchange.
 func TestAfterALossTheParentsAreAsked(t *testing.T) {
-	f := newFleet(DefaultConfig(), calm(), 18, 50, "doto")
+	f := newFleet(DefaultConfig(), reliable(), 18, 50, "doto")
 	lost := f.dcs["doto"][7]
 	f.kill(lost)
 	offered := map[string]map[string]bool{}
@@ -281,7 +264,7 @@
 			offered[from][to] = true
 		}
 	}
-	f.forget(lost)
+	f.removeMembers(lost)
 	f.net.Run(50 * time.Millisecond)
 	for _, root := range f.watchersIn("doto") {
 		for _, name := range f.dcs["doto"] {
--- a/core/spread/fleet_test.go
+++ b/core/spread/fleet_test.go
@@ -23,7 +23,7 @@
 	// stale is an old listing of the store, and staleAt its revision.
 	stale   []Entry
 	staleAt uint64
-	// trace, if set, sees all actions.
+	// trace, if set, is called with all actions.
 	trace func(name string, now time.Time, actions []Action)
 }
 
@@ -31,23 +31,24 @@
 	f        *fleet
 	core     *Core
 	name, dc string
-	// cutFromStore hides the store's changes from the node.
+	// cutFromStore keeps the store's changes from the node.
 	cutFromStore bool
 	watching     bool
 	ready        []Ready
 	refused      []Refused
 	answered     []Answered
 	announced    []Announced
-	// fell counts deliveries that took a key back to a lower revision.
-	fell int
-	seen map[string]uint64
-	// arrived is when each revision was delivered.
-	arrived map[uint64]time.Time
-	// earlier makes the node treat questions as the version before merged answers did.
-	earlier bool
-	// patchless makes the others treat the node as one of the version before patches.
-	patchless bool
-	// due is when the core asked to be ticked.
+	// regressions counts deliveries that took a key back to a lower revision.
+	regressions  int
+	lastRevision map[string]uint64
+	// deliveredAt is when each revision was delivered.
+	deliveredAt map[uint64]time.Time
+	// legacyQuestions makes the node handle questions like the version before answers were
+	// merged.
+	legacyQuestions bool
+	// noPatches makes the others treat the node as one of the version before patches.
+	noPatches bool
+	// due is when the next Tick is due.
 	due time.Time
 }
 
@@ -59,7 +60,7 @@
 }
 
 func (n *node) Deliver(now time.Time, from string, m Message) {
-	if n.earlier && m.Kind == Ask {
+	if n.legacyQuestions && m.Kind == Ask {
 		for _, child := range n.core.children(m.Root) {
 			n.f.net.Send(n.name, child, m)
 		}
@@ -75,7 +76,7 @@
 		n.f.trace(n.name, now, actions)
 	}
 	for _, a := range actions {
-		n.carryOut(now, a)
+		n.do(now, a)
 	}
 	due := now.Add(n.core.Wake(now))
 	if n.due.IsZero() || due.Before(n.due) {
@@ -83,10 +84,10 @@
 	}
 }
 
-func (n *node) carryOut(now time.Time, action Action) {
+func (n *node) do(now time.Time, action Action) {
 	switch a := action.(type) {
 	case Send:
-		if to := n.f.nodes[a.To]; to != nil && to.patchless && a.Message.Kind == Patched {
+		if to := n.f.nodes[a.To]; to != nil && to.noPatches && a.Message.Kind == Patched {
 			n.step(now, Unread(a))
 			return
 		}
@@ -96,7 +97,7 @@
 	case Watch:
 		n.watching = a.On
 		if a.On && !n.cutFromStore {
-			n.f.net.After(2*time.Millisecond, func() { n.readWhole() })
+			n.f.net.After(2*time.Millisecond, func() { n.readStore() })
 		}
 	case Ready:
 		n.ready = append(n.ready, a)
@@ -113,32 +114,32 @@
 
 func (n *node) deliver(now time.Time, entries []Entry) {
 	for _, e := range entries {
-		if e.Revision < n.seen[e.Key] {
-			n.fell++
+		if e.Revision < n.lastRevision[e.Key] {
+			n.regressions++
 		}
-		n.seen[e.Key] = e.Revision
-		n.arrived[e.Revision] = now
+		n.lastRevision[e.Key] = e.Revision
+		n.deliveredAt[e.Revision] = now
 	}
 }
 
-// readWhole hands the node all that the store holds.
-func (n *node) readWhole() {
+// readStore gives the node all records of the store.
+func (n *node) readStore() {
 	if n.f.nodes[n.name] != n {
 		return
 	}
-	n.step(n.f.net.Now(), FromStore{Entries: n.f.whole(), Whole: true, Upto: n.f.rev})
+	n.step(n.f.net.Now(), FromStore{Entries: n.f.storeEntries(), Whole: true, Upto: n.f.rev})
 }
 
-func (f *fleet) whole() []Entry {
+func (f *fleet) storeEntries() []Entry {
 	list := make([]Entry, 0, len(f.store))
 	for _, e := range f.store {
 		list = append(list, e)
 	}
-	byUrgency(list)
+	sortByUrgency(list)
 	return list
 }
 
-func calm() simnet.Config {
+func reliable() simnet.Config {
 	return simnet.Config{Tick: 10 * time.Millisecond, MinDelay: 300 * time.Microsecond, MaxDelay: time.Millisecond}
 }
 
@@ -155,14 +156,14 @@
 			f.start(name, dc, 1)
 		}
 	}
-	f.tellMembers()
+	f.sendMembersToAll()
 	f.net.Run(3 * time.Second)
 	return f
 }
 
-func (f *fleet) start(name, dc string, life uint64) *node {
-	n := &node{f: f, name: name, dc: dc, seen: map[string]uint64{}, arrived: map[uint64]time.Time{}}
-	n.core = New(f.cfg, name, dc, life, rand.New(rand.NewPCG(f.seed, uint64(len(f.nodes))+life<<32)))
+func (f *fleet) start(name, dc string, incarnation uint64) *node {
+	n := &node{f: f, name: name, dc: dc, lastRevision: map[string]uint64{}, deliveredAt: map[uint64]time.Time{}}
+	n.core = New(f.cfg, name, dc, incarnation, rand.New(rand.NewPCG(f.seed, uint64(len(f.nodes))+incarnation<<32)))
 	f.nodes[name] = n
 	f.net.Add(name, n)
 	return n
@@ -185,15 +186,15 @@
 	return names
 }
 
-func (f *fleet) tellMembers() {
+func (f *fleet) sendMembersToAll() {
 	for _, name := range f.names() {
 		if n := f.nodes[name]; n != nil {
-			f.tell(n)
+			f.sendMembers(n)
 		}
 	}
 }
 
-func (f *fleet) tell(n *node) {
+func (f *fleet) sendMembers(n *node) {
 	m := Members{Home: slices.Clone(f.dcs[n.dc])}
 	for _, dc := range f.dcNames() {
 		if dc != n.dc {
@@ -203,21 +204,21 @@
 	n.step(f.net.Now(), m)
 }
 
-// kill ends a router; the member view changes only with forget.
+// kill ends a router. The member view changes only with removeMembers.
 func (f *fleet) kill(name string) {
 	f.net.Kill(name)
 	delete(f.nodes, name)
 }
 
-// forget takes a killed router out of the member view.
-func (f *fleet) forget(names ...string) {
+// removeMembers removes killed routers from the member view.
+func (f *fleet) removeMembers(names ...string) {
 	for dc, list := range f.dcs {
 		f.dcs[dc] = slices.DeleteFunc(list, func(n string) bool { return slices.Contains(names, n) })
 	}
-	f.tellMembers()
+	f.sendMembersToAll()
 }
 
-// write changes a key in the store; the watchers see it a little later.
+// write changes a key in the store. The watchers see the change a little later.
 func (f *fleet) write(key string, class Class, value string) uint64 {
 	f.rev++
 	e := Entry{Key: key, Revision: f.rev, Class: class, Value: []byte(value)}
@@ -239,7 +240,7 @@
 // behind returns the routers whose records differ from the store's.
 func (f *fleet) behind() []string {
 	reference := New(f.cfg, "reference", "none", 1, rand.New(rand.NewPCG(1, 1)))
-	reference.Step(epoch, FromStore{Entries: f.whole()})
+	reference.Step(epoch, FromStore{Entries: f.storeEntries()})
 	var list []string
 	for _, name := range f.names() {
 		if n := f.nodes[name]; n != nil && n.core.Digest() != reference.Digest() {
@@ -249,5 +250,5 @@
 	return list
 }
 
-// anyRand returns a source of randomness for cores whose choices do not matter.
-func anyRand() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
+// fixedRand returns a source of randomness for cores whose choices do not matter.
+func fixedRand() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
--- a/core/spread/join.go
+++ b/core/spread/join.go
@@ -2,56 +2,55 @@
 
 import "time"
 
-// join is the way of a newcomer to a whole view.
+// join is the progress of a starting router towards a complete view.
 type join struct {
 	done bool
-	// asked is when peers were last asked, offers how many answered since.
-	asked  time.Time
-	offers int
-	// best is the peer with the highest revision so far.
-	best    string
-	bestMax uint64
-	// from is the peer whose snapshot is under way, after the last key received.
-	from  string
-	after string
-	heard time.Time
+	// askedAt is when peers were last asked, offers the number of answers since.
+	askedAt time.Time
+	offers  int
+	// bestPeer is the peer with the highest revision so far, bestMax.
+	bestPeer string
+	bestMax  uint64
+	// source is the peer whose snapshot is being received, afterKey the last key received.
+	source     string
+	afterKey   string
+	lastPartAt time.Time
 }
 
-// tickJoin asks peers for their revision, waits for a few answers and takes the
-// snapshot of the best one.
+// tickJoin asks peers for their revision, waits for a few answers and requests the snapshot of
+// the peer with the highest revision.
 //
-// What goes wrong otherwise: a router restarts while the store is down, takes
-// its records from a peer that was cut off for an hour, and works with a
-// revision below the one that it had in force before. Asking several and taking
-// the highest makes that need all of them to be behind.
+// With only one peer, a router that restarts while the store is unreachable could take its
+// records from a peer that was cut off for an hour, and work with a lower revision than before
+// its restart. With several peers this happens only if all of them are behind.
 func (c *Core) tickJoin() {
 	j := &c.join
 	if j.done || len(c.members.Home) == 0 {
 		return
 	}
-	if j.from != "" {
-		if c.now.Sub(j.heard) >= c.cfg.JoinWait {
+	if j.source != "" {
+		if c.now.Sub(j.lastPartAt) >= c.cfg.JoinTimeout {
 			*j = join{}
 		}
 		return
 	}
-	if j.asked.IsZero() {
+	if j.askedAt.IsZero() {
 		c.queryPeers()
 		return
 	}
-	if c.now.Sub(j.asked) < c.cfg.JoinWait && j.offers < c.cfg.JoinPeers {
+	if c.now.Sub(j.askedAt) < c.cfg.JoinTimeout && j.offers < c.cfg.JoinPeers {
 		return
 	}
-	if j.best == "" {
-		j.asked = time.Time{}
+	if j.bestPeer == "" {
+		j.askedAt = time.Time{}
 		return
 	}
-	j.from = j.best
+	j.source = j.bestPeer
 	c.requestPart()
 }
 
 func (c *Core) queryPeers() {
-	c.join.asked = c.now
+	c.join.askedAt = c.now
 	c.join.offers = 0
 	names := c.members.Home
 	sent := 0
@@ -64,25 +63,25 @@
 	}
 }
 
-// receiveOffer notes the revision of a peer that holds a whole view itself.
+// receiveOffer records the revision of a peer that has a complete view itself.
 func (c *Core) receiveOffer(from string, m *Message) {
 	j := &c.join
 	if j.done || !m.Done {
 		return
 	}
 	j.offers++
-	if j.best == "" || m.Max > j.bestMax {
-		j.best, j.bestMax = from, m.Max
+	if j.bestPeer == "" || m.Max > j.bestMax {
+		j.bestPeer, j.bestMax = from, m.Max
 	}
 }
 
 func (c *Core) requestPart() {
-	c.join.heard = c.now
-	c.send(c.join.from, Message{Kind: SnapshotRequest, After: c.join.after})
+	c.join.lastPartAt = c.now
+	c.send(c.join.source, Message{Kind: SnapshotRequest, After: c.join.afterKey})
 }
 
-// sendSnapshot sends the next part of all records. The newcomer asks for each
-// part, so that it sets the pace.
+// sendSnapshot sends the next part of all records. The receiver requests each part, so that it
+// sets the pace.
 func (c *Core) sendSnapshot(to, after string) {
 	if !c.join.done {
 		return
@@ -98,24 +97,24 @@
 
 func (c *Core) receiveSnapshot(from string, m *Message) {
 	c.merge(m.Entries)
-	if c.join.done || from != c.join.from {
+	if c.join.done || from != c.join.source {
 		return
 	}
 	if m.Done {
-		c.joined(from)
+		c.finishJoin(from)
 		return
 	}
 	if len(m.Entries) > 0 {
-		c.join.after = m.Entries[len(m.Entries)-1].Key
+		c.join.afterKey = m.Entries[len(m.Entries)-1].Key
 	}
 	c.requestPart()
 }
 
-// joined reports that the view is whole.
-func (c *Core) joined(from string) {
+// finishJoin reports that the view is complete.
+func (c *Core) finishJoin(from string) {
 	if c.join.done {
 		return
 	}
 	c.join = join{done: true}
-	c.out = append(c.out, Ready{From: from, Revision: c.table.max})
+	c.actions = append(c.actions, Ready{From: from, Revision: c.table.max})
 }
--- a/core/spread/merge.go
+++ b/core/spread/merge.go
@@ -2,11 +2,11 @@
 
 import "strings"
 
-// merge takes in records and returns those that are news. A record with a
-// revision at or below the held one is dropped, whoever offers it: an older
-// peer, a store that answers late or a peer that came back from a partition.
+// merge stores the records that are newer than those held and returns them. A record with a
+// revision at or below the held one is dropped, whether it comes from an older peer, a store
+// that answers late or a peer that returns from a partition.
 func (c *Core) merge(entries []Entry) []Entry {
-	var news []Entry
+	var newer []Entry
 	before := c.table.sum
 	for _, e := range entries {
 		if !c.table.newer(&e) || !c.fits(&e) {
@@ -15,67 +15,67 @@
 		if e.Deleted {
 			e.Value = nil
 		}
-		older := c.olderValue(&e)
-		c.table.put(e).older = older
-		news = append(news, e)
+		older := c.replacedVersion(&e)
+		c.table.put(e).previous = older
+		newer = append(newer, e)
 	}
-	if len(news) == 0 {
+	if len(newer) == 0 {
 		return nil
 	}
-	byUrgency(news)
-	c.past.add(before, c.now)
-	c.out = append(c.out, Deliver{Entries: news})
-	return news
+	sortByUrgency(newer)
+	c.recentSums.add(before, c.now)
+	c.actions = append(c.actions, Deliver{Entries: newer})
+	return newer
 }
 
-// fits keeps memory within its bounds. A record that does not fit is reported,
-// not dropped in silence.
+// fits checks a record against the bounds on memory. A record that does not fit is reported,
+// not silently dropped.
 func (c *Core) fits(e *Entry) bool {
 	if e.Key == "" || len(e.Value) > c.cfg.MaxValue {
-		c.out = append(c.out, Refused{Key: e.Key, Size: e.size()})
+		c.actions = append(c.actions, Refused{Key: e.Key, Size: e.size()})
 		return false
 	}
 	h := c.table.byKey[e.Key]
-	grow := e.size()
+	growth := e.size()
 	if h != nil {
-		grow -= h.size()
+		growth -= h.size()
 	}
-	if h == nil && len(c.table.byKey) >= c.cfg.MaxEntries || grow > 0 && c.table.bytes+grow > c.cfg.MaxBytes {
-		c.out = append(c.out, Refused{Key: e.Key, Size: e.size()})
+	if h == nil && len(c.table.byKey) >= c.cfg.MaxEntries || growth > 0 && c.table.bytes+growth > c.cfg.MaxBytes {
+		c.actions = append(c.actions, Refused{Key: e.Key, Size: e.size()})
 		return false
 	}
 	return true
 }
 
-// fromStore takes in what this router read or wrote and passes news on as the
-// root of its own tree.
+// fromStore merges records that this router read or wrote and passes on those that are newer,
+// as the root of its own tree.
 func (c *Core) fromStore(e *FromStore) {
 	entries := e.Entries
 	if e.Whole {
-		entries = append(entries[:len(entries):len(entries)], c.missing(e)...)
+		entries = append(entries[:len(entries):len(entries)], c.deletedSince(e)...)
 	} else {
-		entries = c.hold.admit(entries, c.now, c.cfg.HoldEvery)
+		entries = c.limiter.admit(entries, c.now, c.cfg.MinChangeInterval)
 	}
 	c.relay(c.self, c.merge(entries))
 	if e.Whole && e.Prefix == c.cfg.Prefix {
-		c.joined("")
+		c.finishJoin("")
 	}
 }
 
-// missing returns the ends of keys that the store no longer holds. Keys written
-// after the list was read are left alone.
-func (c *Core) missing(e *FromStore) []Entry {
+// deletedSince returns deletions of the keys that the store no longer has. Keys written after
+// the list was read are not deleted.
+func (c *Core) deletedSince(e *FromStore) []Entry {
 	present := make(map[string]bool, len(e.Entries))
 	for i := range e.Entries {
 		present[e.Entries[i].Key] = true
 	}
-	var gone []Entry
+	var deletions []Entry
 	for _, h := range c.table.sorted("", e.Prefix) {
 		if !present[h.Key] && !h.Deleted && h.Revision < e.Upto && strings.HasPrefix(h.Key, e.Prefix) {
-			gone = append(gone, Entry{Key: h.Key, Class: h.Class, Revision: e.Upto, Deleted: true})
+			deletions = append(deletions, Entry{Key: h.Key, Class: h.Class, Revision: e.Upto, Deleted: true})
 		}
 	}
-	return gone
+	return deletions
 }
 
 func (c *Core) receive(from string, m *Message) {
@@ -111,21 +111,21 @@
 	}
 }
 
-// receiveDelta merges records and passes them on down the same tree, also those
-// that came by the other tree before: each tree is to be whole by itself, so
-// that one lost inner node costs nobody the change.
+// receiveDelta merges records and passes them on down the same tree, even if they already came
+// by another tree: each tree must be complete by itself, so that the loss of one inner node
+// keeps a change from nobody.
 func (c *Core) receiveDelta(m *Message) {
 	c.merge(m.Entries)
 	c.relay(m.Root, m.Entries)
 }
 
-// receiveFill merges records that came outside a tree and passes news on down
-// the trees: whoever missed a change was to hand it on, so those below missed it
-// too. A watcher does the same as the root of its own tree with what came from
-// another data centre while this one cannot reach the store.
+// receiveFill merges records that came outside a tree and passes the newer ones on down the
+// trees: a router that missed a change did not pass it on, so the routers below it missed it
+// too. A watcher also does this, as the root of its own tree, with records from another data
+// centre while its own cannot reach the store.
 func (c *Core) receiveFill(m *Message) {
-	news := c.merge(m.Entries)
-	for _, root := range c.watchersOf(c.dc, c.members.Home, c.states) {
-		c.relay(root, news)
+	newer := c.merge(m.Entries)
+	for _, root := range c.watchersOf(c.dc, c.members.Home, c.storeStates) {
+		c.relay(root, newer)
 	}
 }
--- a/core/spread/message.go
+++ b/core/spread/message.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Class orders records by urgency: a lower value goes first.
+// Class orders records by urgency: records of a lower class are sent first.
 type Class uint8
 
 // The classes.
@@ -15,13 +15,12 @@
 // Entry is one record of the store.
 type Entry struct {
 	Key string
-	// Revision is the store's; a record with a lower one never replaces one with a
-	// higher.
+	// Revision is the store's revision. A record never replaces one with a higher revision.
 	Revision uint64
 	Class    Class
-	// Deleted marks the end of a key; Value is then empty.
+	// Deleted marks a deleted key; Value is then empty.
 	Deleted bool
-	// Value must not be changed by anyone once it is in an Entry.
+	// Value must not be modified once it is in an Entry.
 	Value []byte
 }
 
@@ -35,36 +34,36 @@
 	KindUnknown Kind = iota
 	// Delta carries records down the tree of Root.
 	Delta
-	// Digest offers the sum over all records; a receiver whose own differs answers
-	// with Groups, the sum of each group; Have lists revisions within one group;
-	// Want names keys by hash; Fill carries records outside any tree.
+	// Digest carries the digest of all records. A receiver whose own differs answers with
+	// Groups, the digest of each group. Have lists the revisions within one group, Want
+	// requests keys by hash, and Fill carries records outside any tree.
 	Digest
 	Groups
 	Have
 	Want
 	Fill
-	// Query asks for a Digest answer, marked by Reply.
+	// Query asks for a Digest in reply, which has Reply set.
 	Query
-	// SnapshotRequest asks for records with keys above After, and Snapshot carries
-	// them in order of key; Done marks the last part.
+	// SnapshotRequest requests records with keys above After. Snapshot carries them in order
+	// of key; Done marks the last part.
 	SnapshotRequest
 	Snapshot
-	// StoreState goes down the tree of Root and says whether it reaches the store.
+	// StoreState goes down the tree of Root and says whether Root reaches the store.
 	StoreState
-	// Ask goes down the tree of Root and asks every router to send its Rows to
-	// ReplyTo. Where Reply is set each router sends those of its whole branch.
+	// Ask goes down the tree of Root and asks every router to send its Rows to ReplyTo. If
+	// Reply is set, each router sends those of its whole subtree.
 	Ask
 	Rows
-	// Notice goes down the tree of Root and carries what it announces as the value of its
-	// only entry; Seq orders the notices of a Life.
+	// Notice goes down the tree of Root and carries the announced value in its only entry. Seq
+	// orders the notices within a Life.
 	Notice
-	// Patched carries records down the tree of Root as patches of what the receiver is
-	// likely to hold. Who doesn't hold it asks for the whole records with Want.
+	// Patched carries records down the tree of Root as patches against a revision that the
+	// receiver probably holds. A receiver that doesn't hold it requests the full records with
+	// Want.
 	Patched
 )
 
-// Message is what routers of this protocol say to each other. Fields that a kind
-// does not need are zero.
+// Message is a message between routers. Fields that a kind does not use are zero.
 type Message struct {
 	Kind Kind
 	// Root is the router whose tree the message goes down.
@@ -78,15 +77,15 @@
 	Reply bool
 	// Sums are the digests of all groups, in order.
 	Sums []uint64
-	// Group is the subject of Have, Items the revisions held in it.
+	// Group is the group that Have describes, Items the revisions in it.
 	Group uint32
 	Items []Item
-	// Hashes name the keys of a Want.
+	// Hashes are the hashes of the keys of a Want.
 	Hashes []uint64
-	// After and Done belong to snapshots.
+	// After and Done are used by snapshots.
 	After string
 	Done  bool
-	// Up belongs to StoreState.
+	// Up is used by StoreState.
 	Up      bool
 	ReplyTo string
 	Rows    []Row
@@ -94,25 +93,25 @@
 	Patches []Patch
 }
 
-// Patch is a record as a patch of an older revision of it.
+// Patch is a record in the form of a patch against an older revision.
 type Patch struct {
 	Key      string
 	Revision uint64
 	Class    Class
-	// Base is the revision that Bytes are to be applied to, Sum the checksum of the
-	// whole value that must come out.
+	// Base is the revision that Bytes apply to, Sum the checksum of the resulting value.
 	Base  uint64
 	Sum   uint64
 	Bytes []byte
 }
 
-// Item is the revision held of one key.
+// Item is the revision of one key.
 type Item struct {
 	Hash     uint64
 	Revision uint64
 }
 
-// Row says what one router has in force, for how long, and who reports it.
+// Row says which revision one router has in force and for how long, and which router reports
+// it.
 type Row struct {
 	Router     string
 	DataCentre string
--- a/core/spread/notice_test.go
+++ b/core/spread/notice_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// heard returns how often each router was handed each announcement.
-func (f *fleet) heard() map[string]map[string]int {
+// noticeCounts returns how often each router received each announced value.
+func (f *fleet) noticeCounts() map[string]map[string]int {
 	out := map[string]map[string]int{}
 	for name, n := range f.nodes {
 		out[name] = map[string]int{}
@@ -34,7 +34,7 @@
 		f.net.Run(300 * time.Millisecond)
 	}
 	missed := 0
-	for name, got := range f.heard() {
+	for name, got := range f.noticeCounts() {
 		for i := range 20 {
 			n := got[fmt.Sprint(i)]
 			assert.Assert(t, n <= 1, "%s was handed notice %d %d times", name, i, n)
@@ -44,22 +44,20 @@
 			assert.Assert(t, n == 0 || f.nodes[name].dc == "doto" && name != root, name)
 		}
 	}
-	// Messages are lost on the way, and nobody repeats a notice.
+	// Messages are lost on the way, and notices are not repeated.
 	assert.Assert(t, missed < 20*49/4, "%d missed", missed)
 	assert.Assert(t, sent <= 20*49, "%d messages", sent)
 }
 
-// Symptom: routers act on a list of long ago after a watcher was suspended or replaced.
-// Sequence: a notice is held up, a later one overtakes it; the router restarts, and a
-// notice of its former life arrives.
-// Cause: notices are taken in the order in which they arrive.
+// Notices must be ordered by incarnation and sequence, not by arrival. Otherwise a notice that
+// was delayed, or one of an earlier instance of its sender, would replace a later one.
 func TestAnOlderNoticeIsDropped(t *testing.T) {
-	f := newFleet(DefaultConfig(), calm(), 42, 10, "doto")
+	f := newFleet(DefaultConfig(), reliable(), 42, 10, "doto")
 	n := f.nodes[f.dcs["doto"][0]]
 	root := f.dcs["doto"][1]
-	got := func(life, seq uint64) int {
+	got := func(incarnation, seq uint64) int {
 		n.announced = nil
-		m := Message{Kind: Notice, Root: root, Life: life, Seq: seq, Entries: []Entry{{Value: []byte("x")}}}
+		m := Message{Kind: Notice, Root: root, Life: incarnation, Seq: seq, Entries: []Entry{{Value: []byte("x")}}}
 		n.step(f.net.Now(), Received{From: root, Message: m})
 		return len(n.announced)
 	}
--- a/core/spread/patch.go
+++ b/core/spread/patch.go
@@ -14,20 +14,21 @@
 	value    []byte
 }
 
-// maxWanted bounds the keys of which it is remembered when they were asked for.
-const maxWanted = 1024
+// maxRequested bounds the keys in Core.requestedAt.
+const maxRequested = 1024
 
-// size is what a patch counts for in the bounds on messages.
+// size is the size that counts towards the bounds on messages.
 func (p *Patch) size() int { return len(p.Key) + len(p.Bytes) }
 
-// patchable says whether the record may travel as a patch. Ownership records are small,
-// and each is written by itself.
+// patchable reports whether the record may be sent as a patch. Ownership records are never:
+// they are small, and each is written separately.
 func (c *Core) patchable(e *Entry) bool {
-	return e.Class == Configuration && !e.Deleted && len(e.Value) >= c.cfg.PatchAbove
+	return e.Class == Configuration && !e.Deleted && len(e.Value) >= c.cfg.MinPatchValue
 }
 
-// olderValue returns what is kept of a record's present value once e replaces it.
-func (c *Core) olderValue(e *Entry) version {
+// replacedVersion returns the version of a record to keep when e replaces it, or an empty
+// version if the value is not to be kept.
+func (c *Core) replacedVersion(e *Entry) version {
 	h := c.table.byKey[e.Key]
 	if h == nil || !c.patchable(&h.Entry) || !c.patchable(e) {
 		return version{}
@@ -35,23 +36,23 @@
 	return version{h.Revision, h.Value}
 }
 
-// value returns the record's value at a revision, where it is still held.
+// valueAt returns the record's value at a revision, or nil if it is no longer held.
 //
-// What goes wrong with the present one alone: the watchers hold back different changes
-// of a burst, so that a router which has a change by one tree gets a patch of the
-// revision before by the other, and would ask for the whole record.
-func (h *held) value(revision uint64) []byte {
+// The current value alone is not enough: the watchers delay different changes of a burst, so
+// that a router which got a change by one tree may get a patch against the previous revision
+// by the other, and would request the full record.
+func (h *record) valueAt(revision uint64) []byte {
 	switch revision {
 	case h.Revision:
 		return h.Value
-	case h.older.revision:
-		return h.older.value
+	case h.previous.revision:
+		return h.previous.value
 	}
 	return nil
 }
 
-// flushPatches sends the records of an outbox that can go as patches and returns their
-// bytes. They are few and small, so that they don't wait for the whole ones.
+// flushPatches sends the records of an outbox that can be sent as patches and returns the size
+// of the patches. Patches are few and small, so they are sent before full records.
 func (c *Core) flushPatches(b *outbox) int {
 	var patches []Patch
 	b.entries = slices.DeleteFunc(b.entries, func(e Entry) bool {
@@ -73,19 +74,19 @@
 	return total
 }
 
-// patchOf returns a record as it came as a patch, or as one of the value that it replaced
-// here: those below most likely hold that one. It goes whole where there is none, and
-// where the patch is not smaller.
+// patchOf returns a patch for a record: the one by which the record came, or one against the
+// value that it replaced here, which the routers below most likely hold. It returns false, and
+// the record is sent in full, if there is no replaced value or the patch is not smaller.
 func (c *Core) patchOf(e *Entry) (Patch, bool) {
 	h := c.table.byKey[e.Key]
-	if h == nil || h.Revision != e.Revision || h.older.value == nil {
+	if h == nil || h.Revision != e.Revision || h.previous.value == nil {
 		return Patch{}, false
 	}
 	if h.patch.Revision == e.Revision {
 		return h.patch, true
 	}
-	p := Patch{Key: e.Key, Revision: e.Revision, Class: e.Class, Base: h.older.revision}
-	p.Sum, p.Bytes = patch.Sum(e.Value), patch.Make(h.older.value, e.Value)
+	p := Patch{Key: e.Key, Revision: e.Revision, Class: e.Class, Base: h.previous.revision}
+	p.Sum, p.Bytes = patch.Sum(e.Value), patch.Make(h.previous.value, e.Value)
 	if p.size() >= e.size() {
 		return Patch{}, false
 	}
@@ -93,40 +94,41 @@
 	return p, true
 }
 
-// receivePatches merges records that came as patches and passes them on down the same
-// tree. What cannot be applied is asked for whole; it then goes on down the trees as
-// everything that came outside them.
+// receivePatches merges records that came as patches and passes them on down the same tree. If
+// a patch cannot be applied, the full record is requested, which is then passed on as any
+// record that comes outside a tree.
 func (c *Core) receivePatches(from string, m *Message) {
 	var entries []Entry
 	var want []uint64
 	for i := range m.Patches {
 		p := &m.Patches[i]
-		e, ok := c.unpatch(from, p)
+		e, ok := c.applyPatch(from, p)
 		if ok {
 			entries = append(entries, e)
-		} else if hash := xxhash.Sum64String(p.Key); c.mayWant(hash) {
+		} else if hash := xxhash.Sum64String(p.Key); c.mayRequest(hash) {
 			want = append(want, hash)
 		}
 	}
 	if len(want) > 0 {
 		c.send(from, Message{Kind: Want, Hashes: want})
 	}
-	c.adopt(m.Patches, c.merge(entries))
+	c.keepPatches(m.Patches, c.merge(entries))
 	c.relay(m.Root, entries)
 }
 
-// adopt keeps the patches of which news came, so that they go on as they came.
-func (c *Core) adopt(patches []Patch, news []Entry) {
-	for i := range news {
-		at := slices.IndexFunc(patches, func(p Patch) bool { return p.Key == news[i].Key && p.Revision == news[i].Revision })
-		c.table.byKey[news[i].Key].patch = patches[at]
+// keepPatches keeps the patches by which newer records came, so that they are passed on
+// unchanged.
+func (c *Core) keepPatches(patches []Patch, newer []Entry) {
+	for i := range newer {
+		at := slices.IndexFunc(patches, func(p Patch) bool { return p.Key == newer[i].Key && p.Revision == newer[i].Revision })
+		c.table.byKey[newer[i].Key].patch = patches[at]
 	}
 }
 
-// unpatch returns the record that a patch describes. A patch is applied to its base and
-// to nothing else, and what comes out must have its checksum; of one whose revision is
-// not news here nothing is taken but the revision, so that the record goes on.
-func (c *Core) unpatch(from string, p *Patch) (Entry, bool) {
+// applyPatch returns the record that a patch describes. A patch is applied only to its base,
+// and the result must have its checksum. If the record's revision is not newer than the one
+// held, the returned record has no value; it only names the revision to pass on.
+func (c *Core) applyPatch(from string, p *Patch) (Entry, bool) {
 	e := Entry{Key: p.Key, Revision: p.Revision, Class: p.Class}
 	h := c.table.byKey[p.Key]
 	if h != nil && h.Revision >= p.Revision {
@@ -134,36 +136,37 @@
 	}
 	var base []byte
 	if h != nil && !h.Deleted {
-		base = h.value(p.Base)
+		base = h.valueAt(p.Base)
 	}
 	if base == nil {
-		c.out = append(c.out, Unpatched{Key: p.Key, From: from})
+		c.actions = append(c.actions, Unpatched{Key: p.Key, From: from})
 		return e, false
 	}
 	value, err := patch.Apply(base, p.Bytes, c.cfg.MaxValue)
 	if err != nil || patch.Sum(value) != p.Sum {
-		c.out = append(c.out, Unpatched{Key: p.Key, From: from, Wrong: true})
+		c.actions = append(c.actions, Unpatched{Key: p.Key, From: from, Wrong: true})
 		return e, false
 	}
 	e.Value = value
 	return e, true
 }
 
-// mayWant spaces the questions for one record: both trees bring the same patch.
-func (c *Core) mayWant(hash uint64) bool {
-	if at, asked := c.wanted[hash]; asked && c.now.Sub(at) < c.cfg.Quiet {
+// mayRequest limits requests for the same record to one per Quiet, because both trees bring
+// the same patch.
+func (c *Core) mayRequest(hash uint64) bool {
+	if at, asked := c.requestedAt[hash]; asked && c.now.Sub(at) < c.cfg.Quiet {
 		return false
 	}
-	if len(c.wanted) >= maxWanted {
-		clear(c.wanted)
+	if len(c.requestedAt) >= maxRequested {
+		clear(c.requestedAt)
 	}
-	c.wanted[hash] = c.now
+	c.requestedAt[hash] = c.now
 	return true
 }
 
-// sendWhole sends a router that doesn't read patches the whole records instead, down
-// the same tree.
-func (c *Core) sendWhole(to string, m *Message) {
+// sendFullRecords sends the full records, down the same tree, to a router that doesn't support
+// patches.
+func (c *Core) sendFullRecords(to string, m *Message) {
 	var entries []Entry
 	for i := range m.Patches {
 		if h := c.table.byKey[m.Patches[i].Key]; h != nil {
--- a/core/spread/property_test.go
+++ b/core/spread/property_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// trouble drives one random history of faults and writes against a fleet.
-func trouble(t *rapid.T, f *fleet, steps int) {
+// runFaults applies a random sequence of faults and writes to a fleet.
+func runFaults(t *rapid.T, f *fleet, steps int) {
 	all := f.names()
 	for i := range steps {
 		name := all[rapid.IntRange(0, len(all)-1).Draw(t, "router")]
@@ -36,7 +36,7 @@
 			n := f.nodes[name]
 			n.step(f.net.Now(), FromStore{Entries: f.stale, Whole: true, Upto: f.staleAt})
 		case 6:
-			f.stale, f.staleAt = f.whole(), f.rev
+			f.stale, f.staleAt = f.storeEntries(), f.rev
 		}
 		for range rapid.IntRange(0, 5).Draw(t, "writes") {
 			key := fmt.Sprint("config/", rapid.IntRange(0, 4).Draw(t, "key"))
@@ -46,26 +46,26 @@
 	}
 }
 
-// restart replaces a router by a blank one.
-func (f *fleet) restart(name string, life uint64) {
+// restart replaces a router by a new instance without records.
+func (f *fleet) restart(name string, incarnation uint64) {
 	old := f.nodes[name]
-	n := f.start(name, old.dc, life)
+	n := f.start(name, old.dc, incarnation)
 	n.cutFromStore = old.cutFromStore
-	f.tell(n)
+	f.sendMembers(n)
 }
 
-// Whatever happened, no router of any life ever goes back on a key, and once it
-// is over all hold what the store holds.
-func TestRoutersAgreeAfterAnyTroubleAndNeverGoBack(t *testing.T) {
+// No instance of a router ever goes back to a lower revision of a key, whatever the faults,
+// and after they end all routers hold the store's records.
+func TestRoutersConvergeAfterFaultsAndNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFleet(DefaultConfig(), lossy(), rapid.Uint64().Draw(rt, "seed"), 6, "doto", "visayas")
-		trouble(rt, f, rapid.IntRange(1, 10).Draw(rt, "steps"))
+		runFaults(rt, f, rapid.IntRange(1, 10).Draw(rt, "steps"))
 		f.net.Blocked = nil
 		for _, name := range f.names() {
 			n := f.nodes[name]
 			n.cutFromStore = false
 			if n.watching {
-				n.readWhole()
+				n.readStore()
 			}
 		}
 		f.net.Run(10 * time.Second)
@@ -73,7 +73,7 @@
 			rt.Fatalf("behind: %v", behind)
 		}
 		for _, name := range f.names() {
-			if f.nodes[name].fell > 0 {
+			if f.nodes[name].regressions > 0 {
 				rt.Fatalf("%s went back", name)
 			}
 			if len(f.nodes[name].ready) == 0 {
@@ -83,7 +83,7 @@
 	})
 }
 
-// The running digests must equal those computed from scratch.
+// The incrementally updated digests must equal those computed from scratch.
 func TestRunningSumsAreExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kept := newTable(8)
@@ -104,10 +104,10 @@
 	})
 }
 
-// Every router must be reached by the tree of every root, whatever the size.
+// The tree of every root must reach every router, whatever the size.
 func TestTreesReachEveryone(t *testing.T) {
 	for _, size := range []int{1, 2, 5, 6, 40, 401} {
-		f := newFleet(DefaultConfig(), calm(), uint64(size), size, "doto")
+		f := newFleet(DefaultConfig(), reliable(), uint64(size), size, "doto")
 		for _, root := range []string{f.dcs["doto"][0], f.dcs["doto"][size-1]} {
 			reached := map[string]int{root: 1}
 			queue := []string{root}
@@ -142,7 +142,7 @@
 	}
 	lost := f.watchersIn("doto")[0]
 	f.kill(lost)
-	f.forget(lost)
+	f.removeMembers(lost)
 	f.restart(f.dcs["doto"][3], 2)
 	f.net.Run(3 * time.Second)
 	return fmt.Sprintf("%x", h.Sum64())
--- a/core/spread/ask_test.go
+++ b/core/spread/question_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// ask has a router ask all and returns what it learnt within d, and how many messages
-// with answers came to it.
+// ask makes a router ask all others. It returns the rows received within d, and how many
+// messages brought them.
 func (f *fleet) ask(asker string, seq uint64, d time.Duration) (found map[string]Row, messages int) {
 	n := f.nodes[asker]
 	n.answered = nil
@@ -24,11 +24,10 @@
 	return found, messages
 }
 
-// Symptom: asking for all revisions in force keeps a router busy for a quarter of a second.
-// Sequence: 5,600 routers answer one, each by itself.
-// Cause: answers are not merged on their way.
+// Answers must be merged on their way up the tree. Without that, an asker got one message from
+// each of 5,600 routers and was busy with them for a quarter of a second.
 func TestAnswersOfAllRoutersComeMerged(t *testing.T) {
-	f := newFleet(DefaultConfig(), calm(), 17, 100, "doto", "nemuro", "visayas")
+	f := newFleet(DefaultConfig(), reliable(), 17, 100, "doto", "nemuro", "visayas")
 	most := map[string]int{}
 	f.net.OnSend = func(_, to string, m Message) {
 		if m.Kind == Rows {
@@ -47,55 +46,55 @@
 		assert.Assert(t, n <= f.cfg.Fanout+2, "%d messages to %s", n, name)
 	}
 	again, _ := f.ask(asker, 5, 200*time.Millisecond)
-	assert.Equal(t, len(again), 299, "and again")
+	assert.Equal(t, len(again), 299, "all but the asker answer again")
 	for name, n := range f.nodes {
-		assert.Equal(t, len(n.core.inquiries), 0, name)
+		assert.Equal(t, len(n.core.questions), 0, name)
 	}
 }
 
-// Symptom: one dead router keeps the answers of all others from who asked.
-// Sequence: inner nodes of the asker's tree die; all are asked before anyone knows.
-// Cause: a router waits for answers that never come.
-func TestSilentRoutersHoldNobodyUp(t *testing.T) {
-	f := newFleet(DefaultConfig(), calm(), 18, 300, "doto")
+// Dead routers must not hold back the answers of all others. The routers die before the
+// question is sent and are still in the member view, so that other routers wait for answers
+// that never come.
+func TestSilentRoutersDoNotDelayOtherAnswers(t *testing.T) {
+	f := newFleet(DefaultConfig(), reliable(), 18, 300, "doto")
 	asker := f.dcs["doto"][0]
-	order := f.nodes[asker].core.order(asker)
+	order := f.nodes[asker].core.treeOrder(asker)
 	below := f.nodes[order[1]].core
-	branch, height := below.branch(asker)
+	subtree, height := below.subtree(asker)
 	leaf := ""
-	for name := range branch {
+	for name := range subtree {
 		if len(f.nodes[name].core.children(asker)) == 0 {
 			leaf = name
 		}
 	}
 	f.kill(leaf)
-	// The bound of the asker's own child: a step for each level below it.
-	found, _ := f.ask(asker, 1, time.Duration(height)*f.cfg.AskStep+20*time.Millisecond)
-	assert.Equal(t, len(found), 298, "all but the asker and the dead one")
+	// The longest wait of the asker's own child: AnswerWaitPerLevel for each level below it.
+	found, _ := f.ask(asker, 1, time.Duration(height)*f.cfg.AnswerWaitPerLevel+20*time.Millisecond)
+	assert.Equal(t, len(found), 298, "all but the asker and the dead router answer")
 	inner := order[2]
-	lost, _ := f.nodes[inner].core.branch(asker)
+	lost, _ := f.nodes[inner].core.subtree(asker)
 	f.kill(inner)
-	found, _ = f.ask(asker, 2, time.Duration(height+1)*f.cfg.AskStep)
+	found, _ = f.ask(asker, 2, time.Duration(height+1)*f.cfg.AnswerWaitPerLevel)
 	for name := range f.nodes {
 		_, answered := found[name]
 		assert.Equal(t, answered, name != asker && !lost[name], name)
 	}
 }
 
-// Symptom: routers of an earlier version, or all below them, are missing in the answers
-// while a fleet is brought up to date.
-// Sequence: an earlier version asks, or passes a question on without collecting answers.
-// Cause: a new field is taken for granted.
+// During an upgrade, routers of an earlier version and the routers below them must not be
+// missing from the answers. An earlier version asks without Reply, or passes a question on
+// without collecting answers.
 func TestAnEarlierVersionAsksAndPassesOn(t *testing.T) {
-	f := newFleet(DefaultConfig(), calm(), 19, 60, "doto")
+	f := newFleet(DefaultConfig(), reliable(), 19, 60, "doto")
 	asker := f.dcs["doto"][3]
-	order := f.nodes[asker].core.order(asker)
-	// An earlier version passes the question on as it came, and its branch answers past it.
+	order := f.nodes[asker].core.treeOrder(asker)
+	// An earlier version passes the question on unchanged, and its subtree answers the asker
+	// directly.
 	for _, name := range order[1:] {
-		f.nodes[name].earlier = true
+		f.nodes[name].legacyQuestions = true
 		found, _ := f.ask(asker, 1, 90*time.Millisecond)
 		assert.Equal(t, len(found), 59, "%s of an earlier version", name)
-		f.nodes[name].earlier = false
+		f.nodes[name].legacyQuestions = false
 	}
 
 	n := f.nodes[asker]
@@ -109,16 +108,15 @@
 		assert.Equal(t, a.Seq, uint64(7))
 		from[a.From] = true
 	}
-	assert.Equal(t, len(from), 59, "each answers an earlier version by itself")
+	assert.Equal(t, len(from), 59, "each router answers an earlier version directly")
 }
 
-// Symptom: answers pile up in a router's memory.
-// Sequence: more questions at once than a router collects answers for.
-// Cause: no bound.
-func TestQuestionsBeyondTheBoundAreAnsweredAllTheSame(t *testing.T) {
+// The number of questions for which a router collects answers is bounded, so that its memory
+// is. Questions beyond the bound must still be answered.
+func TestQuestionsBeyondTheBoundAreStillAnswered(t *testing.T) {
 	cfg := DefaultConfig()
-	cfg.MaxAsks = 3
-	f := newFleet(cfg, calm(), 20, 60, "doto")
+	cfg.MaxQuestions = 3
+	f := newFleet(cfg, reliable(), 20, 60, "doto")
 	var askers []*node
 	for _, name := range f.dcs["doto"][:40] {
 		askers = append(askers, f.nodes[name])
@@ -127,7 +125,7 @@
 		n.step(f.net.Now(), AskAll{Seq: 1})
 	}
 	held := 0
-	f.net.OnSend = func(_, to string, _ Message) { held = max(held, len(f.nodes[to].core.inquiries)) }
+	f.net.OnSend = func(_, to string, _ Message) { held = max(held, len(f.nodes[to].core.questions)) }
 	f.net.Run(300 * time.Millisecond)
 	for _, n := range askers {
 		found := map[string]Row{}
@@ -136,5 +134,5 @@
 		}
 		assert.Equal(t, len(found), 59, n.name)
 	}
-	assert.Assert(t, held > 0 && held <= f.cfg.MaxAsks, "%d questions held", held)
+	assert.Assert(t, held > 0 && held <= f.cfg.MaxQuestions, "%d questions collected at once", held)
 }
--- a/core/spread/reconcile.go
+++ b/core/spread/reconcile.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// pastSums are the digests that this router held lately. A peer that holds one
-// of them is not behind: the change is still on its way to it.
-type pastSums struct {
-	sums [64]pastSum
+// sumHistory holds the last digests of this router and when each was replaced. A peer that
+// still has one of them is not behind: the change is still on its way to it.
+type sumHistory struct {
+	sums [64]replacedSum
 	next int
 }
 
-type pastSum struct {
+type replacedSum struct {
 	sum   uint64
 	until time.Time
 }
 
-func (p *pastSums) add(sum uint64, until time.Time) {
-	p.sums[p.next] = pastSum{sum, until}
+func (p *sumHistory) add(sum uint64, until time.Time) {
+	p.sums[p.next] = replacedSum{sum, until}
 	p.next = (p.next + 1) % len(p.sums)
 }
 
-// has says whether sum was held at some time after since.
-func (p *pastSums) has(sum uint64, since time.Time) bool {
+// heldSince reports whether this router had the digest sum at some time after since.
+func (p *sumHistory) heldSince(sum uint64, since time.Time) bool {
 	for i := range p.sums {
 		if p.sums[i].sum == sum && p.sums[i].until.After(since) {
 			return true
@@ -29,8 +29,8 @@
 	return false
 }
 
-// sendDigest offers this router's digest. It is what finds a change that a lost
-// inner node or a dropped message kept from part of the tree.
+// sendDigest sends this router's digest. It finds changes that did not reach part of the tree
+// because of a lost inner node or a dropped message.
 func (c *Core) sendDigest(to string) {
 	c.send(to, Message{Kind: Digest, Sum: c.table.sum, Max: c.table.max})
 }
@@ -63,17 +63,16 @@
 		c.receiveOffer(from, m)
 		return
 	}
-	if m.Sum == c.table.sum || c.past.has(m.Sum, c.now.Add(-c.cfg.Quiet)) {
+	if m.Sum == c.table.sum || c.recentSums.heldSince(m.Sum, c.now.Add(-c.cfg.Quiet)) {
 		return
 	}
 	c.send(from, Message{Kind: Groups, Sum: c.table.sum, Sums: c.table.sums()})
 }
 
-// receiveGroups lists what is held in some of the groups that differ. The rest
-// is left to the next rounds, so that two very different routers do not flood
-// each other.
+// receiveGroups lists the revisions in some of the groups that differ. The other groups are
+// left to later rounds, so that two very different routers do not flood each other.
 func (c *Core) receiveGroups(from string, m *Message) {
-	if len(m.Sums) != len(c.table.groups) || c.past.has(m.Sum, c.now.Add(-c.cfg.Quiet)) {
+	if len(m.Sums) != len(c.table.groups) || c.recentSums.heldSince(m.Sum, c.now.Add(-c.cfg.Quiet)) {
 		return
 	}
 	left := c.cfg.MaxGroups
@@ -90,7 +89,7 @@
 	}
 }
 
-// receiveHave sends what the other lacks and asks for what this router lacks.
+// receiveHave sends the records that the peer lacks and requests those that this router lacks.
 func (c *Core) receiveHave(from string, m *Message) {
 	if int(m.Group) >= len(c.table.groups) {
 		return
@@ -126,10 +125,10 @@
 	c.sendFill(from, fill)
 }
 
-// sendFill sends records, ownership first, up to the bound of one tick. What is
-// left the next round finds.
+// sendFill sends records, ownership first, up to the limit for one tick. Later rounds find the
+// remaining ones.
 func (c *Core) sendFill(to string, entries []Entry) {
-	byUrgency(entries)
+	sortByUrgency(entries)
 	budget := c.cfg.MaxFlush
 	for len(entries) > 0 && budget > 0 {
 		n, size := chunk(entries, c.cfg.MaxMessage)
@@ -139,18 +138,18 @@
 	}
 }
 
-// repairDigests offers this router's digest to its parents in the trees of the
-// watchers, shortly after a member was lost.
+// repairDigests sends this router's digest to its parents in the trees of the watchers,
+// shortly after a member was lost.
 //
-// What goes wrong otherwise: an inner node dies and the changes of the time until
-// that is known never reach those below it, until a random exchange finds them.
-// The parents of the repaired tree are the ones who would have sent them.
+// When an inner node dies, changes sent before its loss is known don't reach the routers below
+// it. Without this, they would only be found by a random exchange. The parents in the repaired
+// tree are the routers that should have sent them.
 func (c *Core) repairDigests() {
 	if c.repairDue.IsZero() || c.now.Before(c.repairDue) {
 		return
 	}
 	c.repairDue = time.Time{}
-	for _, root := range c.watchersOf(c.dc, c.members.Home, c.states) {
+	for _, root := range c.watchersOf(c.dc, c.members.Home, c.storeStates) {
 		c.sendDigest(c.parent(root))
 	}
 }
--- a/core/spread/spread_test.go
+++ b/core/spread/spread_test.go
@@ -9,19 +9,19 @@
 )
 
 func TestAChangeReachesEveryRouter(t *testing.T) {
-	f := newFleet(DefaultConfig(), calm(), 1, 40, "doto", "visayas")
+	f := newFleet(DefaultConfig(), reliable(), 1, 40, "doto", "visayas")
 	rev := f.write("config/a", Configuration, "one")
 	written := f.net.Now()
 	f.net.Run(200 * time.Millisecond)
 	assert.Equal(t, len(f.behind()), 0)
 	for _, name := range f.names() {
-		took := f.nodes[name].arrived[rev].Sub(written)
+		took := f.nodes[name].deliveredAt[rev].Sub(written)
 		assert.Assert(t, took > 0 && took < 100*time.Millisecond, "%s took %s", name, took)
 	}
 }
 
 func TestOnlyTheWatchersOfEachDataCentreWatch(t *testing.T) {
-	f := newFleet(DefaultConfig(), calm(), 2, 40, "doto", "visayas")
+	f := newFleet(DefaultConfig(), reliable(), 2, 40, "doto", "visayas")
 	watching := map[string]int{}
 	for _, n := range f.nodes {
 		if n.watching {
@@ -32,7 +32,7 @@
 }
 
 func TestABurstArrivesWhole(t *testing.T) {
-	f := newFleet(DefaultConfig(), calm(), 3, 40, "doto")
+	f := newFleet(DefaultConfig(), reliable(), 3, 40, "doto")
 	for i := range 50 {
 		f.write(fmt.Sprintf("config/%02d", i%20), Configuration, fmt.Sprint("change ", i))
 		f.net.Run(20 * time.Millisecond)
--- a/core/spread/table.go
+++ b/core/spread/table.go
@@ -10,23 +10,22 @@
 	"tarragongw/core/digest"
 )
 
-// held is a record with what the protocol keeps about it.
-type held struct {
+// record is a stored entry with the protocol's state for it.
+type record struct {
 	Entry
 	hash uint64
-	// relayed names the trees down which this revision went already.
+	// relayed names the roots of the trees down which this revision was already sent.
 	relayed []string
-	// older is the value that this one replaced, and patch the last patch that was made
-	// of one or received.
-	older version
-	patch Patch
+	// previous is the version that this one replaced. patch is the last patch that was
+	// received or made for the record.
+	previous version
+	patch    Patch
 }
 
-// table holds the newest revision known of each key, with a digest for each
-// group of keys.
+// table holds the newest known revision of each key, with a digest for each group of keys.
 type table struct {
-	byKey  map[string]*held
-	byHash map[uint64]*held
+	byKey  map[string]*record
+	byHash map[uint64]*record
 	groups []group
 	sum    uint64
 	max    uint64
@@ -36,42 +35,42 @@
 // group holds the keys of one digest, sorted by hash.
 type group struct {
 	sum  uint64
-	keys []*held
+	keys []*record
 }
 
 func newTable(groups int) *table {
-	return &table{byKey: map[string]*held{}, byHash: map[uint64]*held{}, groups: make([]group, groups)}
+	return &table{byKey: map[string]*record{}, byHash: map[uint64]*record{}, groups: make([]group, groups)}
 }
 
-func (h *held) digest() uint64 { return digest.Mix(h.hash ^ digest.Mix(h.Revision)) }
+func (h *record) digest() uint64 { return digest.Mix(h.hash ^ digest.Mix(h.Revision)) }
 
 func (t *table) groupOf(hash uint64) *group { return &t.groups[hash%uint64(len(t.groups))] }
 
-// newer says whether e is news.
+// newer reports whether e is newer than the record held.
 func (t *table) newer(e *Entry) bool {
 	h := t.byKey[e.Key]
 	return h == nil || e.Revision > h.Revision
 }
 
-// put stores a record that is news.
-func (t *table) put(e Entry) *held {
+// put stores an entry that is newer than the record held.
+func (t *table) put(e Entry) *record {
 	h := t.byKey[e.Key]
 	if h == nil {
 		h = t.add(e.Key)
 	} else {
-		t.toggle(h)
+		t.toggleDigest(h)
 		t.bytes -= h.size()
 	}
 	h.Entry = e
 	h.relayed = nil
-	t.toggle(h)
+	t.toggleDigest(h)
 	t.bytes += h.size()
 	t.max = max(t.max, e.Revision)
 	return h
 }
 
-func (t *table) add(key string) *held {
-	h := &held{hash: xxhash.Sum64String(key)}
+func (t *table) add(key string) *record {
+	h := &record{hash: xxhash.Sum64String(key)}
 	t.byKey[key] = h
 	t.byHash[h.hash] = h
 	g := t.groupOf(h.hash)
@@ -80,10 +79,10 @@
 	return h
 }
 
-func compareHash(h *held, hash uint64) int { return cmp.Compare(h.hash, hash) }
+func compareHash(h *record, hash uint64) int { return cmp.Compare(h.hash, hash) }
 
-// toggle adds h to the digests or takes it out.
-func (t *table) toggle(h *held) {
+// toggleDigest adds h to the digests, or removes it if it is included.
+func (t *table) toggleDigest(h *record) {
 	d := h.digest()
 	g := t.groupOf(h.hash)
 	t.sum ^= digest.Mix(g.sum)
@@ -100,7 +99,7 @@
 	return list
 }
 
-// items returns the revisions held in a group.
+// items returns the revisions in a group.
 func (t *table) items(g uint32) []Item {
 	list := make([]Item, 0, len(t.groups[g].keys))
 	for _, h := range t.groups[g].keys {
@@ -109,21 +108,21 @@
 	return list
 }
 
-// sorted returns all records whose key lies above after and has the prefix, in
-// order of key.
-func (t *table) sorted(after, prefix string) []*held {
-	var list []*held
+// sorted returns all records whose key is greater than after and has the prefix, in order of
+// key.
+func (t *table) sorted(after, prefix string) []*record {
+	var list []*record
 	for _, h := range t.byKey {
 		if h.Key > after && strings.HasPrefix(h.Key, prefix) {
 			list = append(list, h)
 		}
 	}
-	slices.SortFunc(list, func(a, b *held) int { return strings.Compare(a.Key, b.Key) })
+	slices.SortFunc(list, func(a, b *record) int { return strings.Compare(a.Key, b.Key) })
 	return list
 }
 
-// byUrgency sorts records: ownership first, then by revision and key.
-func byUrgency(list []Entry) {
+// sortByUrgency sorts entries by class, then by revision and key.
+func sortByUrgency(list []Entry) {
 	slices.SortFunc(list, func(a, b Entry) int {
 		if a.Class != b.Class {
 			return cmp.Compare(a.Class, b.Class)
--- a/core/spread/tree.go
+++ b/core/spread/tree.go
@@ -6,20 +6,20 @@
 	"tarragongw/core/rendezvous"
 )
 
-// outbox holds the records that wait to go down one tree.
+// outbox holds the records that are queued to be sent down one tree.
 type outbox struct {
 	root    string
 	entries []Entry
 }
 
-// maxTrees bounds the trees that are kept: those of the watchers and of routers
-// that wrote something lately.
+// maxTrees bounds the trees that are cached: those of the watchers and of routers that
+// recently wrote something.
 const maxTrees = 16
 
-// children returns this router's children in the tree of root. All routers with
-// the same view order the members alike, by weight for the root, and the order
-// read as a heap is the tree; a lost member drops out of the order and the tree
-// is whole again.
+// children returns this router's children in the tree of root. All routers with the same
+// member view put the members in the same order, by rendezvous weight for the root, and that
+// order, read as a heap, is the tree. If a member is lost, it drops out of the order, which
+// repairs the tree.
 func (c *Core) children(root string) []string {
 	if list, ok := c.trees[root]; ok {
 		return list
@@ -33,7 +33,7 @@
 }
 
 func (c *Core) buildChildren(root string) []string {
-	order := c.order(root)
+	order := c.treeOrder(root)
 	at := slices.Index(order, c.self)
 	if at < 0 {
 		return nil
@@ -43,15 +43,16 @@
 	return order[first:last]
 }
 
-// order returns the members as the tree of root numbers them, root first.
-func (c *Core) order(root string) []string {
+// treeOrder returns the members in the order of the tree of root, root first.
+func (c *Core) treeOrder(root string) []string {
 	rest := slices.DeleteFunc(slices.Clone(c.members.Home), func(n string) bool { return n == root })
 	return append([]string{root}, rendezvous.Order("tree\x00"+root, rest)...)
 }
 
-// parent returns this router's parent in the tree of root, or nothing for root.
+// parent returns this router's parent in the tree of root, or an empty string for the root
+// itself.
 func (c *Core) parent(root string) string {
-	order := c.order(root)
+	order := c.treeOrder(root)
 	at := slices.Index(order, c.self)
 	if at <= 0 {
 		return ""
@@ -59,7 +60,7 @@
 	return order[(at-1)/c.cfg.Fanout]
 }
 
-// relay files records to go down the tree of root, each revision once.
+// relay queues records to be sent down the tree of root, each revision once.
 func (c *Core) relay(root string, entries []Entry) {
 	if len(entries) == 0 || len(c.children(root)) == 0 {
 		return
@@ -76,17 +77,17 @@
 }
 
 func (c *Core) outboxOf(root string) *outbox {
-	for i := range c.pending {
-		if c.pending[i].root == root {
-			return &c.pending[i]
+	for i := range c.outboxes {
+		if c.outboxes[i].root == root {
+			return &c.outboxes[i]
 		}
 	}
-	c.pending = append(c.pending, outbox{root: root})
-	return &c.pending[len(c.pending)-1]
+	c.outboxes = append(c.outboxes, outbox{root: root})
+	return &c.outboxes[len(c.outboxes)-1]
 }
 
-// add files a record in place of an older revision of its key that still waits:
-// a burst of changes to one key is sent once.
+// add queues a record, in place of an older revision of its key that is still queued: a burst
+// of changes to one key is sent once.
 func (b *outbox) add(e Entry) {
 	for i := range b.entries {
 		if b.entries[i].Key == e.Key {
@@ -97,25 +98,25 @@
 	b.entries = append(b.entries, e)
 }
 
-// flush sends what waits, at most once a tick and within the bound on bytes,
-// ownership first. The rest stays for the next tick.
+// flush sends the queued records, at most once a tick and up to MaxFlush bytes, ownership
+// first. The rest stays queued for the next tick.
 func (c *Core) flush() {
-	if len(c.pending) == 0 || c.now.Sub(c.flushed) < c.cfg.Tick {
+	if len(c.outboxes) == 0 || c.now.Sub(c.lastFlush) < c.cfg.Tick {
 		return
 	}
-	c.flushed = c.now
+	c.lastFlush = c.now
 	var kept []outbox
-	for i := range c.pending {
-		if b := &c.pending[i]; c.flushOne(b) {
+	for i := range c.outboxes {
+		if b := &c.outboxes[i]; c.flushOutbox(b) {
 			kept = append(kept, *b)
 		}
 	}
-	c.pending = kept
+	c.outboxes = kept
 }
 
-// flushOne sends one outbox and says whether something is left in it.
-func (c *Core) flushOne(b *outbox) bool {
-	byUrgency(b.entries)
+// flushOutbox sends the records of one outbox and reports whether some are left.
+func (c *Core) flushOutbox(b *outbox) bool {
+	sortByUrgency(b.entries)
 	sent, budget := 0, c.cfg.MaxFlush-c.flushPatches(b)
 	for sent < len(b.entries) && budget > 0 {
 		n, size := chunk(b.entries[sent:], min(c.cfg.MaxMessage, budget))
@@ -130,8 +131,7 @@
 	return len(b.entries) > 0
 }
 
-// chunk returns how many of the records fit into limit bytes, at least one, and
-// their size.
+// chunk returns how many of the records fit into limit bytes, at least one, and their size.
 func chunk[T any, P interface {
 	*T
 	size() int
@@ -147,29 +147,28 @@
 	return n, size
 }
 
-// setMembers takes in a new member view: trees change, and the watchers with
-// them.
+// setMembers handles a new member view, from which the trees and the watchers follow.
 func (c *Core) setMembers(m Members) {
-	if c.repairDue.IsZero() && lostAny(c.members.Home, m.Home) {
-		c.repairDue = c.now.Add(c.cfg.RepairAfter)
+	if c.repairDue.IsZero() && anyMissing(c.members.Home, m.Home) {
+		c.repairDue = c.now.Add(c.cfg.RepairDelay)
 	}
 	c.members = m
 	clear(c.trees)
-	for name := range c.noticed {
+	for name := range c.lastNotice {
 		if _, ok := slices.BinarySearch(m.Home, name); !ok {
-			delete(c.noticed, name)
+			delete(c.lastNotice, name)
 		}
 	}
-	for name := range c.states {
+	for name := range c.storeStates {
 		if _, ok := slices.BinarySearch(m.Home, name); !ok {
-			delete(c.states, name)
+			delete(c.storeStates, name)
 		}
 	}
-	c.decideWatch()
+	c.updateWatch()
 }
 
-// lostAny says whether a name of the sorted list before is missing from after.
-func lostAny(before, after []string) bool {
+// anyMissing reports whether a name of the sorted list before is missing from after.
+func anyMissing(before, after []string) bool {
 	for _, name := range before {
 		if _, ok := slices.BinarySearch(after, name); !ok {
 			return true
--- a/core/spread/wake_test.go
+++ b/core/spread/wake_test.go
@@ -18,14 +18,14 @@
 	c.Step(now, FromStore{Whole: true})
 	assert.Assert(t, c.Joined())
 	c.watching = false
-	now = now.Add(cfg.DigestEvery)
+	now = now.Add(cfg.DigestInterval)
 	c.Step(now, Tick{})
 	assert.Assert(t, c.Wake(now) > cfg.Tick)
 	digest := now.Add(c.Wake(now))
 	assert.Equal(t, len(c.Step(digest.Add(-time.Millisecond), Tick{})), 0)
 	assert.Equal(t, len(c.Step(digest, Tick{})), 1)
 
-	// The first change leaves at once; one that comes within the same tick waits for it.
+	// The first change is sent at once; one that comes within the same tick waits for the next.
 	entry := func(n uint64) FromStore {
 		return FromStore{Entries: []Entry{{Key: "k", Revision: n, Class: Ownership}}}
 	}
@@ -35,5 +35,5 @@
 	c.Step(digest.Add(2*cfg.Tick), Tick{})
 	assert.Assert(t, c.Wake(digest.Add(2*cfg.Tick)) > cfg.Tick)
 	c.Step(digest.Add(3*cfg.Tick), Members{Home: []string{"b", "c"}})
-	assert.Assert(t, c.Wake(digest.Add(3*cfg.Tick)) <= cfg.RepairAfter, "a member was lost")
+	assert.Assert(t, c.Wake(digest.Add(3*cfg.Tick)) <= cfg.RepairDelay, "a member was lost")
 }
--- a/core/spread/watch.go
+++ b/core/spread/watch.go
@@ -6,7 +6,7 @@
 	"tarragongw/core/rendezvous"
 )
 
-// watchersOf returns the routers of a data centre that are to watch the store.
+// watchersOf returns the routers of a data centre that should watch the store.
 func (c *Core) watchersOf(dc string, live []string, states map[string]storeState) []string {
 	order := rendezvous.Top("watch\x00"+dc, c.cfg.Candidates, live)
 	up := make([]string, 0, len(order))
@@ -18,43 +18,43 @@
 		}
 		up = append(up, name)
 	}
-	// Where all candidates lost the store, the first ones go on trying: a store
-	// outage must not make every router of the data centre call it.
+	// If no candidate reaches the store, the first ones keep trying: a store outage must not
+	// make every router of the data centre call the store.
 	all := append(up, down...)
 	return all[:min(c.cfg.Watchers, len(all))]
 }
 
-// decideWatch takes on or gives up the duty to watch. A lost watcher is
-// replaced by the next in order as soon as the member view says so.
-func (c *Core) decideWatch() {
-	on := slices.Contains(c.watchersOf(c.dc, c.members.Home, c.states), c.self)
+// updateWatch starts or stops watching the store according to the member view. A lost watcher
+// is replaced by the next router in order as soon as the member view says that it is lost.
+func (c *Core) updateWatch() {
+	on := slices.Contains(c.watchersOf(c.dc, c.members.Home, c.storeStates), c.self)
 	if on == c.watching {
 		return
 	}
 	c.watching = on
-	c.out = append(c.out, Watch{On: on})
+	c.actions = append(c.actions, Watch{On: on})
 }
 
-// storeReached tells the data centre when this router loses the store or
-// reaches it again, so that another candidate takes over.
+// storeReached tells the data centre that this router lost the store or reaches it again, so
+// that the next candidate takes over.
 func (c *Core) storeReached(up bool) {
 	if up == c.storeUp {
 		return
 	}
 	c.storeUp = up
 	c.storeSeq++
-	m := Message{Kind: StoreState, Root: c.self, Life: c.life, Seq: c.storeSeq, Up: up}
+	m := Message{Kind: StoreState, Root: c.self, Life: c.incarnation, Seq: c.storeSeq, Up: up}
 	c.receiveStoreState(&m)
 }
 
 func (c *Core) receiveStoreState(m *Message) {
-	old, ok := c.states[m.Root]
-	if ok && (m.Life < old.life || m.Life == old.life && m.Seq <= old.seq) {
+	old, ok := c.storeStates[m.Root]
+	if ok && (m.Life < old.incarnation || m.Life == old.incarnation && m.Seq <= old.seq) {
 		return
 	}
-	c.states[m.Root] = storeState{life: m.Life, seq: m.Seq, down: !m.Up}
+	c.storeStates[m.Root] = storeState{incarnation: m.Life, seq: m.Seq, down: !m.Up}
 	for _, child := range c.children(m.Root) {
 		c.send(child, *m)
 	}
-	c.decideWatch()
+	c.updateWatch()
 }
