--- a/core/spread/changelimiter_test.go
+++ b/core/spread/changelimiter_test.go
@@ -51,7 +51,7 @@
 }
 
 // A change that a watcher delays must reach all routers even if that watcher dies, and the
-// other one too.
+// other one too, although nobody else has it yet.
 func TestADelayedChangeSurvivesItsWatchers(t *testing.T) {
 	f := newFleet(DefaultConfig(), reliable(), 53, 40, "doto")
 	watchers := f.watchersIn("doto")
