--- a/core/confirm/world_test.go
+++ b/core/confirm/world_test.go
@@ -30,7 +30,7 @@
 }
 
 func lossyWorld(seed int64, routers, perRelay int, rule confirm.Omitted, loss float64) *ownershiptest.World {
-	opt := ownershiptest.Options{Seed: seed, ReplyLoss: loss, Routers: routers, Detect: 280 * ms, RequestEvery: 25 * ms,
+	opt := ownershiptest.Options{Seed: seed, ReplyLoss: loss, Routers: routers, DetectAfter: 280 * ms, RequestEvery: 25 * ms,
 		Services: []ownership.ServiceSpec{{Name: "faq", HashSlots: 8}},
 		Keeper: func(self ownership.Router) ownership.Config {
 			return ownership.Config{Self: self, DataCentre: "dc1", HandBackAfter: 1500 * ms}
@@ -64,7 +64,7 @@
 		w.Run(4 * time.Second)
 		_, after := w.StoreCalls()
 		assert.Assert(t, after-before <= 4*26, "%d routers: %d reads in 4 s", routers, after-before)
-		assert.Equal(t, len(w.Asked), 0)
+		assert.Equal(t, len(w.PromiseRequests), 0)
 	}
 }
 
@@ -87,10 +87,10 @@
 				w := world(3, 4, perRelay, confirm.OmitNone)
 				relay, _ := runUntilSettled(t, w)
 				own := grantorTargets(w, relay)
-				before := len(w.Asked)
+				before := len(w.PromiseRequests)
 				fault(w, relay)
 				w.Run(800 * ms)
-				assert.Equal(t, askedByOthers(w, before, own), 0, "%v", w.Asked[before:])
+				assert.Equal(t, askedByOthers(w, before, own), 0, "%v", w.PromiseRequests[before:])
 				w.Run(6 * time.Second)
 				assert.Equal(t, len(w.Violations), 0, "%v", w.Violations)
 				assert.Equal(t, len(w.Unserved(time.Second)), 0)
@@ -101,7 +101,7 @@
 		w := world(3, 4, 150, confirm.OmitFallback)
 		relay, _ := runUntilSettled(t, w)
 		own := grantorTargets(w, relay)
-		before := len(w.Asked)
+		before := len(w.PromiseRequests)
 		w.KillRouter(relay, 0)
 		w.Run(800 * ms)
 		assert.Assert(t, askedByOthers(w, before, own) > 0)
@@ -123,7 +123,7 @@
 // given targets.
 func askedByOthers(w *ownershiptest.World, since int, except map[string]bool) int {
 	n := 0
-	for _, target := range w.Asked[since:] {
+	for _, target := range w.PromiseRequests[since:] {
 		if !except[target] {
 			n++
 		}
@@ -167,7 +167,7 @@
 	case 7:
 		w.OutageOfStore(f.duration)
 	case 8:
-		w.Island(relay, f.duration)
+		w.IsolateRouter(relay, f.duration)
 	}
 }
 
--- a/core/ownership/event.go
+++ b/core/ownership/event.go
@@ -27,14 +27,14 @@
 	// Leaving are those of Live that are about to stop. They keep their duties and are given
 	// no new ones.
 	Leaving []Router
-	// Elsewhere are the other data centres.
-	Elsewhere []FarDataCentre
+	// OtherDataCentres are the other data centres.
+	OtherDataCentres []RemoteDataCentre
 }
 
-// FarDataCentre is another data centre. CutOff is set by the membership once it has had no
+// RemoteDataCentre is another data centre. CutOff is set by the membership once it has had no
 // sign of that data centre for long, neither directly nor through a third one; it stays
 // false while this router suspects that it is cut off itself.
-type FarDataCentre struct {
+type RemoteDataCentre struct {
 	Name   string
 	CutOff bool
 }
--- a/core/ownership/fault_test.go
+++ b/core/ownership/fault_test.go
@@ -35,7 +35,7 @@
 		Keeper: func(self ownership.Router) ownership.Config {
 			return ownership.Config{Self: self, DataCentre: "dc1", HandBackAfter: 1500 * ms}.Without(rule)
 		},
-		Detect: 280 * ms, RequestEvery: 15 * ms}
+		DetectAfter: 280 * ms, RequestEvery: 15 * ms}
 }
 
 // fault is one generated fault, or an operator's request.
@@ -75,13 +75,13 @@
 	case 6, 7:
 		for _, u := range w.Units() {
 			if w.Owner(u) == target {
-				w.Request(ownership.Move{Unit: u, From: target, To: fmt.Sprintf("t%d", f.b)})
+				w.RequestMoves(ownership.Move{Unit: u, From: target, To: fmt.Sprintf("t%d", f.b)})
 			}
 		}
 	case 8:
 		w.PauseRouter(w.Grantor(target), f.duration)
 	case 9:
-		w.Island(w.Grantor(target), f.duration)
+		w.IsolateRouter(w.Grantor(target), f.duration)
 	case 10:
 		isolateGrantorWithStore(w, w.Grantor(target), f.duration)
 	}
--- a/core/ownership/gate.go
+++ b/core/ownership/gate.go
@@ -56,10 +56,10 @@
 // Table returns the ownership that the gate checks against.
 func (g *Gate) Table() *Table { return g.table }
 
-// Lapsed reports whether the right to send to the target has expired by this router's clock
+// Expired reports whether the right to send to the target has expired by this router's clock
 // and was neither renewed nor given up in an orderly way. This is the state of a router
 // that was suspended and has not yet processed the end of its right.
-func (g *Gate) Lapsed(now time.Duration, target string) bool {
+func (g *Gate) Expired(now time.Duration, target string) bool {
 	if g == nil {
 		return false
 	}
--- a/core/ownership/keeper.go
+++ b/core/ownership/keeper.go
@@ -236,7 +236,7 @@
 		k.liveSet[r] = true
 	}
 	k.noteLostRouters(now, liveBefore, wasLeaving)
-	k.setRemote(now, e.Elsewhere)
+	k.setRemote(now, e.OtherDataCentres)
 }
 
 func (k *Keeper) isLive(r Router) bool { return k.liveSet[r] }
--- a/core/ownership/loss_test.go
+++ b/core/ownership/loss_test.go
@@ -101,7 +101,7 @@
 func TestManyLossesThatOthersConfirmAreNotHeldUp(t *testing.T) {
 	for _, check := range grantChecks {
 		w := lossWorld(t, 3, check)
-		w.Track()
+		w.MeasureGaps()
 		for i := range 9 {
 			w.KillTarget(fmt.Sprint("t", i), 280*ms)
 		}
@@ -121,7 +121,7 @@
 // during the wait for the old authority.
 func TestTargetIsProbedDuringTheWait(t *testing.T) {
 	w := lossWorld(t, 3, model.GrantCheck{})
-	w.Track()
+	w.MeasureGaps()
 	w.KillRouter(w.Grantor("t0"), 0)
 	w.KillTarget("t0", time.Hour)
 	w.Run(3 * time.Second)
--- a/core/ownership/ownershiptest/check.go
+++ b/core/ownership/ownershiptest/check.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// Track starts to measure the longest time between two executions on each unit.
-func (w *World) Track() {
+// MeasureGaps starts to measure the longest time between two executions on each unit.
+func (w *World) MeasureGaps() {
 	for _, s := range w.served {
 		s.measuring, s.longestGap = true, 0
 	}
--- a/core/ownership/ownershiptest/fault.go
+++ b/core/ownership/ownershiptest/fault.go
@@ -131,8 +131,8 @@
 	w.after(d, func() { w.refusingWrites = false })
 }
 
-// Island cuts the connections of a router to the store and to all other routers for d.
-func (w *World) Island(i int, d time.Duration) {
+// IsolateRouter cuts the connections of a router to the store and to all other routers for d.
+func (w *World) IsolateRouter(i int, d time.Duration) {
 	w.CutStore(i, d)
 	w.CutPeers(i, d)
 }
@@ -166,8 +166,8 @@
 	}
 }
 
-// Request asks all routers for moves; the grantors of the targets perform them.
-func (w *World) Request(moves ...ownership.Move) {
+// RequestMoves asks all routers for moves; the grantors of the targets perform them.
+func (w *World) RequestMoves(moves ...ownership.Move) {
 	for _, r := range w.routers {
 		r.step(ownership.MovesRequested{Moves: moves})
 	}
--- a/core/ownership/ownershiptest/remote.go
+++ b/core/ownership/ownershiptest/remote.go
@@ -18,10 +18,10 @@
 
 // otherDataCentres is the router's view of the other data centres. A data centre is cut off
 // if no heartbeat of its routers has arrived within CutOff.
-func (r *router) otherDataCentres() []ownership.FarDataCentre {
-	var out []ownership.FarDataCentre
+func (r *router) otherDataCentres() []ownership.RemoteDataCentre {
+	var out []ownership.RemoteDataCentre
 	for _, dc := range r.world.opt.DataCentres {
-		if dc == r.dataCentre() || slices.ContainsFunc(out, func(f ownership.FarDataCentre) bool { return f.Name == dc }) {
+		if dc == r.dataCentre() || slices.ContainsFunc(out, func(f ownership.RemoteDataCentre) bool { return f.Name == dc }) {
 			continue
 		}
 		lastHeartbeat := time.Duration(-1)
@@ -30,7 +30,7 @@
 				lastHeartbeat = max(lastHeartbeat, at)
 			}
 		}
-		out = append(out, ownership.FarDataCentre{Name: dc, CutOff: lastHeartbeat < 0 || r.world.now-lastHeartbeat >= r.world.opt.CutOff})
+		out = append(out, ownership.RemoteDataCentre{Name: dc, CutOff: lastHeartbeat < 0 || r.world.now-lastHeartbeat >= r.world.opt.CutOff})
 	}
 	return out
 }
--- a/core/ownership/ownershiptest/world.go
+++ b/core/ownership/ownershiptest/world.go
@@ -22,8 +22,8 @@
 	Services []ownership.ServiceSpec
 	// Keeper returns a router's settings for its identity.
 	Keeper func(self ownership.Router) ownership.Config
-	// Detect is how long the membership takes to detect a loss or a return.
-	Detect time.Duration
+	// DetectAfter is how long the membership takes to detect a loss or a return.
+	DetectAfter time.Duration
 	// DataCentres, if set, are assigned to the routers in turn; otherwise all routers are in
 	// one data centre.
 	DataCentres []string
@@ -85,12 +85,12 @@
 	Moves int
 	// Reports are the reports of all routers, in order.
 	Reports []ownership.Report
-	// Asked are the targets of all requests for promises, in order.
-	Asked        []string
-	served       map[routing.Unit]*serviceTimes
-	highestToken map[routing.Unit]uint64
-	executed     map[assignment]bool
-	acknowledged []assignment
+	// PromiseRequests are the targets of all requests for promises, in order.
+	PromiseRequests []string
+	served          map[routing.Unit]*serviceTimes
+	highestToken    map[routing.Unit]uint64
+	executed        map[assignment]bool
+	acknowledged    []assignment
 }
 
 // serviceTimes records when a unit was served.
@@ -249,16 +249,16 @@
 		if o == r || !o.dead && !o.paused && r.world.hears(r.index, o.index) {
 			r.lastHeartbeatAt[o.index] = r.world.now
 		}
-		if at, ok := r.lastHeartbeatAt[o.index]; ok && r.world.now-at < r.world.opt.Detect && o.dataCentre() == r.dataCentre() {
+		if at, ok := r.lastHeartbeatAt[o.index]; ok && r.world.now-at < r.world.opt.DetectAfter && o.dataCentre() == r.dataCentre() {
 			live = append(live, o.self)
 			if o.leaving {
 				leaving = append(leaving, o.self)
 			}
 		}
 	}
-	next := ownership.Members{Live: live, Leaving: leaving, Elsewhere: r.otherDataCentres()}
+	next := ownership.Members{Live: live, Leaving: leaving, OtherDataCentres: r.otherDataCentres()}
 	same := slices.Equal(next.Live, r.members.Live) && slices.Equal(next.Leaving, r.members.Leaving) &&
-		slices.Equal(next.Elsewhere, r.members.Elsewhere)
+		slices.Equal(next.OtherDataCentres, r.members.OtherDataCentres)
 	if !same {
 		r.members = next
 		r.step(next)
@@ -399,7 +399,7 @@
 
 func (w *World) sendPeer(r *router, a ownership.SendPeer) {
 	if a.Message.Kind == ownershippb.Peer_PROMISE_REQUEST {
-		w.Asked = append(w.Asked, a.Message.Target)
+		w.PromiseRequests = append(w.PromiseRequests, a.Message.Target)
 	}
 	for _, o := range w.routers {
 		if o.self.Name != a.To.Name || !w.linked(r.index, o.index) || w.rand.Float64() < w.opt.ReplyLoss {
--- a/core/ownership/remote.go
+++ b/core/ownership/remote.go
@@ -43,7 +43,7 @@
 // times the number of live routers.
 const remoteScanInterval = time.Second
 
-func (k *Keeper) setRemote(now time.Duration, others []FarDataCentre) {
+func (k *Keeper) setRemote(now time.Duration, others []RemoteDataCentre) {
 	next := remoteState{dataCentres: make(map[string]*remoteDC, len(others)), sortedNames: []string{k.cfg.DataCentre}, scanPending: true}
 	for _, dc := range others {
 		f := k.remote.dataCentres[dc.Name]
--- a/core/ownership/remote_test.go
+++ b/core/ownership/remote_test.go
@@ -221,7 +221,7 @@
 	w.Run(3 * time.Second)
 	before := w.Moves
 	for _, u := range w.Units() {
-		w.Request(ownership.Move{Unit: u, From: "t0", To: "t1"})
+		w.RequestMoves(ownership.Move{Unit: u, From: "t0", To: "t1"})
 	}
 	w.Run(2 * time.Second)
 	assert.Assert(t, w.Moves > before && w.Moves <= before+len(w.Units()), "%d moves of %d units", w.Moves-before, len(w.Units()))
--- a/lab/ownmeasure/fleet.go
+++ b/lab/ownmeasure/fleet.go
@@ -82,7 +82,7 @@
 	for _, t := range lostTargets {
 		affected += len(owned(w, o.Targets[t].Name))
 	}
-	w.Track()
+	w.MeasureGaps()
 	before := w.Moves
 	for _, r := range rng.Perm(fleetSize)[:what.routers] {
 		w.KillRouter(r, 0)
--- a/lab/ownmeasure/history_test.go
+++ b/lab/ownmeasure/history_test.go
@@ -127,7 +127,7 @@
 		w.Run(150 * time.Millisecond)
 		for _, u := range w.Units() {
 			if rng.Intn(10) == 0 {
-				w.Request(ownership.Move{Unit: u, From: w.Owner(u), To: fmt.Sprintf("t%02d", rng.Intn(4))})
+				w.RequestMoves(ownership.Move{Unit: u, From: w.Owner(u), To: fmt.Sprintf("t%02d", rng.Intn(4))})
 			}
 		}
 		switch rng.Intn(8) {
@@ -138,7 +138,7 @@
 		case 2:
 			w.OutageOfStore(300 * time.Millisecond)
 		case 3:
-			w.Island(rng.Intn(routers), 400*time.Millisecond)
+			w.IsolateRouter(rng.Intn(routers), 400*time.Millisecond)
 		}
 	}
 	w.Run(3 * time.Second)
--- a/lab/ownmeasure/ownmeasure.go
+++ b/lab/ownmeasure/ownmeasure.go
@@ -78,9 +78,9 @@
 			Grants: check, Isolation: model.Isolation{Keep: true}, Weight: 1})
 	}
 	return ownershiptest.Options{Seed: seed, Routers: routers, Targets: targets,
-		Services: []ownership.ServiceSpec{{Name: "faq-viewer", HashSlots: slots}},
-		Keeper:   func(self ownership.Router) ownership.Config { return ownership.Config{Self: self, DataCentre: "dc1"} },
-		Detect:   detect, RequestEvery: every}
+		Services:    []ownership.ServiceSpec{{Name: "faq-viewer", HashSlots: slots}},
+		Keeper:      func(self ownership.Router) ownership.Config { return ownership.Config{Self: self, DataCentre: "dc1"} },
+		DetectAfter: detect, RequestEvery: every}
 }
 
 // loss is what happens in a trial to the target and its grantor.
@@ -142,7 +142,7 @@
 		}
 		target := fmt.Sprintf("t%02d", rng.Intn(targetCount))
 		affected := owned(w, target)
-		w.Track()
+		w.MeasureGaps()
 		l.strike(w, target)
 		w.Run(6 * time.Second)
 		unserved += len(w.Unserved(time.Second))
--- a/router/memberduty.go
+++ b/router/memberduty.go
@@ -236,7 +236,7 @@
 // other data centres are cut off.
 func (m *memberDuty) publishLive() {
 	owners := ownersOf(m.view.Load(), m.r.self.DataCentre)
-	owners.Elsewhere = elsewhereOf(m.view.Load(), m.r.self.DataCentre)
+	owners.OtherDataCentres = elsewhereOf(m.view.Load(), m.r.self.DataCentre)
 	m.r.owner.duty.Tell(owners)
 	m.r.confirms.membersChanged(owners)
 	m.r.records.membersChanged(m.view.Load())
@@ -261,12 +261,12 @@
 
 // elsewhereOf returns the other data centres. Of a router that doubts itself none is cut
 // off: it may be the one.
-func elsewhereOf(view *membership.View, dc string) []ownership.FarDataCentre {
+func elsewhereOf(view *membership.View, dc string) []ownership.RemoteDataCentre {
 	doubts, _ := view.Isolated()
-	var out []ownership.FarDataCentre
+	var out []ownership.RemoteDataCentre
 	for _, name := range view.DataCentres() {
 		if name != dc {
-			out = append(out, ownership.FarDataCentre{Name: name, CutOff: !doubts && !view.Up(name)})
+			out = append(out, ownership.RemoteDataCentre{Name: name, CutOff: !doubts && !view.Up(name)})
 		}
 	}
 	return out
--- a/router/serve.go
+++ b/router/serve.go
@@ -112,7 +112,7 @@
 	if !begun {
 		return r.maySend(u, job)
 	}
-	if r.gate.Load().Lapsed(r.clock.Now(), u.spec.Name) {
+	if r.gate.Load().Expired(r.clock.Now(), u.spec.Name) {
 		return fault.New(fault.StaleRoute, "this router's right to send to "+u.spec.Name+" has lapsed")
 	}
 	return nil
