--- a/core/health/set.go
+++ b/core/health/set.go
@@ -52,9 +52,9 @@
 	}
 }
 
-// Spotless reports whether there is no evidence against a target, so that removing it
+// Clean reports whether there is no evidence against a target, so that removing it
 // changes no verdict. A target that is not judged has none.
-func (s *Set) Spotless(now time.Time, name string) bool {
+func (s *Set) Clean(now time.Time, name string) bool {
 	t := s.get(name)
 	return t == nil || s.clean(now, t)
 }
--- a/core/membership/claims_test.go
+++ b/core/membership/claims_test.go
@@ -70,7 +70,7 @@
 	now := epoch
 	for range 4000 {
 		now = now.Add(10 * time.Millisecond)
-		c.Step(now, Received{From: inDoto("b"), Message: Message{Kind: Heartbeat, Version: 1, Deaf: true}})
+		c.Step(now, Received{From: inDoto("b"), Message: Message{Kind: Heartbeat, Version: 1, HearsNobody: true}})
 		c.Step(now, Received{From: inDoto("c"), Message: Message{Kind: Heartbeat, Version: 1}})
 		c.Step(now, Listed{VMs: []ListedVM{listedVM("a", false), listedVM("c", false)}})
 		c.Step(now, Tick{})
@@ -85,7 +85,7 @@
 	now := epoch
 	c := newCoreWithMembers(now)
 	c.Step(now, Listed{VMs: []ListedVM{listedVM("b", true), listedVM("c", false)}})
-	c.Step(now, Received{From: inDoto("b"), Message: Message{Kind: Heartbeat, Version: 1, Deaf: true, Revision: 9}})
+	c.Step(now, Received{From: inDoto("b"), Message: Message{Kind: Heartbeat, Version: 1, HearsNobody: true, Revision: 9}})
 	old := c.byName["b"]
 	assert.Assert(t, old.hearsNobody && old.platformLeaving && old.revision == 9)
 	assert.Assert(t, leavingMembers(c)["b"])
--- a/core/membership/core.go
+++ b/core/membership/core.go
@@ -132,17 +132,17 @@
 		c.receive(e.From, &e.Message)
 	case Listed:
 		c.receiveVMList(e.VMs)
-	case Noticed:
+	case NoticeReceived:
 		c.receiveNotice(&e)
 	case SendFailed:
 		c.sendFailed(e.To)
-	case Witness:
+	case ExternalContact:
 		c.health.lastExternalContact = c.now
-	case InForce:
+	case RevisionInForce:
 		c.setRevision(e.Revision)
 	case Leave:
 		c.leave(e.Leaving)
-	case Outlived:
+	case NewerInstance:
 		c.newerInstance(e.Incarnation)
 	}
 }
@@ -212,7 +212,7 @@
 // send adds a message to the actions and fills in this router's own state.
 func (c *Core) send(to string, m Message) {
 	m.Version = c.self.version
-	m.Deaf = c.health.cutOff
+	m.HearsNobody = c.health.cutOff
 	m.Leaving = c.self.leaving
 	c.out = append(c.out, Send{To: to, Message: m})
 }
--- a/core/membership/event.go
+++ b/core/membership/event.go
@@ -27,9 +27,9 @@
 // it is only a hint.
 type Listed struct{ VMs []ListedVM }
 
-// Noticed is an extract of the platform's VM list that another router read Age ago and
+// NoticeReceived is an extract of the platform's VM list that another router read Age ago and
 // passed on: the VMs that it did not know as members, and the VMs that are about to leave.
-type Noticed struct {
+type NoticeReceived struct {
 	VMs []ListedVM
 	Age time.Duration
 }
@@ -38,29 +38,29 @@
 // probed at once.
 type SendFailed struct{ To string }
 
-// Witness says that something other than a router of the data centre responded: the store
+// ExternalContact says that something other than a router of the data centre responded: the store
 // or the platform's VM list. It is evidence that this router is not cut off.
-type Witness struct{}
+type ExternalContact struct{}
 
-// InForce says which configuration revision this router has in force.
-type InForce struct{ Revision uint64 }
+// RevisionInForce says which configuration revision this router has in force.
+type RevisionInForce struct{ Revision uint64 }
 
-// Outlived says that another router knows an instance with this router's name and the given
+// NewerInstance says that another router knows an instance with this router's name and the given
 // incarnation. The transport learns this when a session is refused.
-type Outlived struct{ Incarnation uint64 }
+type NewerInstance struct{ Incarnation uint64 }
 
 // Leave announces a planned stop. Leaving says that the router is only draining so far.
 type Leave struct{ Leaving bool }
 
-func (Tick) event()       {}
-func (Received) event()   {}
-func (Listed) event()     {}
-func (Noticed) event()    {}
-func (SendFailed) event() {}
-func (Witness) event()    {}
-func (InForce) event()    {}
-func (Leave) event()      {}
-func (Outlived) event()   {}
+func (Tick) event()            {}
+func (Received) event()        {}
+func (Listed) event()          {}
+func (NoticeReceived) event()  {}
+func (SendFailed) event()      {}
+func (ExternalContact) event() {}
+func (RevisionInForce) event() {}
+func (Leave) event()           {}
+func (NewerInstance) event()   {}
 
 // Action is an output of Step.
 type Action interface{ action() }
@@ -81,9 +81,9 @@
 	By string
 }
 
-// Doubted reports that this router began or ceased to consider itself isolated. While it
+// IsolationChanged reports that this router began or ceased to consider itself isolated. While it
 // does, it reaches no verdict on other routers.
-type Doubted struct {
+type IsolationChanged struct {
 	On    bool
 	Cause Cause
 }
@@ -94,10 +94,10 @@
 	Up         bool
 }
 
-func (Send) action()        {}
-func (Changed) action()     {}
-func (Doubted) action()     {}
-func (LinkChanged) action() {}
+func (Send) action()             {}
+func (Changed) action()          {}
+func (IsolationChanged) action() {}
+func (LinkChanged) action()      {}
 
 // Cause says why something changed. It is written to the journal and is not parsed.
 type Cause string
--- a/core/membership/failure_test.go
+++ b/core/membership/failure_test.go
@@ -58,7 +58,7 @@
 		for after := time.Duration(0); after < cfg.LostAfter; after += 50 * time.Millisecond {
 			f := newFleet(t, cfg, losslessNet(), 44, 2, "doto")
 			lost, other := f.names[0], f.nodes[f.names[1]]
-			other.step(f.net.Now(), Witness{})
+			other.step(f.net.Now(), ExternalContact{})
 			f.kill(lost)
 			f.net.Run(after)
 			f.net.Pause(other.name, pause)
@@ -75,7 +75,7 @@
 	const pause = 200 * time.Millisecond
 	for apart := time.Duration(0); apart <= pause; apart += 20 * time.Millisecond {
 		f := newFleet(t, DefaultConfig(), losslessNet(), 45, 2, "doto")
-		f.nodes[f.names[1]].step(f.net.Now(), Witness{})
+		f.nodes[f.names[1]].step(f.net.Now(), ExternalContact{})
 		f.net.Pause(f.names[0], pause)
 		f.net.Run(apart)
 		f.net.Pause(f.names[1], pause)
--- a/core/membership/fleet_test.go
+++ b/core/membership/fleet_test.go
@@ -86,7 +86,7 @@
 			n.f.net.Send(n.name, a.To, a.Message)
 		case Changed:
 			n.f.changes = append(n.f.changes, change{now, n.name, a})
-		case Doubted:
+		case IsolationChanged:
 			if a.On {
 				n.isolationCauses = append(n.isolationCauses, a.Cause)
 			}
--- a/core/membership/health.go
+++ b/core/membership/health.go
@@ -170,10 +170,10 @@
 	c.health.isolated = cause != ""
 	c.view = nil
 	if c.health.isolated {
-		c.out = append(c.out, Doubted{On: true, Cause: cause})
+		c.out = append(c.out, IsolationChanged{On: true, Cause: cause})
 		return
 	}
-	c.out = append(c.out, Doubted{Cause: CauseRecovered})
+	c.out = append(c.out, IsolationChanged{Cause: CauseRecovered})
 }
 
 // isolationCause returns the most severe reason to consider this router isolated, or an
--- a/core/membership/indirect_probe.go
+++ b/core/membership/indirect_probe.go
@@ -115,7 +115,7 @@
 // report sends the current result of an indirect probe to its requester.
 func (c *Core) report(h *indirectProbe, heard, trying bool) {
 	m := Message{Kind: Report, Seq: h.seq, Target: h.target, Heard: heard, Trying: trying}
-	m.Troubles = c.silentWatches(h.target)
+	m.SilentMembers = c.silentWatches(h.target)
 	if r := c.byName[h.target]; r != nil && !r.lastHeard.IsZero() {
 		m.Silent = c.now.Sub(r.lastHeard)
 	}
@@ -147,7 +147,7 @@
 		if heard := c.now.Add(-m.Silent); m.Silent > 0 && heard.After(w.silentSince) {
 			w.silentSince = heard
 		}
-		w.addSilentOthers(m.Troubles, c.cfg.Helpers*c.cfg.Observers)
+		w.addSilentOthers(m.SilentMembers, c.cfg.Helpers*c.cfg.Observers)
 		if !slices.Contains(w.reporters, from) {
 			w.reporters = append(w.reporters, from)
 		}
--- a/core/membership/message.go
+++ b/core/membership/message.go
@@ -48,10 +48,10 @@
 	// Silent says in a Report how long ago the helper last heard the target; zero means
 	// that it never heard this instance.
 	Silent time.Duration
-	// Troubles names in a Report other members that do not answer the helper's pings.
-	Troubles []string
-	// Deaf says that the sender hears no other router of its data centre.
-	Deaf bool
+	// SilentMembers names in a Report other members that do not answer the helper's pings.
+	SilentMembers []string
+	// HearsNobody says that the sender hears no other router of its data centre.
+	HearsNobody bool
 	// Leaving says that the sender is draining.
 	Leaving bool
 	// Revision is the configuration revision in force at the sender, and RevisionAge is for
--- a/core/membership/mutual_loss_test.go
+++ b/core/membership/mutual_loss_test.go
@@ -18,7 +18,7 @@
 	for range 10 {
 		f.net.Run(100 * time.Millisecond)
 		for _, name := range f.names {
-			f.nodes[name].step(f.net.Now(), Witness{})
+			f.nodes[name].step(f.net.Now(), ExternalContact{})
 		}
 	}
 	assert.Equal(t, len(f.verdicts(Lost)), 2)
--- a/core/membership/new_router_test.go
+++ b/core/membership/new_router_test.go
@@ -38,7 +38,7 @@
 	const step = 100 * time.Millisecond
 	for ; d > 0; d -= step {
 		f.net.Run(step)
-		n.step(f.net.Now(), Witness{})
+		n.step(f.net.Now(), ExternalContact{})
 	}
 }
 
--- a/core/membership/notice.go
+++ b/core/membership/notice.go
@@ -34,7 +34,7 @@
 // and VMs that are about to leave. It is never evidence against a member: only a list that
 // this router reads itself can show that a member was removed from it, since the delay of a
 // notice is unknown.
-func (c *Core) receiveNotice(e *Noticed) {
+func (c *Core) receiveNotice(e *NoticeReceived) {
 	at := c.now.Add(-e.Age)
 	if e.Age > maxNoticeAge || at.Before(c.listAt) || at.Before(c.noticeAt) {
 		return
--- a/core/membership/notice_test.go
+++ b/core/membership/notice_test.go
@@ -54,7 +54,7 @@
 func TestStaleNoticeIsIgnored(t *testing.T) {
 	now := epoch
 	c := newCoreWithMembers(now)
-	notice := func(age time.Duration, vms ...ListedVM) { c.Step(now, Noticed{VMs: vms, Age: age}) }
+	notice := func(age time.Duration, vms ...ListedVM) { c.Step(now, NoticeReceived{VMs: vms, Age: age}) }
 	now = now.Add(2 * time.Minute)
 	notice(0, listedVM("b", true))
 	assert.DeepEqual(t, leavingMembers(c), map[string]bool{"b": true})
@@ -82,11 +82,11 @@
 	known := func() bool { return c.byName["d"] != nil }
 	for range 5 {
 		now = now.Add(time.Second)
-		c.Step(now, Noticed{VMs: []ListedVM{listedVM("d", false)}})
+		c.Step(now, NoticeReceived{VMs: []ListedVM{listedVM("d", false)}})
 		c.Step(now, Tick{})
 		assert.Assert(t, known())
 	}
-	c.Step(now, Noticed{})
+	c.Step(now, NoticeReceived{})
 	now = now.Add(2 * time.Second)
 	c.Step(now, Tick{})
 	assert.Assert(t, !known())
@@ -114,7 +114,7 @@
 			f.net.Run(time.Second)
 		}
 	}
-	pass(Noticed{})
+	pass(NoticeReceived{})
 	for _, name := range f.names[4:] {
 		assert.Equal(t, stateOf(name), Isolated, name)
 	}
--- a/core/membership/partition_test.go
+++ b/core/membership/partition_test.go
@@ -103,7 +103,7 @@
 	a, b := f.nodes[f.names[0]], f.nodes[f.names[1]]
 	f.net.Run(3 * time.Second)
 	for range 40 {
-		a.step(f.net.Now(), Witness{})
+		a.step(f.net.Now(), ExternalContact{})
 		f.net.Run(100 * time.Millisecond)
 	}
 	assert.Equal(t, a.core.View().State(b.name), Lost)
--- a/core/membership/protocol_test.go
+++ b/core/membership/protocol_test.go
@@ -129,7 +129,7 @@
 		"a helper that is still trying confirms nothing")
 
 	// Other members are silent too, so the verdict waits until they are counted.
-	gathered := newTestRouter("b", "c", "d").lossTime(silentReports(Message{Troubles: []string{"x", "y"}}, Message{Troubles: []string{"x", "y"}}))
+	gathered := newTestRouter("b", "c", "d").lossTime(silentReports(Message{SilentMembers: []string{"x", "y"}}, Message{SilentMembers: []string{"x", "y"}}))
 	assert.Assert(t, gathered >= usual+cfg.Heartbeat-10*time.Millisecond, "lost after %s, usually %s", gathered, usual)
 }
 
@@ -176,7 +176,7 @@
 	assert.Equal(t, verdicts(b, func() {}), 1)
 	assert.Equal(t, verdicts(b, func() { b.now = b.now.Add(200 * time.Millisecond) }), 0, "suspended")
 	b = newTestRouter("b", "c")
-	b.step(Outlived{Incarnation: 9})
+	b.step(NewerInstance{Incarnation: 9})
 	assert.Equal(t, verdicts(b, func() {}), 0, "superseded")
 }
 
@@ -250,6 +250,6 @@
 
 	b = newTestRouter("b")
 	assert.Equal(t, ask(b), 1)
-	b.step(Outlived{Incarnation: 9})
+	b.step(NewerInstance{Incarnation: 9})
 	assert.Equal(t, ask(b), 0, "superseded")
 }
--- a/core/membership/receive.go
+++ b/core/membership/receive.go
@@ -75,7 +75,7 @@
 
 // recordSignOfLife records that a message from r arrived.
 func (c *Core) recordSignOfLife(r *record, m *Message) {
-	r.hearsNobody = m.Deaf
+	r.hearsNobody = m.HearsNobody
 	c.markHeard(r)
 	if r.DataCentre == c.self.DataCentre {
 		c.health.lastPeerHeard = c.now
--- a/core/membership/superseded_test.go
+++ b/core/membership/superseded_test.go
@@ -16,14 +16,14 @@
 	newer := inDoto("a")
 	newer.Incarnation = 7
 	claim := Received{From: inDoto("b"), Message: Message{Kind: Push, Updates: []Update{{Member: newer, State: Lost}}}}
-	for _, event := range []Event{claim, Outlived{Incarnation: 7}} {
+	for _, event := range []Event{claim, NewerInstance{Incarnation: 7}} {
 		c := New(DefaultConfig(), inDoto("a"), rand.New(rand.NewPCG(1, 1)))
-		c.Step(epoch, Outlived{Incarnation: inDoto("a").Incarnation})
-		assert.Assert(t, !slices.Contains(c.Step(epoch, Tick{}), Action(Doubted{On: true, Cause: CauseSuperseded})))
+		c.Step(epoch, NewerInstance{Incarnation: inDoto("a").Incarnation})
+		assert.Assert(t, !slices.Contains(c.Step(epoch, Tick{}), Action(IsolationChanged{On: true, Cause: CauseSuperseded})))
 		c.Step(epoch, event)
 		after := c.Step(epoch.Add(10*time.Millisecond), Tick{})
 		assert.Assert(t, slices.ContainsFunc(after, func(a Action) bool {
-			return a == Action(Doubted{On: true, Cause: CauseSuperseded})
+			return a == Action(IsolationChanged{On: true, Cause: CauseSuperseded})
 		}))
 		assert.Equal(t, c.View().Self(), inDoto("a"))
 	}
--- a/core/reach/reach.go
+++ b/core/reach/reach.go
@@ -68,9 +68,9 @@
 	noContactSince, contactSince time.Duration
 }
 
-// AtRest reports whether the data centre is not isolated and the latest evidence shows no
+// Normal reports whether the data centre is not isolated and the latest evidence shows no
 // loss of contact.
-func (s State) AtRest() bool { return !s.Isolated && !s.noContact }
+func (s State) Normal() bool { return !s.Isolated && !s.noContact }
 
 // Next returns the verdict after the evidence at the time now, which must not decrease.
 // Evidence that shows neither contact nor its absence does not change the verdict.
--- a/core/reach/reach_test.go
+++ b/core/reach/reach_test.go
@@ -56,8 +56,8 @@
 
 func TestIsolationBeginsWithFirstLossOfContact(t *testing.T) {
 	s := Config{}.Next(State{}, 3*time.Second, none)
-	assert.Assert(t, !s.AtRest())
+	assert.Assert(t, !s.Normal())
 	s = Config{}.Next(s, 4*time.Second, none)
 	assert.Equal(t, s.Since, 3*time.Second)
-	assert.Assert(t, Config{}.Next(State{}, 0, contact).AtRest())
+	assert.Assert(t, Config{}.Next(State{}, 0, contact).Normal())
 }
--- a/lab/fleet/members.go
+++ b/lab/fleet/members.go
@@ -82,7 +82,7 @@
 	n.carryOut(now, n.core.Step(now, membership.Tick{}))
 	if n.f.Witnessed && now.Sub(n.witnessed) >= witnessEvery {
 		n.witnessed = now
-		n.carryOut(now, n.core.Step(now, membership.Witness{}))
+		n.carryOut(now, n.core.Step(now, membership.ExternalContact{}))
 	}
 }
 
@@ -100,7 +100,7 @@
 			n.f.send(n.name, a)
 		case membership.Changed:
 			n.f.Changes = append(n.f.Changes, Change{now, n.name, a})
-		case membership.Doubted:
+		case membership.IsolationChanged:
 			if a.On {
 				n.f.Doubts[a.Cause]++
 			}
@@ -164,7 +164,7 @@
 		f.Names = append(f.Names, vm.Name)
 		node := &memberNode{f: f, core: core, name: vm.Name}
 		f.Net.Add(vm.Name, node)
-		node.carryOut(Epoch, core.Step(Epoch, membership.InForce{Revision: 1 << 20}))
+		node.carryOut(Epoch, core.Step(Epoch, membership.RevisionInForce{Revision: 1 << 20}))
 		node.carryOut(Epoch, core.Step(Epoch, membership.Listed{VMs: vms}))
 	}
 	f.Net.Run(settle)
--- a/peer/wire/fuzz_test.go
+++ b/peer/wire/fuzz_test.go
@@ -28,7 +28,7 @@
 
 func FuzzDecodeMembership(f *testing.F) {
 	whole, err := EncodeMembership(&membership.Message{
-		Kind: membership.Push, Seq: 3, Silent: time.Second, Troubles: []string{"b"},
+		Kind: membership.Push, Seq: 3, Silent: time.Second, SilentMembers: []string{"b"},
 		Digests: []membership.DCDigest{{DataCentre: "lapu", Sum: 9}},
 		Links:   []membership.Link{{From: "a", Incarnation: 2, DataCentre: "lapu", Seq: 3, Up: true}},
 		Updates: []membership.Update{{Member: membership.Member{Name: "a", DataCentre: "lapu", Incarnation: 4}, State: membership.Lost}},
--- a/peer/wire/membership.go
+++ b/peer/wire/membership.go
@@ -28,8 +28,8 @@
 		Target:        m.Target,
 		Heard:         m.Heard,
 		Trying:        m.Trying,
-		Troubles:      m.Troubles,
-		Deaf:          m.Deaf,
+		Troubles:      m.SilentMembers,
+		Deaf:          m.HearsNobody,
 		Leaving:       m.Leaving,
 		Revision:      m.Revision,
 		RevisionAgeMs: millis(m.RevisionAge),
@@ -72,19 +72,19 @@
 		return membership.Message{}, errors.Wrap(err, "decode membership message")
 	}
 	m := membership.Message{
-		Kind:        membership.Kind(narrow(p.Kind)),
-		Version:     p.Version,
-		Seq:         p.Seq,
-		Target:      p.Target,
-		Heard:       p.Heard,
-		Trying:      p.Trying,
-		Troubles:    p.Troubles,
-		Deaf:        p.Deaf,
-		Leaving:     p.Leaving,
-		Revision:    p.Revision,
-		RevisionAge: duration(p.RevisionAgeMs),
-		Silent:      duration(p.SilentMs),
-		DataCentre:  p.DataCentre,
+		Kind:          membership.Kind(narrow(p.Kind)),
+		Version:       p.Version,
+		Seq:           p.Seq,
+		Target:        p.Target,
+		Heard:         p.Heard,
+		Trying:        p.Trying,
+		SilentMembers: p.Troubles,
+		HearsNobody:   p.Deaf,
+		Leaving:       p.Leaving,
+		Revision:      p.Revision,
+		RevisionAge:   duration(p.RevisionAgeMs),
+		Silent:        duration(p.SilentMs),
+		DataCentre:    p.DataCentre,
 	}
 	for _, d := range p.Digests {
 		m.Digests = append(m.Digests, membership.DCDigest{DataCentre: d.DataCentre, Sum: d.Sum})
--- a/router/isolation.go
+++ b/router/isolation.go
@@ -96,7 +96,7 @@
 		if w.Refuse {
 			refused[dc] = struct{}{}
 		}
-		if w.AtRest() {
+		if w.Normal() {
 			delete(i.watched, dc)
 		}
 	}
--- a/router/memberduty.go
+++ b/router/memberduty.go
@@ -71,7 +71,7 @@
 	if now-last < int64(witnessEvery) || !m.witnessed.CompareAndSwap(last, now) {
 		return
 	}
-	m.duty.Tell(membership.Witness{})
+	m.duty.Tell(membership.ExternalContact{})
 }
 
 // receive hands a message of another router to the core.
@@ -99,12 +99,12 @@
 
 // outlived tells the core that another router knows a newer life of this one's name.
 func (m *memberDuty) outlived(incarnation uint64) {
-	m.duty.Tell(membership.Outlived{Incarnation: incarnation})
+	m.duty.Tell(membership.NewerInstance{Incarnation: incarnation})
 }
 
 // inForce tells the core which revision this router has in force.
 func (m *memberDuty) inForce(revision uint64) {
-	m.duty.Tell(membership.InForce{Revision: revision})
+	m.duty.Tell(membership.RevisionInForce{Revision: revision})
 }
 
 // reported returns the revisions in force that routers reported.
@@ -153,14 +153,14 @@
 		m.send(a)
 	case membership.Changed:
 		m.changed(a)
-	case membership.Doubted:
+	case membership.IsolationChanged:
 		m.doubted(a)
 	case membership.LinkChanged:
 		m.linkChanged(a)
 	}
 }
 
-func (m *memberDuty) doubted(a membership.Doubted) {
+func (m *memberDuty) doubted(a membership.IsolationChanged) {
 	if a.On && a.Cause == membership.CauseSuperseded {
 		m.r.noteOutlived()
 	}
--- a/router/rest.go
+++ b/router/rest.go
@@ -19,7 +19,7 @@
 			continue
 		}
 		set := h.choice[u.spec.Service]
-		if now.Sub(u.restsSince) < restAfter || (set != nil && !set.Spotless(now, name)) {
+		if now.Sub(u.restsSince) < restAfter || (set != nil && !set.Clean(now, name)) {
 			continue
 		}
 		h.r.upstreams.drop(name)
--- a/router/vmlist.go
+++ b/router/vmlist.go
@@ -196,7 +196,7 @@
 		return
 	}
 	m.noticed.Store(int64(m.r.clock.Now()))
-	e := membership.Noticed{Age: message.Silent}
+	e := membership.NoticeReceived{Age: message.Silent}
 	for i := range message.Updates {
 		u := &message.Updates[i]
 		e.VMs = append(e.VMs, membership.ListedVM{
