--- a/core/confirm/ask.go
+++ b/core/confirm/ask.go
@@ -47,7 +47,7 @@
 }
 
 func (c *Core) questionMessage(q *question) Message {
-	m := Message{Kind: Question, Life: c.cfg.Self.Incarnation, Sequence: q.sequence, Surely: !q.lossy}
+	m := Message{Kind: Question, Incarnation: c.cfg.Self.Incarnation, Sequence: q.sequence, Reliable: !q.lossy}
 	for _, h := range q.baseline {
 		m.Known = append(m.Known, Known{Target: h.Target, Revision: h.Revision})
 	}
@@ -58,7 +58,7 @@
 // on fallbacks. Beyond the limit the question is dropped: core/ownership reads by itself if
 // confirmations stop.
 func (c *Core) readDirectly(q *question, cause Cause) {
-	if c.cfg.omit == omitFallback || !c.fallbackTokens.take(c.now, c.cfg.Every) {
+	if c.cfg.omit == omitFallback || !c.fallbackTokens.take(c.now, c.cfg.Interval) {
 		c.stats.Limited++
 		return
 	}
@@ -73,7 +73,7 @@
 			continue
 		}
 		c.removeQuestion(q)
-		if c.now-q.deadline >= c.cfg.Every {
+		if c.now-q.deadline >= c.cfg.Interval {
 			// This router itself was paused, which says nothing about the relay. An answer now
 			// would be of almost no use.
 			continue
@@ -126,7 +126,7 @@
 // has the same number.
 func (c *Core) receiveReply(e Received) {
 	m := &e.Message
-	if m.Life != c.cfg.Self.Incarnation && c.cfg.omit != omitIncarnation {
+	if m.Incarnation != c.cfg.Self.Incarnation && c.cfg.omit != omitIncarnation {
 		return
 	}
 	i := slices.IndexFunc(c.questions, func(q *question) bool { return q.sequence == m.Sequence && q.relay == e.From.Name })
--- a/core/confirm/confirm_test.go
+++ b/core/confirm/confirm_test.go
@@ -85,7 +85,7 @@
 func TestAnswersOnlyFromACallSentAfterTheQuestion(t *testing.T) {
 	staleAnswers := func(rule confirm.Omitted) int {
 		relay, asker, name, other := pair(t, rule)
-		list, ok := single(relay.Step(ms, received("r9", 1, confirm.Message{Kind: confirm.Question, Life: 1, Sequence: 1}))).(confirm.List)
+		list, ok := single(relay.Step(ms, received("r9", 1, confirm.Message{Kind: confirm.Question, Incarnation: 1, Sequence: 1}))).(confirm.List)
 		assert.Assert(t, ok)
 		question := askTarget(t, asker, 550*ms)
 		relay.Step(600*ms, received(other, 7, question))
@@ -190,7 +190,7 @@
 		for i := range starts {
 			if name := fmt.Sprint("asker", i); at >= next[name] {
 				next[name] = at + 80*ms
-				actions = append(actions, relay.Step(at, received(name, 1, confirm.Message{Kind: confirm.Question, Life: 1, Known: []confirm.Known{{Target: "t0"}}}))...)
+				actions = append(actions, relay.Step(at, received(name, 1, confirm.Message{Kind: confirm.Question, Incarnation: 1, Known: []confirm.Known{{Target: "t0"}}}))...)
 			}
 		}
 		for _, a := range actions {
@@ -285,7 +285,7 @@
 			at := time.Duration(i) * 40 * ms
 			all = append(all, asker.Step(at, confirm.Asked{Reads: []confirm.Read{{Target: "t0", SentAt: at}, {Target: "t1", SentAt: at}}})...)
 			if i%3 == 0 {
-				all = append(all, asker.Step(at, received(name, 7, confirm.Message{Kind: confirm.Answer, Life: 7, Sequence: uint64(i + 1)}))...)
+				all = append(all, asker.Step(at, received(name, 7, confirm.Message{Kind: confirm.Answer, Incarnation: 7, Sequence: uint64(i + 1)}))...)
 			}
 			if i%20 == 10 {
 				all = append(all, asker.Step(at, confirm.Members{Live: members[:2+i%3]})...)
--- a/core/confirm/core.go
+++ b/core/confirm/core.go
@@ -93,7 +93,7 @@
 // New returns the core of a router that knows no other router yet.
 func New(cfg Config) *Core {
 	c := &Core{cfg: cfg.withDefaults(), suspects: map[string]suspicion{}, lossyFailures: map[string]suspicion{}, known: map[string]knownRecord{}}
-	c.lastListAt, c.sharedCallAt, c.lastRemoteQuestionAt = -c.cfg.listSpacing(), -2*c.cfg.Every, -c.cfg.staleAfter()
+	c.lastListAt, c.sharedCallAt, c.lastRemoteQuestionAt = -c.cfg.listSpacing(), -2*c.cfg.Interval, -c.cfg.staleAfter()
 	c.fallbackTokens.tokens = fallbackBurst
 	c.setMembers(Members{})
 	return c
--- a/core/confirm/event.go
+++ b/core/confirm/event.go
@@ -115,12 +115,12 @@
 // Message is sent between an asker and its relay.
 type Message struct {
 	Kind Kind
-	// Life is the incarnation of the asker, and Sequence the number of its question.
-	Life     uint64
-	Sequence uint64
-	// Surely is set in a question if the answer must take the transport that loses few
+	// Incarnation is the incarnation of the asker, and Sequence the number of its question.
+	Incarnation uint64
+	Sequence    uint64
+	// Reliable is set in a question if the answer must take the transport that loses few
 	// messages.
-	Surely bool
+	Reliable bool
 	// Earlier is set in an answer; see Confirmed.
 	Earlier time.Duration
 	// Known is set in a question, Changed in an answer.
--- a/core/confirm/relay.go
+++ b/core/confirm/relay.go
@@ -92,14 +92,14 @@
 // nextSharedCallAt returns the earliest time at which a call counts as the next one that all
 // askers should share.
 func (c *Core) nextSharedCallAt() time.Duration {
-	return c.sharedCallAt + c.cfg.Every - 2*c.cfg.gatherDelay()
+	return c.sharedCallAt + c.cfg.Interval - 2*c.cfg.gatherDelay()
 }
 
 // gatheredAt returns when the queued questions need not wait any longer for others to share
 // their call.
 func (c *Core) gatheredAt() time.Duration {
 	first := c.queued[0].queuedAt
-	if noOthers, idle := first-c.lastRemoteQuestionAt >= c.cfg.staleAfter(), first-c.sharedCallAt >= 2*c.cfg.Every; noOthers || idle {
+	if noOthers, idle := first-c.lastRemoteQuestionAt >= c.cfg.staleAfter(), first-c.sharedCallAt >= 2*c.cfg.Interval; noOthers || idle {
 		return first
 	}
 	return first + c.cfg.gatherDelay()
@@ -248,6 +248,6 @@
 }
 
 func (c *Core) reply(a *waiter, kind Kind, changed []Change) {
-	answer := Message{Kind: kind, Life: a.message.Life, Sequence: a.message.Sequence, Changed: changed, Earlier: a.earlier}
-	c.emit(Send{To: a.from, Message: answer, Lossy: !a.message.Surely && len(changed) == 0})
+	answer := Message{Kind: kind, Incarnation: a.message.Incarnation, Sequence: a.message.Sequence, Changed: changed, Earlier: a.earlier}
+	c.emit(Send{To: a.from, Message: answer, Lossy: !a.message.Reliable && len(changed) == 0})
 }
--- a/core/spread/changelimiter_test.go
+++ b/core/spread/changelimiter_test.go
@@ -84,7 +84,7 @@
 	watcher := f.nodes[f.watchersIn("doto")[0]]
 	change := func(rev uint64, value string) {
 		e := Entry{Key: "config/current", Revision: rev, Class: Configuration, Value: []byte(value)}
-		watcher.step(f.net.Now(), FromStore{Entries: []Entry{e}, Upto: rev})
+		watcher.step(f.net.Now(), FromStore{Entries: []Entry{e}, Revision: rev})
 	}
 	value := func() string {
 		e, _ := watcher.core.Entry("config/current")
@@ -95,7 +95,7 @@
 	change(11, "late")
 	assert.Equal(t, value(), "first")
 	newest := Entry{Key: "config/current", Revision: 13, Class: Configuration, Value: []byte("newest")}
-	watcher.step(f.net.Now(), FromStore{Entries: []Entry{newest}, Whole: true, Upto: 13})
+	watcher.step(f.net.Now(), FromStore{Entries: []Entry{newest}, Complete: true, Revision: 13})
 	assert.Equal(t, value(), "newest")
 	f.net.Run(2 * f.cfg.MinChangeInterval)
 	assert.Equal(t, value(), "newest")
--- a/core/spread/config.go
+++ b/core/spread/config.go
@@ -23,9 +23,9 @@
 	// data centre.
 	DigestInterval       time.Duration
 	RemoteDigestInterval time.Duration
-	// Quiet is how long a change may take to go down the tree: a peer whose digest equals one
+	// PropagationTime is how long a change may take to go down the tree: a peer whose digest equals one
 	// that this router had within this time does not count as behind.
-	Quiet time.Duration
+	PropagationTime time.Duration
 	// RepairDelay is the time from the loss of a member to the digests that look for changes
 	// that the lost router did not pass on. Losses within this time are handled together.
 	RepairDelay time.Duration
@@ -67,7 +67,7 @@
 		Groups:               64,
 		DigestInterval:       250 * time.Millisecond,
 		RemoteDigestInterval: time.Second,
-		Quiet:                50 * time.Millisecond,
+		PropagationTime:      50 * time.Millisecond,
 		RepairDelay:          20 * time.Millisecond,
 		MaxMessage:           64 << 10,
 		MaxFlush:             256 << 10,
--- a/core/spread/core.go
+++ b/core/spread/core.go
@@ -86,7 +86,7 @@
 		c.storeReached(e.Up)
 	case Received:
 		c.receive(e.From, &e.Message)
-	case Unread:
+	case PatchesUnsupported:
 		c.sendFullRecords(e.To, &e.Message)
 	case Announce:
 		c.announce(e.Value)
--- a/core/spread/event.go
+++ b/core/spread/event.go
@@ -9,7 +9,7 @@
 // Members is the member view: the live routers of this data centre and of the others, sorted
 // by name.
 type Members struct {
-	Home   []string
+	Local  []string
 	Remote []DataCentre
 }
 
@@ -22,11 +22,11 @@
 // FromStore reports records read from the store, or written to it by this router.
 type FromStore struct {
 	Entries []Entry
-	// Whole says that Entries are all records under Prefix at store revision Upto: keys that
+	// Complete says that Entries are all records under Prefix at store revision Upto: keys that
 	// this router holds and that are not among them were deleted.
-	Whole  bool
-	Prefix string
-	Upto   uint64
+	Complete bool
+	Prefix   string
+	Revision uint64
 }
 
 // StoreReached reports whether a watcher reaches the store.
@@ -38,9 +38,9 @@
 	Message Message
 }
 
-// Unread reports that a message with patches was not sent, because the other router doesn't
+// PatchesUnsupported reports that a message with patches was not sent, because the other router doesn't
 // support patches or isn't known to.
-type Unread struct {
+type PatchesUnsupported struct {
 	To      string
 	Message Message
 }
@@ -61,15 +61,15 @@
 	Rows []Row
 }
 
-func (Tick) event()         {}
-func (Members) event()      {}
-func (FromStore) event()    {}
-func (StoreReached) event() {}
-func (Received) event()     {}
-func (Unread) event()       {}
-func (Announce) event()     {}
-func (AskAll) event()       {}
-func (Answer) event()       {}
+func (Tick) event()               {}
+func (Members) event()            {}
+func (FromStore) event()          {}
+func (StoreReached) event()       {}
+func (Received) event()           {}
+func (PatchesUnsupported) event() {}
+func (Announce) event()           {}
+func (AskAll) event()             {}
+func (Answer) event()             {}
 
 // Action is an output of Step.
 type Action interface{ action() }
@@ -100,13 +100,13 @@
 	Size int
 }
 
-// Unpatched reports a patch that was dropped. The full record is requested instead.
-type Unpatched struct {
+// PatchDropped reports a patch that was dropped. The full record is requested instead.
+type PatchDropped struct {
 	Key  string
 	From string
-	// Wrong says that the patch is damaged or doesn't produce the sender's value. If it is
+	// Invalid says that the patch is damaged or doesn't produce the sender's value. If it is
 	// false, only the base of the patch was not held here.
-	Wrong bool
+	Invalid bool
 }
 
 // Asked asks the shell to answer with an Answer event for To and ID.
@@ -128,12 +128,12 @@
 	Rows []Row
 }
 
-func (Send) action()      {}
-func (Deliver) action()   {}
-func (Watch) action()     {}
-func (Ready) action()     {}
-func (Refused) action()   {}
-func (Unpatched) action() {}
-func (Asked) action()     {}
-func (Answered) action()  {}
-func (Announced) action() {}
+func (Send) action()         {}
+func (Deliver) action()      {}
+func (Watch) action()        {}
+func (Ready) action()        {}
+func (Refused) action()      {}
+func (PatchDropped) action() {}
+func (Asked) action()        {}
+func (Answered) action()     {}
+func (Announced) action()    {}
--- a/core/spread/failure_test.go
+++ b/core/spread/failure_test.go
@@ -82,7 +82,7 @@
 	}
 	f.net.Blocked = nil
 	late := f.nodes[f.watchersIn("doto")[0]]
-	late.step(f.net.Now(), FromStore{Entries: stale, Whole: true, Upto: staleAt})
+	late.step(f.net.Now(), FromStore{Entries: stale, Complete: true, Revision: staleAt})
 	f.net.Run(3 * time.Second)
 	assert.Equal(t, len(f.behind()), 0)
 	for _, name := range f.names() {
@@ -211,7 +211,7 @@
 func TestMessagesAreBoundedAndOwnershipGoesFirst(t *testing.T) {
 	cfg := DefaultConfig()
 	c := New(cfg, "a", "doto", 1, fixedRand())
-	c.Step(epoch, Members{Home: []string{"a", "b"}})
+	c.Step(epoch, Members{Local: []string{"a", "b"}})
 	var entries []Entry
 	for i := range 200 {
 		class := Class(i % 3)
--- a/core/spread/fleet_test.go
+++ b/core/spread/fleet_test.go
@@ -88,7 +88,7 @@
 	switch a := action.(type) {
 	case Send:
 		if to := n.f.nodes[a.To]; to != nil && to.noPatches && a.Message.Kind == Patched {
-			n.step(now, Unread(a))
+			n.step(now, PatchesUnsupported(a))
 			return
 		}
 		n.f.net.Send(n.name, a.To, a.Message)
@@ -127,7 +127,7 @@
 	if n.f.nodes[n.name] != n {
 		return
 	}
-	n.step(n.f.net.Now(), FromStore{Entries: n.f.storeEntries(), Whole: true, Upto: n.f.rev})
+	n.step(n.f.net.Now(), FromStore{Entries: n.f.storeEntries(), Complete: true, Revision: n.f.rev})
 }
 
 func (f *fleet) storeEntries() []Entry {
@@ -195,7 +195,7 @@
 }
 
 func (f *fleet) sendMembers(n *node) {
-	m := Members{Home: slices.Clone(f.dcs[n.dc])}
+	m := Members{Local: slices.Clone(f.dcs[n.dc])}
 	for _, dc := range f.dcNames() {
 		if dc != n.dc {
 			m.Remote = append(m.Remote, DataCentre{Name: dc, Live: slices.Clone(f.dcs[dc])})
@@ -230,7 +230,7 @@
 		}
 		f.net.After(time.Duration(1+f.net.Rand().IntN(3))*time.Millisecond, func() {
 			if f.nodes[name] == n {
-				n.step(f.net.Now(), FromStore{Entries: []Entry{e}, Upto: e.Revision})
+				n.step(f.net.Now(), FromStore{Entries: []Entry{e}, Revision: e.Revision})
 			}
 		})
 	}
--- a/core/spread/join.go
+++ b/core/spread/join.go
@@ -25,7 +25,7 @@
 // its restart. With several peers this happens only if all of them are behind.
 func (c *Core) tickJoin() {
 	j := &c.join
-	if j.done || len(c.members.Home) == 0 {
+	if j.done || len(c.members.Local) == 0 {
 		return
 	}
 	if j.source != "" {
@@ -52,7 +52,7 @@
 func (c *Core) queryPeers() {
 	c.join.askedAt = c.now
 	c.join.offers = 0
-	names := c.members.Home
+	names := c.members.Local
 	sent := 0
 	for _, i := range c.rnd.Perm(len(names)) {
 		if names[i] == c.self || sent == c.cfg.JoinPeers {
--- a/core/spread/merge.go
+++ b/core/spread/merge.go
@@ -51,13 +51,13 @@
 // as the root of its own tree.
 func (c *Core) fromStore(e *FromStore) {
 	entries := e.Entries
-	if e.Whole {
+	if e.Complete {
 		entries = append(entries[:len(entries):len(entries)], c.deletedSince(e)...)
 	} else {
 		entries = c.limiter.admit(entries, c.now, c.cfg.MinChangeInterval)
 	}
 	c.relay(c.self, c.merge(entries))
-	if e.Whole && e.Prefix == c.cfg.Prefix {
+	if e.Complete && e.Prefix == c.cfg.Prefix {
 		c.finishJoin("")
 	}
 }
@@ -71,8 +71,8 @@
 	}
 	var deletions []Entry
 	for _, h := range c.table.sorted("", e.Prefix) {
-		if !present[h.Key] && !h.Deleted && h.Revision < e.Upto && strings.HasPrefix(h.Key, e.Prefix) {
-			deletions = append(deletions, Entry{Key: h.Key, Class: h.Class, Revision: e.Upto, Deleted: true})
+		if !present[h.Key] && !h.Deleted && h.Revision < e.Revision && strings.HasPrefix(h.Key, e.Prefix) {
+			deletions = append(deletions, Entry{Key: h.Key, Class: h.Class, Revision: e.Revision, Deleted: true})
 		}
 	}
 	return deletions
@@ -125,7 +125,7 @@
 // centre while its own cannot reach the store.
 func (c *Core) receiveFill(m *Message) {
 	newer := c.merge(m.Entries)
-	for _, root := range c.watchersOf(c.dc, c.members.Home, c.storeStates) {
+	for _, root := range c.watchersOf(c.dc, c.members.Local, c.storeStates) {
 		c.relay(root, newer)
 	}
 }
--- a/core/spread/message.go
+++ b/core/spread/message.go
@@ -69,8 +69,8 @@
 	// Root is the router whose tree the message goes down.
 	Root string
 	// Seq pairs Ask with Rows, and orders StoreState, both within Life.
-	Seq  uint64
-	Life uint64
+	Seq         uint64
+	Incarnation uint64
 	// Sum and Max are the digest and the highest revision of the sender's records.
 	Sum   uint64
 	Max   uint64
--- a/core/spread/notice.go
+++ b/core/spread/notice.go
@@ -11,7 +11,7 @@
 // announce sends a notice down this router's tree.
 func (c *Core) announce(value []byte) {
 	c.noticeSeq++
-	m := Message{Kind: Notice, Root: c.self, Life: c.incarnation, Seq: c.noticeSeq, Entries: []Entry{{Value: value}}}
+	m := Message{Kind: Notice, Root: c.self, Incarnation: c.incarnation, Seq: c.noticeSeq, Entries: []Entry{{Value: value}}}
 	for _, child := range c.children(c.self) {
 		c.send(child, m)
 	}
@@ -21,7 +21,7 @@
 // one of the same router is dropped: otherwise one that was delayed on its way would replace a
 // later one.
 func (c *Core) receiveNotice(m *Message) {
-	id := noticeID{m.Life, m.Seq}
+	id := noticeID{m.Incarnation, m.Seq}
 	if len(m.Entries) != 1 || m.Root == c.self || id.notNewerThan(c.lastNotice[m.Root]) {
 		return
 	}
--- a/core/spread/notice_test.go
+++ b/core/spread/notice_test.go
@@ -57,7 +57,7 @@
 	root := f.dcs["doto"][1]
 	got := func(incarnation, seq uint64) int {
 		n.announced = nil
-		m := Message{Kind: Notice, Root: root, Life: incarnation, Seq: seq, Entries: []Entry{{Value: []byte("x")}}}
+		m := Message{Kind: Notice, Root: root, Incarnation: incarnation, Seq: seq, Entries: []Entry{{Value: []byte("x")}}}
 		n.step(f.net.Now(), Received{From: root, Message: m})
 		return len(n.announced)
 	}
--- a/core/spread/patch.go
+++ b/core/spread/patch.go
@@ -139,12 +139,12 @@
 		base = h.valueAt(p.Base)
 	}
 	if base == nil {
-		c.actions = append(c.actions, Unpatched{Key: p.Key, From: from})
+		c.actions = append(c.actions, PatchDropped{Key: p.Key, From: from})
 		return e, false
 	}
 	value, err := patch.Apply(base, p.Bytes, c.cfg.MaxValue)
 	if err != nil || patch.Sum(value) != p.Sum {
-		c.actions = append(c.actions, Unpatched{Key: p.Key, From: from, Wrong: true})
+		c.actions = append(c.actions, PatchDropped{Key: p.Key, From: from, Invalid: true})
 		return e, false
 	}
 	e.Value = value
@@ -154,7 +154,7 @@
 // mayRequest limits requests for the same record to one per Quiet, because both trees bring
 // the same patch.
 func (c *Core) mayRequest(hash uint64) bool {
-	if at, asked := c.requestedAt[hash]; asked && c.now.Sub(at) < c.cfg.Quiet {
+	if at, asked := c.requestedAt[hash]; asked && c.now.Sub(at) < c.cfg.PropagationTime {
 		return false
 	}
 	if len(c.requestedAt) >= maxRequested {
--- a/core/spread/patch_test.go
+++ b/core/spread/patch_test.go
@@ -72,17 +72,17 @@
 		ahead   uint64
 		want    uint64
 		asks    int
-		dropped []Unpatched
+		dropped []PatchDropped
 	}{
 		{"good", func(*Patch) {}, 0, 7, 0, nil},
 		{"good, newer held", func(*Patch) {}, 9, 9, 0, nil},
 		{"another base, newer held", func(p *Patch) { p.Base = 4 }, 9, 9, 0, nil},
 		{"older value held", func(*Patch) {}, 6, 7, 0, nil},
-		{"another base", func(p *Patch) { p.Base = 4 }, 0, 5, 1, []Unpatched{{Key: held.Key, From: "a"}}},
-		{"another key", func(p *Patch) { p.Key = "config/else" }, 0, 5, 1, []Unpatched{{Key: "config/else", From: "a"}}},
-		{"wrong sum", func(p *Patch) { p.Sum++ }, 0, 5, 1, []Unpatched{{Key: held.Key, From: "a", Wrong: true}}},
-		{"cut short", func(p *Patch) { p.Bytes = p.Bytes[:len(p.Bytes)-1] }, 0, 5, 1, []Unpatched{{Key: held.Key, From: "a", Wrong: true}}},
-		{"base as another revision", func(p *Patch) { p.Base = 6 }, 6, 6, 1, []Unpatched{{Key: held.Key, From: "a", Wrong: true}}},
+		{"another base", func(p *Patch) { p.Base = 4 }, 0, 5, 1, []PatchDropped{{Key: held.Key, From: "a"}}},
+		{"another key", func(p *Patch) { p.Key = "config/else" }, 0, 5, 1, []PatchDropped{{Key: "config/else", From: "a"}}},
+		{"wrong sum", func(p *Patch) { p.Sum++ }, 0, 5, 1, []PatchDropped{{Key: held.Key, From: "a", Invalid: true}}},
+		{"cut short", func(p *Patch) { p.Bytes = p.Bytes[:len(p.Bytes)-1] }, 0, 5, 1, []PatchDropped{{Key: held.Key, From: "a", Invalid: true}}},
+		{"base as another revision", func(p *Patch) { p.Base = 6 }, 6, 6, 1, []PatchDropped{{Key: held.Key, From: "a", Invalid: true}}},
 	} {
 		c := New(DefaultConfig(), "b", "doto", 1, fixedRand())
 		c.Step(epoch, FromStore{Entries: []Entry{held}})
@@ -92,7 +92,7 @@
 		p := good
 		tt.change(&p)
 		asks, delivered := 0, 0
-		var dropped []Unpatched
+		var dropped []PatchDropped
 		for range 2 {
 			for _, a := range c.Step(epoch, Received{From: "a", Message: Message{Kind: Patched, Root: "a", Patches: []Patch{p}}}) {
 				switch a := a.(type) {
@@ -100,7 +100,7 @@
 					asks += len(a.Message.Hashes)
 				case Deliver:
 					delivered++
-				case Unpatched:
+				case PatchDropped:
 					dropped = append(dropped, a)
 				}
 			}
--- a/core/spread/property_test.go
+++ b/core/spread/property_test.go
@@ -34,7 +34,7 @@
 			f.nodes[name].cutFromStore = !f.nodes[name].cutFromStore
 		case 5:
 			n := f.nodes[name]
-			n.step(f.net.Now(), FromStore{Entries: f.stale, Whole: true, Upto: f.staleAt})
+			n.step(f.net.Now(), FromStore{Entries: f.stale, Complete: true, Revision: f.staleAt})
 		case 6:
 			f.stale, f.staleAt = f.storeEntries(), f.rev
 		}
--- a/core/spread/question.go
+++ b/core/spread/question.go
@@ -11,9 +11,9 @@
 type AskID struct {
 	// Root is the router down whose tree the question is sent. Life is the incarnation of the
 	// asker, and Seq is unique within it.
-	Root string
-	Life uint64
-	Seq  uint64
+	Root        string
+	Incarnation uint64
+	Seq         uint64
 }
 
 // question is a question for which this router collects the answers of its subtree.
@@ -32,11 +32,11 @@
 // trees: this router gets one message from each of its children and one, or a few, from each
 // other data centre, instead of one from each router.
 func (c *Core) askAll(seq uint64) {
-	c.receiveAsk(&Message{Kind: Ask, Root: c.self, Life: c.incarnation, Seq: seq, ReplyTo: c.self, Reply: true})
+	c.receiveAsk(&Message{Kind: Ask, Root: c.self, Incarnation: c.incarnation, Seq: seq, ReplyTo: c.self, Reply: true})
 	for _, dc := range c.members.Remote {
 		watchers := c.watchersOf(dc.Name, dc.Live, nil)
 		if len(watchers) > 0 {
-			c.send(watchers[0], Message{Kind: Ask, Root: watchers[0], Life: c.incarnation, Seq: seq, ReplyTo: c.self, Reply: true})
+			c.send(watchers[0], Message{Kind: Ask, Root: watchers[0], Incarnation: c.incarnation, Seq: seq, ReplyTo: c.self, Reply: true})
 		}
 	}
 }
@@ -46,7 +46,7 @@
 // doesn't set Reply, or passes the question on unchanged, so that its subtree answers the
 // asker directly.
 func (c *Core) receiveAsk(m *Message) {
-	id := AskID{Root: m.Root, Life: m.Life, Seq: m.Seq}
+	id := AskID{Root: m.Root, Incarnation: m.Incarnation, Seq: m.Seq}
 	if c.questionByID(id) != nil {
 		return
 	}
@@ -113,7 +113,7 @@
 // receiveRows handles answers, either of the subtree to a question that this router passed on,
 // or to a question of its own. Answers that arrive after a question was finished are dropped.
 func (c *Core) receiveRows(from string, m *Message) {
-	id := AskID{Root: m.Root, Life: m.Life, Seq: m.Seq}
+	id := AskID{Root: m.Root, Incarnation: m.Incarnation, Seq: m.Seq}
 	if m.Root == "" {
 		c.receiveLegacyRows(from, m)
 		return
@@ -122,7 +122,7 @@
 		c.collect(q, from, m.Rows)
 		return
 	}
-	if m.Life == c.incarnation {
+	if m.Incarnation == c.incarnation {
 		c.actions = append(c.actions, Answered{From: from, Seq: m.Seq, Rows: m.Rows})
 	}
 }
@@ -147,7 +147,7 @@
 			delete(q.unanswered, row.Router)
 		}
 	}
-	KeepBest(q.rows, rows)
+	MergeRows(q.rows, rows)
 	if len(q.unanswered) == 0 {
 		c.finish(q)
 	}
@@ -179,12 +179,12 @@
 // sendRows sends answers to a question. An earlier version's question has no incarnation and
 // is answered in the format of that version.
 func (c *Core) sendRows(to string, id AskID, rows []Row) {
-	if id.Life == 0 {
+	if id.Incarnation == 0 {
 		id.Root = ""
 	}
 	for {
 		n := min(len(rows), maxRows)
-		c.send(to, Message{Kind: Rows, Root: id.Root, Life: id.Life, Seq: id.Seq, Rows: rows[:n:n]})
+		c.send(to, Message{Kind: Rows, Root: id.Root, Incarnation: id.Incarnation, Seq: id.Seq, Rows: rows[:n:n]})
 		rows = rows[n:]
 		if len(rows) == 0 {
 			return
@@ -192,9 +192,9 @@
 	}
 }
 
-// KeepBest merges rows into found. For each router it keeps the router's own report, or else
+// MergeRows merges rows into found. For each router it keeps the router's own report, or else
 // the highest revision that others report.
-func KeepBest(found map[string]Row, rows []Row) {
+func MergeRows(found map[string]Row, rows []Row) {
 	for _, row := range rows {
 		old, known := found[row.Router]
 		itself := row.Reporter == row.Router
--- a/core/spread/question_test.go
+++ b/core/spread/question_test.go
@@ -17,7 +17,7 @@
 	found = map[string]Row{}
 	for _, a := range n.answered {
 		if a.Seq == seq {
-			KeepBest(found, a.Rows)
+			MergeRows(found, a.Rows)
 			messages++
 		}
 	}
@@ -130,7 +130,7 @@
 	for _, n := range askers {
 		found := map[string]Row{}
 		for _, a := range n.answered {
-			KeepBest(found, a.Rows)
+			MergeRows(found, a.Rows)
 		}
 		assert.Equal(t, len(found), 59, n.name)
 	}
--- a/core/spread/reconcile.go
+++ b/core/spread/reconcile.go
@@ -36,7 +36,7 @@
 }
 
 // randomHome returns a random other router of this data centre.
-func (c *Core) randomHome() string { return c.randomOf(c.members.Home) }
+func (c *Core) randomHome() string { return c.randomOf(c.members.Local) }
 
 // randomRemote returns a random watcher of a random other data centre.
 func (c *Core) randomRemote() string {
@@ -63,7 +63,7 @@
 		c.receiveOffer(from, m)
 		return
 	}
-	if m.Sum == c.table.sum || c.recentSums.heldSince(m.Sum, c.now.Add(-c.cfg.Quiet)) {
+	if m.Sum == c.table.sum || c.recentSums.heldSince(m.Sum, c.now.Add(-c.cfg.PropagationTime)) {
 		return
 	}
 	c.send(from, Message{Kind: Groups, Sum: c.table.sum, Sums: c.table.sums()})
@@ -72,7 +72,7 @@
 // receiveGroups lists the revisions in some of the groups that differ. The other groups are
 // left to later rounds, so that two very different routers do not flood each other.
 func (c *Core) receiveGroups(from string, m *Message) {
-	if len(m.Sums) != len(c.table.groups) || c.recentSums.heldSince(m.Sum, c.now.Add(-c.cfg.Quiet)) {
+	if len(m.Sums) != len(c.table.groups) || c.recentSums.heldSince(m.Sum, c.now.Add(-c.cfg.PropagationTime)) {
 		return
 	}
 	left := c.cfg.MaxGroups
@@ -149,7 +149,7 @@
 		return
 	}
 	c.repairDue = time.Time{}
-	for _, root := range c.watchersOf(c.dc, c.members.Home, c.storeStates) {
+	for _, root := range c.watchersOf(c.dc, c.members.Local, c.storeStates) {
 		c.sendDigest(c.parent(root))
 	}
 }
--- a/core/spread/tree.go
+++ b/core/spread/tree.go
@@ -45,7 +45,7 @@
 
 // treeOrder returns the members in the order of the tree of root, root first.
 func (c *Core) treeOrder(root string) []string {
-	rest := slices.DeleteFunc(slices.Clone(c.members.Home), func(n string) bool { return n == root })
+	rest := slices.DeleteFunc(slices.Clone(c.members.Local), func(n string) bool { return n == root })
 	return append([]string{root}, rendezvous.Order("tree\x00"+root, rest)...)
 }
 
@@ -149,18 +149,18 @@
 
 // setMembers handles a new member view, from which the trees and the watchers follow.
 func (c *Core) setMembers(m Members) {
-	if c.repairDue.IsZero() && anyMissing(c.members.Home, m.Home) {
+	if c.repairDue.IsZero() && anyMissing(c.members.Local, m.Local) {
 		c.repairDue = c.now.Add(c.cfg.RepairDelay)
 	}
 	c.members = m
 	clear(c.trees)
 	for name := range c.lastNotice {
-		if _, ok := slices.BinarySearch(m.Home, name); !ok {
+		if _, ok := slices.BinarySearch(m.Local, name); !ok {
 			delete(c.lastNotice, name)
 		}
 	}
 	for name := range c.storeStates {
-		if _, ok := slices.BinarySearch(m.Home, name); !ok {
+		if _, ok := slices.BinarySearch(m.Local, name); !ok {
 			delete(c.storeStates, name)
 		}
 	}
--- a/core/spread/wake_test.go
+++ b/core/spread/wake_test.go
@@ -13,9 +13,9 @@
 	c := New(cfg, "b", "dc", 1, rand.New(rand.NewPCG(1, 1)))
 	now := time.Unix(1000, 0)
 	assert.Equal(t, c.Wake(now), cfg.Tick, "not started")
-	c.Step(now, Members{Home: []string{"a", "b", "c"}})
+	c.Step(now, Members{Local: []string{"a", "b", "c"}})
 	assert.Equal(t, c.Wake(now), cfg.Tick, "not joined")
-	c.Step(now, FromStore{Whole: true})
+	c.Step(now, FromStore{Complete: true})
 	assert.Assert(t, c.Joined())
 	c.watching = false
 	now = now.Add(cfg.DigestInterval)
@@ -34,6 +34,6 @@
 	assert.Equal(t, c.Wake(digest.Add(time.Millisecond)), cfg.Tick)
 	c.Step(digest.Add(2*cfg.Tick), Tick{})
 	assert.Assert(t, c.Wake(digest.Add(2*cfg.Tick)) > cfg.Tick)
-	c.Step(digest.Add(3*cfg.Tick), Members{Home: []string{"b", "c"}})
+	c.Step(digest.Add(3*cfg.Tick), Members{Local: []string{"b", "c"}})
 	assert.Assert(t, c.Wake(digest.Add(3*cfg.Tick)) <= cfg.RepairDelay, "a member was lost")
 }
--- a/core/spread/watch.go
+++ b/core/spread/watch.go
@@ -27,7 +27,7 @@
 // updateWatch starts or stops watching the store according to the member view. A lost watcher
 // is replaced by the next router in order as soon as the member view says that it is lost.
 func (c *Core) updateWatch() {
-	on := slices.Contains(c.watchersOf(c.dc, c.members.Home, c.storeStates), c.self)
+	on := slices.Contains(c.watchersOf(c.dc, c.members.Local, c.storeStates), c.self)
 	if on == c.watching {
 		return
 	}
@@ -43,16 +43,16 @@
 	}
 	c.storeUp = up
 	c.storeSeq++
-	m := Message{Kind: StoreState, Root: c.self, Life: c.incarnation, Seq: c.storeSeq, Up: up}
+	m := Message{Kind: StoreState, Root: c.self, Incarnation: c.incarnation, Seq: c.storeSeq, Up: up}
 	c.receiveStoreState(&m)
 }
 
 func (c *Core) receiveStoreState(m *Message) {
 	old, ok := c.storeStates[m.Root]
-	if ok && (m.Life < old.incarnation || m.Life == old.incarnation && m.Seq <= old.seq) {
+	if ok && (m.Incarnation < old.incarnation || m.Incarnation == old.incarnation && m.Seq <= old.seq) {
 		return
 	}
-	c.storeStates[m.Root] = storeState{incarnation: m.Life, seq: m.Seq, down: !m.Up}
+	c.storeStates[m.Root] = storeState{incarnation: m.Incarnation, seq: m.Seq, down: !m.Up}
 	for _, child := range c.children(m.Root) {
 		c.send(child, *m)
 	}
--- a/lab/fleet/full.go
+++ b/lab/fleet/full.go
@@ -148,7 +148,7 @@
 
 // members is the view as the dissemination core takes it.
 func (n *fullNode) members(v *membership.View) spread.Members {
-	m := spread.Members{Home: names(v.Live(n.self.DataCentre))}
+	m := spread.Members{Local: names(v.Live(n.self.DataCentre))}
 	for _, dc := range v.DataCentres() {
 		if dc != n.self.DataCentre {
 			m.Remote = append(m.Remote, spread.DataCentre{Name: dc, Live: names(v.Live(dc))})
@@ -192,7 +192,7 @@
 	for _, e := range n.f.records {
 		list = append(list, e)
 	}
-	n.stepSpread(n.f.Net.Now(), spread.FromStore{Entries: list, Whole: true, Upto: n.f.rev})
+	n.stepSpread(n.f.Net.Now(), spread.FromStore{Entries: list, Complete: true, Revision: n.f.rev})
 }
 
 func (f *Full) count(from, to string, protocol int, encode func() ([]byte, error)) {
@@ -239,7 +239,7 @@
 		}
 		f.Net.After(f.delay()+f.storeFar(name), func() {
 			if f.nodes[name] == n && !f.cutFromStore(name) {
-				n.stepSpread(f.Net.Now(), spread.FromStore{Entries: []spread.Entry{e}, Upto: e.Revision})
+				n.stepSpread(f.Net.Now(), spread.FromStore{Entries: []spread.Entry{e}, Revision: e.Revision})
 			}
 		})
 	}
--- a/peer/wire/confirm.go
+++ b/peer/wire/confirm.go
@@ -15,7 +15,7 @@
 
 // EncodeConfirm returns the payload of a message.
 func EncodeConfirm(m *confirm.Message) ([]byte, error) {
-	p := &peerpb.Confirm{Kind: peerpb.Confirm_Kind(m.Kind), Life: m.Life, Sequence: m.Sequence, Surely: m.Surely, EarlierUs: uint32(m.Earlier / time.Microsecond)}
+	p := &peerpb.Confirm{Kind: peerpb.Confirm_Kind(m.Kind), Life: m.Incarnation, Sequence: m.Sequence, Surely: m.Reliable, EarlierUs: uint32(m.Earlier / time.Microsecond)}
 	for _, k := range m.Known {
 		p.Known = append(p.Known, &peerpb.KnownRecord{Target: k.Target, Revision: k.Revision})
 	}
@@ -39,7 +39,7 @@
 	if len(p.Known) > confirm.MaxTargets || len(p.Changed) > confirm.MaxTargets {
 		return confirm.Message{}, errors.Errorf("confirmation of %d and %d records", len(p.Known), len(p.Changed))
 	}
-	m := confirm.Message{Kind: confirm.Kind(p.Kind), Life: p.Life, Sequence: p.Sequence, Surely: p.Surely, Earlier: time.Duration(p.EarlierUs) * time.Microsecond}
+	m := confirm.Message{Kind: confirm.Kind(p.Kind), Incarnation: p.Life, Sequence: p.Sequence, Reliable: p.Surely, Earlier: time.Duration(p.EarlierUs) * time.Microsecond}
 	for _, k := range p.Known {
 		m.Known = append(m.Known, confirm.Known{Target: k.Target, Revision: k.Revision})
 	}
--- a/peer/wire/confirm_test.go
+++ b/peer/wire/confirm_test.go
@@ -15,10 +15,10 @@
 
 func TestConfirmationsSurviveTheWire(t *testing.T) {
 	messages := []confirm.Message{
-		{Kind: confirm.Question, Life: 1 << 60, Sequence: 7, Surely: true, Known: []confirm.Known{{Target: "t0", Revision: 3}, {Target: "t1"}}},
-		{Kind: confirm.Answer, Life: 1, Sequence: 8, Earlier: 7 * time.Millisecond, Changed: []confirm.Change{{Index: 1, Revision: 9, Value: []byte("v")}}},
-		{Kind: confirm.Pending, Life: 1, Sequence: 9},
-		{Kind: confirm.Refusal, Life: 1, Sequence: 10},
+		{Kind: confirm.Question, Incarnation: 1 << 60, Sequence: 7, Reliable: true, Known: []confirm.Known{{Target: "t0", Revision: 3}, {Target: "t1"}}},
+		{Kind: confirm.Answer, Incarnation: 1, Sequence: 8, Earlier: 7 * time.Millisecond, Changed: []confirm.Change{{Index: 1, Revision: 9, Value: []byte("v")}}},
+		{Kind: confirm.Pending, Incarnation: 1, Sequence: 9},
+		{Kind: confirm.Refusal, Incarnation: 1, Sequence: 10},
 	}
 	for _, m := range messages {
 		b, err := EncodeConfirm(&m)
--- a/peer/wire/fuzz_test.go
+++ b/peer/wire/fuzz_test.go
@@ -71,7 +71,7 @@
 
 func FuzzDecodeConfirm(f *testing.F) {
 	whole, err := EncodeConfirm(&confirm.Message{
-		Kind: confirm.Kind(peerpb.Confirm_QUESTION), Life: 2, Sequence: 3, Known: []confirm.Known{{Target: "t", Revision: 4}},
+		Kind: confirm.Kind(peerpb.Confirm_QUESTION), Incarnation: 2, Sequence: 3, Known: []confirm.Known{{Target: "t", Revision: 4}},
 		Changed: []confirm.Change{{Index: 1, Revision: 5, Value: []byte("v")}},
 	})
 	damaged(f, whole, err)
--- a/peer/wire/spread.go
+++ b/peer/wire/spread.go
@@ -11,7 +11,7 @@
 // EncodeSpread returns the payload of a dissemination message.
 func EncodeSpread(m *spread.Message) ([]byte, error) {
 	p := &peerpb.SpreadMessage{
-		Kind: uint32(m.Kind), Root: m.Root, Seq: m.Seq, Life: m.Life,
+		Kind: uint32(m.Kind), Root: m.Root, Seq: m.Seq, Life: m.Incarnation,
 		Sum: m.Sum, Max: m.Max, Reply: m.Reply, Sums: m.Sums,
 		Group: m.Group, Hashes: m.Hashes, After: m.After, Done: m.Done,
 		Up: m.Up, ReplyTo: m.ReplyTo,
@@ -64,7 +64,7 @@
 		return spread.Message{}, errors.Wrap(err, "decode spread message")
 	}
 	m := spread.Message{
-		Kind: spread.Kind(narrow(p.Kind)), Root: p.Root, Seq: p.Seq, Life: p.Life,
+		Kind: spread.Kind(narrow(p.Kind)), Root: p.Root, Seq: p.Seq, Incarnation: p.Life,
 		Sum: p.Sum, Max: p.Max, Reply: p.Reply, Sums: p.Sums,
 		Group: p.Group, Hashes: p.Hashes, After: p.After, Done: p.Done,
 		Up: p.Up, ReplyTo: p.ReplyTo,
--- a/peer/wire/wire_test.go
+++ b/peer/wire/wire_test.go
@@ -46,7 +46,7 @@
 func TestSpreadMessageSurvivesTheWire(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := spread.Message{
-			Kind: spread.Kind(rapid.IntRange(0, 14).Draw(t, "kind")), Root: "a", Seq: 4, Life: 5,
+			Kind: spread.Kind(rapid.IntRange(0, 14).Draw(t, "kind")), Root: "a", Seq: 4, Incarnation: 5,
 			Sum: rapid.Uint64().Draw(t, "sum"), Max: rapid.Uint64().Draw(t, "max"), Reply: rapid.Bool().Draw(t, "reply"),
 			Sums: []uint64{1, 1 << 63}, Group: 9, Items: []spread.Item{{Hash: 1 << 62, Revision: 8}},
 			Hashes: []uint64{77}, After: "config/x", Done: rapid.Bool().Draw(t, "done"), Up: true, ReplyTo: "b",
--- a/router/ask.go
+++ b/router/ask.go
@@ -39,7 +39,7 @@
 	for len(silent) > 0 {
 		select {
 		case rows := <-answers:
-			spread.KeepBest(found, rows)
+			spread.MergeRows(found, rows)
 			for i := range rows {
 				if ownReport(&rows[i]) {
 					delete(silent, rows[i].Router)
--- a/router/confirmduty.go
+++ b/router/confirmduty.go
@@ -40,7 +40,7 @@
 		core: confirm.New(confirm.Config{
 			Self:       confirm.Router{Name: r.self.Name, Incarnation: r.self.Incarnation},
 			DataCentre: r.self.DataCentre,
-			Every:      r.opts.Settings.Timers.GrantRenew,
+			Interval:   r.opts.Settings.Timers.GrantRenew,
 			PerRelay:   r.opts.Settings.Store.RoutersPerRelay,
 		}),
 	}
--- a/router/patches.go
+++ b/router/patches.go
@@ -15,9 +15,9 @@
 
 // patchDropped counts and tells of a patch that was not taken. That its base is not held
 // happens after a loss; a wrong one says that the sender is at fault.
-func (r *Router) patchDropped(a spread.Unpatched) {
+func (r *Router) patchDropped(a spread.PatchDropped) {
 	cause := "base"
-	if a.Wrong {
+	if a.Invalid {
 		cause = "wrong"
 		r.log.Warn("patch of a record dropped, it does not give what its sender holds", "key", a.Key, "from", a.From)
 	}
--- a/router/recordduty.go
+++ b/router/recordduty.go
@@ -122,7 +122,7 @@
 	for _, dc := range view.DataCentres() {
 		names := liveNames(view, dc)
 		if dc == d.r.self.DataCentre {
-			e.Home = names
+			e.Local = names
 			continue
 		}
 		e.Remote = append(e.Remote, spread.DataCentre{Name: dc, Live: names})
@@ -181,7 +181,7 @@
 		d.duty.TellLater(spread.Answer{To: a.To, ID: a.ID, Rows: d.rows()})
 	case spread.Answered:
 		d.answered(a)
-	case spread.Unpatched:
+	case spread.PatchDropped:
 		d.r.patchDropped(a)
 	case spread.Refused:
 		d.r.journal.Record(eventlog.Event{
@@ -195,7 +195,7 @@
 
 func (d *recordDuty) send(a *spread.Send) {
 	if a.Message.Kind == spread.Patched && !d.r.readsPatches(a.To) {
-		d.step(spread.Unread{To: a.To, Message: a.Message})
+		d.step(spread.PatchesUnsupported{To: a.To, Message: a.Message})
 		return
 	}
 	payload, err := wire.EncodeSpread(&a.Message)
--- a/router/storewatch.go
+++ b/router/storewatch.go
@@ -60,7 +60,7 @@
 		return err
 	}
 	w.reached(true)
-	w.d.duty.Tell(spread.FromStore{Entries: entriesOf(records), Whole: true, Upto: uint64(revision)})
+	w.d.duty.Tell(spread.FromStore{Entries: entriesOf(records), Complete: true, Revision: uint64(revision)})
 	for silent := 0; silent < silentCalls; {
 		changed, next, err := w.next(revision)
 		if err != nil || w.ctx.Err() != nil {
@@ -75,7 +75,7 @@
 		}
 		silent = 0
 		w.d.r.members.witness()
-		w.d.duty.Tell(spread.FromStore{Entries: entriesOf(changed), Upto: uint64(next)})
+		w.d.duty.Tell(spread.FromStore{Entries: entriesOf(changed), Revision: uint64(next)})
 		revision = next
 	}
 	return nil
