--- a/target/sample/control.go
+++ b/target/sample/control.go
@@ -11,8 +11,8 @@
 const maxGrantBytes = 4 << 20
 
 func (s *Server) serveGrants(w http.ResponseWriter, r *http.Request) {
-	s.Faults.gate(s.stopped)
-	if s.Faults.now().deafToGrant {
+	s.Faults.waitUnfrozen(s.stopped)
+	if s.Faults.current().dropGrants {
 		select {
 		case <-r.Context().Done():
 		case <-s.stopped.Done():
@@ -27,7 +27,7 @@
 	writeJSON(w, http.StatusOK, s.Grant(batch))
 }
 
-// Grant takes one batch, as the HTTP endpoint does.
+// Grant applies one batch, as the HTTP endpoint does.
 func (s *Server) Grant(batch *target.GrantBatch) *target.GrantReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,7 +40,7 @@
 		Draining: s.draining,
 	}
 	for _, unit := range revoked {
-		if s.busyUnit[unit] > 0 {
+		if s.busyByUnit[unit] > 0 {
 			reply.Busy = append(reply.Busy, unit)
 		}
 	}
@@ -48,17 +48,17 @@
 }
 
 func (s *Server) serveHealth(w http.ResponseWriter, _ *http.Request) {
-	s.Faults.gate(s.stopped)
+	s.Faults.waitUnfrozen(s.stopped)
 	s.mu.Lock()
 	health := target.Health{Ready: true, Draining: s.draining, Load: s.load(), Cold: s.cold()}
 	s.mu.Unlock()
-	if s.Faults.now().lieReady {
+	if s.Faults.current().misreportReady {
 		health.Draining, health.Cold = false, false
 	}
 	writeJSON(w, http.StatusOK, &health)
 }
 
-// writeJSON sends the whole body at once, so that net/http gives it a length.
+// writeJSON writes the whole body in one call, so that net/http sets Content-Length.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -66,5 +66,5 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(append(encoded, '\n')) // an error means that the sender has gone
+	_, _ = w.Write(append(encoded, '\n')) // a write error means that the client closed the connection
 }
--- a/target/sample/faults.go
+++ b/target/sample/faults.go
@@ -9,9 +9,9 @@
 // Cut is the point of a request at which the server closes the connection.
 type Cut uint8
 
-// The points. CutBeforeRun has read only the header and runs nothing;
-// CutAfterRun has run the request and not begun the answer; CutMidAnswer has sent
-// part of the answer's body.
+// CutBeforeRun closes the connection after reading only the header, and runs nothing.
+// CutAfterRun closes it after running the request and before sending the answer.
+// CutMidAnswer closes it after sending part of the answer's body.
 const (
 	CutNone Cut = iota
 	CutBeforeRun
@@ -19,72 +19,72 @@
 	CutMidAnswer
 )
 
-// Faults are the switches of a Server. All may be turned while it runs.
+// Faults injects faults into a Server. All faults can be switched while it runs.
 type Faults struct {
-	mu     sync.Mutex
-	frozen chan struct{}
-	state  faultState
-	cuts   []Cut
+	mu sync.Mutex
+	// unfrozen is closed by Unfreeze; nil while the server is not frozen.
+	unfrozen chan struct{}
+	state    faultState
+	cuts     []Cut
 }
 
-// faultState is what a request sees of the switches, as one copy.
+// faultState holds the settings of the faults; a request reads one consistent copy of them.
 type faultState struct {
-	delay       time.Duration
-	refuse      string
-	lieReady    bool
-	load        float64
-	lieLoad     bool
-	ignoreGone  bool
-	deafToGrant bool
-	failWork    bool
+	delay          time.Duration
+	refuseCause    string
+	misreportReady bool
+	reportedLoad   float64
+	misreportLoad  bool
+	ignoreCancel   bool
+	dropGrants     bool
+	failWork       bool
 }
 
-// Freeze stops all work and all answers, control included, as a paused process
-// does; connections are still accepted. Unfreeze lets everything go on as if
-// nothing had happened.
+// Freeze stops all work and all answers, including those on the control endpoints, as
+// in a suspended process; connections are still accepted.
 func (f *Faults) Freeze() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.frozen == nil {
-		f.frozen = make(chan struct{})
+	if f.unfrozen == nil {
+		f.unfrozen = make(chan struct{})
 	}
 }
 
-// Unfreeze ends Freeze.
+// Unfreeze resumes the work and the answers that Freeze stopped.
 func (f *Faults) Unfreeze() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.frozen != nil {
-		close(f.frozen)
-		f.frozen = nil
+	if f.unfrozen != nil {
+		close(f.unfrozen)
+		f.unfrozen = nil
 	}
 }
 
-// Slow adds a time to the work of each request.
+// Slow adds a delay to the work of each request.
 func (f *Faults) Slow(delay time.Duration) { f.set(func(s *faultState) { s.delay = delay }) }
 
-// Refuse answers each request "not run" with the cause; "" ends it.
-func (f *Faults) Refuse(cause string) { f.set(func(s *faultState) { s.refuse = cause }) }
+// Refuse makes the server answer each request "not run" with the cause; "" ends the fault.
+func (f *Faults) Refuse(cause string) { f.set(func(s *faultState) { s.refuseCause = cause }) }
 
-// FailWork answers each request with status 500 and runs nothing; grants and health
-// go on as if all were well.
+// FailWork makes the server answer each request with status 500 and run nothing; grants
+// and health are answered normally.
 func (f *Faults) FailWork(on bool) { f.set(func(s *faultState) { s.failWork = on }) }
 
-// LieReady makes the health say "ready, not draining, not cold" whatever is true.
-func (f *Faults) LieReady(on bool) { f.set(func(s *faultState) { s.lieReady = on }) }
+// LieReady makes the server report "ready, not draining, not cold" as its health, whatever its state.
+func (f *Faults) LieReady(on bool) { f.set(func(s *faultState) { s.misreportReady = on }) }
 
 // LieLoad makes the health and the grant replies report a fixed load.
 func (f *Faults) LieLoad(on bool, load float64) {
-	f.set(func(s *faultState) { s.lieLoad, s.load = on, load })
+	f.set(func(s *faultState) { s.misreportLoad, s.reportedLoad = on, load })
 }
 
-// IgnoreCancel makes the server run requests whose sender has gone meanwhile.
-func (f *Faults) IgnoreCancel(on bool) { f.set(func(s *faultState) { s.ignoreGone = on }) }
+// IgnoreCancel makes the server run requests that their sender has cancelled.
+func (f *Faults) IgnoreCancel(on bool) { f.set(func(s *faultState) { s.ignoreCancel = on }) }
 
-// DropGrants makes the server leave grants unanswered until their sender gives up.
-func (f *Faults) DropGrants(on bool) { f.set(func(s *faultState) { s.deafToGrant = on }) }
+// DropGrants makes the server leave grants unanswered until their sender cancels them.
+func (f *Faults) DropGrants(on bool) { f.set(func(s *faultState) { s.dropGrants = on }) }
 
-// CutNext cuts the connections of the next requests, one point for each.
+// CutNext cuts the connections of the next len(points) requests, each at its point.
 func (f *Faults) CutNext(points ...Cut) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -97,7 +97,7 @@
 	change(&f.state)
 }
 
-func (f *Faults) now() faultState {
+func (f *Faults) current() faultState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.state
@@ -114,17 +114,17 @@
 	return cut
 }
 
-// gate holds a request back while the server is frozen or closing.
-func (f *Faults) gate(stop context.Context) {
+// waitUnfrozen blocks while the server is frozen, until stop is done at the latest.
+func (f *Faults) waitUnfrozen(stop context.Context) {
 	for {
 		f.mu.Lock()
-		frozen := f.frozen
+		unfrozen := f.unfrozen
 		f.mu.Unlock()
-		if frozen == nil {
+		if unfrozen == nil {
 			return
 		}
 		select {
-		case <-frozen:
+		case <-unfrozen:
 		case <-stop.Done():
 			return
 		}
--- a/target/sample/grants.go
+++ b/target/sample/grants.go
@@ -1,6 +1,6 @@
-// Package sample is a small target: a server that holds state for the keys that
-// it owns, obeys grants as its settings say, drains, sheds load, and has switches
-// for faults. The dev command and tests use it; it shows what a real target does.
+// Package sample is a small target: a server that keeps state for the keys that it
+// holds, checks grants as its settings say, drains, sheds load, and injects faults.
+// The dev command and tests use it; it shows what a real target does.
 package sample
 
 import (
@@ -11,7 +11,7 @@
 	"tarragongw/target"
 )
 
-// Causes for which a batch or a request is refused.
+// Causes for refusing a batch or a request.
 const (
 	CauseTerm     = target.CauseTerm
 	CauseSequence = "sequence"
@@ -27,8 +27,8 @@
 	CauseRequest  = "request"
 )
 
-// Grants is what a target knows about its grants. It does no I/O and has no
-// clock; it isn't safe for concurrent use.
+// Grants is the state of a target's grants. It does no I/O and reads no clock. It is
+// not safe for concurrent use.
 type Grants struct {
 	// Undivided says that the target's service is not divided by key, so that
 	// requests belong to no unit.
@@ -38,8 +38,8 @@
 	term     uint64
 	sequence uint64
 	held     map[string]uint64
-	// highest keeps the greatest token seen for each unit, also of revoked ones: an
-	// older one that comes late must not give the unit back.
+	// highest holds the greatest token seen for each unit, including revoked units: a
+	// delayed grant with an older token must not grant the unit again.
 	highest map[string]uint64
 	digest  uint64
 	expires time.Time
@@ -50,10 +50,11 @@
 	return &Grants{check: check, held: map[string]uint64{}, highest: map[string]uint64{}}
 }
 
-// Apply takes one batch at the time now. It returns why the batch is refused, or
-// "" and the units that it revoked, in order of name. A refused batch changes nothing.
+// Apply applies one batch at the time now. It returns the cause if the batch is refused;
+// otherwise "" and the units that the batch revoked, sorted by name. A refused batch
+// changes nothing.
 func (g *Grants) Apply(b *target.GrantBatch, now time.Time) (cause string, revoked []string) {
-	if cause := g.refuse(b); cause != "" {
+	if cause := g.refusalCause(b); cause != "" {
 		return cause, nil
 	}
 	g.term, g.sequence = b.Term, b.Sequence
@@ -65,16 +66,16 @@
 		revoked = g.revokeAbsent(b.Units)
 	}
 	for _, u := range b.Units {
-		g.hold(u)
+		g.addUnit(u)
 	}
 	return "", revoked
 }
 
-// refuse returns why a batch doesn't fit. Without a check of tokens a target
-// obeys whoever orders, an old grantor included.
-func (g *Grants) refuse(b *target.GrantBatch) string {
+// refusalCause returns the cause for refusing the batch, or "". A target that doesn't
+// check tokens accepts batches from any grantor, including an earlier one.
+func (g *Grants) refusalCause(b *target.GrantBatch) string {
 	if b.Fence {
-		return g.refuseOrder(b)
+		return g.staleCause(b)
 	}
 	if b.TTLMillis <= 0 {
 		return CauseTTL
@@ -86,7 +87,7 @@
 	if !renewal && b.Digest != target.Digest(b.Units) {
 		return CauseDigest
 	}
-	if cause := g.refuseOrder(b); cause != "" {
+	if cause := g.staleCause(b); cause != "" {
 		return cause
 	}
 	if !g.check.ChecksTokens {
@@ -100,8 +101,8 @@
 	return ""
 }
 
-// refuseOrder returns why the term or the sequence doesn't fit.
-func (g *Grants) refuseOrder(b *target.GrantBatch) string {
+// staleCause returns the cause for refusing a batch with an old term or sequence, or "".
+func (g *Grants) staleCause(b *target.GrantBatch) string {
 	if !g.check.ChecksTokens {
 		return ""
 	}
@@ -133,7 +134,7 @@
 	return revoked
 }
 
-func (g *Grants) hold(u target.UnitGrant) {
+func (g *Grants) addUnit(u target.UnitGrant) {
 	if token, ok := g.held[u.Unit]; ok {
 		g.digest -= target.DigestOf(target.UnitGrant{Unit: u.Unit, Token: token})
 	}
@@ -142,9 +143,9 @@
 	g.digest += target.DigestOf(u)
 }
 
-// Admit returns why a request is refused at the time now, or "". It must be asked
-// in the same critical section that runs the request: a process that is paused
-// between the two would run work of a unit that another owns by then.
+// Admit returns the cause for refusing a request at the time now, or "". It must be
+// called in the critical section that runs the request: a process that is suspended
+// between the two could run work of a unit that another target holds by then.
 func (g *Grants) Admit(unit string, token, term uint64, now time.Time) string {
 	if !g.check.ChecksTokens && !g.check.Expires {
 		return ""
@@ -171,7 +172,7 @@
 	return ""
 }
 
-// admitUndivided checks the term alone: there are no units to hold.
+// admitUndivided checks only the term, because an undivided service has no units.
 func (g *Grants) admitUndivided(term uint64) string {
 	if g.check.ChecksTokens && term != g.term {
 		return CauseTerm
@@ -179,11 +180,11 @@
 	return ""
 }
 
-// Term returns the highest term obeyed.
+// Term returns the term of the last batch accepted.
 func (g *Grants) Term() uint64 { return g.term }
 
-// Held returns the units held at the time now, in order of name. A target that
-// lets grants lapse holds nothing once they have.
+// Held returns the units held at the time now, sorted by name. A target whose grants
+// expire holds nothing after their expiry.
 func (g *Grants) Held(now time.Time) []target.UnitGrant {
 	if g.check.Expires && !now.Before(g.expires) {
 		return nil
--- a/target/sample/server.go
+++ b/target/sample/server.go
@@ -25,56 +25,55 @@
 	Name string
 	// Address to listen on; "" means a free port of 127.0.0.1.
 	Address string
-	// Slots bounds the requests worked on at once; more are shed. Zero means no bound.
+	// Slots limits the requests in flight; the server sheds those beyond. Zero means no limit.
 	Slots int
-	// NoShed takes work beyond Slots instead of refusing it, so that Busiest shows what
-	// routers send.
+	// NoShed accepts requests beyond Slots instead of refusing them, so that Busiest shows
+	// how many requests routers send at once.
 	NoShed bool
-	// Grants says what it checks by itself.
+	// Grants says which properties of grants the server checks.
 	Grants model.GrantCheck
-	// Undivided says that its service is not divided by key.
+	// Undivided says that the service is not divided by key.
 	Undivided bool
 	// Work is the time that each request takes.
 	Work time.Duration
-	// ColdFor is how long it is cold after its start, and ColdWork what a request
-	// takes in addition meanwhile.
+	// ColdFor is how long the server is cold after its start; ColdWork is the additional
+	// time that a request takes while it is cold.
 	ColdFor  time.Duration
 	ColdWork time.Duration
-	// Now tells the time for grants, records and the cold start; nil means time.Now.
+	// Now returns the time for grants, executions and the cold start; nil means time.Now.
 	Now func() time.Time
-	// TLS is for the listener; nil is plain text.
+	// TLS is the configuration of the listener; nil means plain text.
 	TLS *tls.Config
-	// Log collects executions; nil means a log of its own.
+	// Log collects executions; nil means a new log for this server alone.
 	Log *Log
-	// Seen is shown each request for work as it arrives; nil means nobody. It must not
-	// keep it.
+	// Seen, if set, is called with each request for work when it arrives. It must not
+	// retain the request.
 	Seen func(*http.Request)
 }
 
-// Server is a small target.
+// Server is a small target, whose faults can be switched while it runs.
 type Server struct {
-	// Faults are its switches.
 	Faults Faults
 
 	cfg     Config
 	started time.Time
 
-	mu       sync.Mutex
-	grants   *Grants
-	values   map[string]entry
-	busy     int
-	busiest  int
-	arrivals int
-	busyUnit map[string]int
-	draining bool
-
-	http     *http.Server
-	listener net.Listener
-	stop     context.CancelFunc
-	stopped  context.Context
-	served   chan struct{}
-	// handlers is counted up under mu, and not at all once stopped has ended: none begins
-	// beside Close's wait.
+	mu         sync.Mutex
+	grants     *Grants
+	values     map[string]entry
+	busy       int
+	busiest    int
+	arrivals   int
+	busyByUnit map[string]int
+	draining   bool
+
+	http      *http.Server
+	listener  net.Listener
+	stop      context.CancelFunc
+	stopped   context.Context
+	serveDone chan struct{}
+	// handlers counts the running handlers. It is incremented only under mu and only until
+	// stopped is done, so that no handler starts while Close waits.
 	handlers sync.WaitGroup
 }
 
@@ -90,7 +89,7 @@
 	return g
 }
 
-// New returns a server that doesn't listen yet; its Handler can be used at once.
+// New returns a server that is not listening yet; its Handler can be used at once.
 func New(cfg Config) *Server {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
@@ -102,18 +101,18 @@
 		cfg.Address = "127.0.0.1:0"
 	}
 	s := &Server{
-		cfg:      cfg,
-		started:  cfg.Now(),
-		grants:   newGrants(&cfg),
-		values:   map[string]entry{},
-		busyUnit: map[string]int{},
-		served:   make(chan struct{}),
+		cfg:        cfg,
+		started:    cfg.Now(),
+		grants:     newGrants(&cfg),
+		values:     map[string]entry{},
+		busyByUnit: map[string]int{},
+		serveDone:  make(chan struct{}),
 	}
 	s.stopped, s.stop = context.WithCancel(context.Background())
 	return s
 }
 
-// Start listens and serves until Close.
+// Start starts listening and serves requests until Close.
 func (s *Server) Start() error {
 	listener, err := net.Listen("tcp", s.cfg.Address)
 	if err != nil {
@@ -122,8 +121,8 @@
 	s.listener = listener
 	s.http = &http.Server{Handler: s.Handler(), ReadHeaderTimeout: readHeaderTimeout, TLSConfig: s.cfg.TLS}
 	go func() {
-		defer close(s.served)
-		_ = s.serve(listener) // always ends with ErrServerClosed, by Close
+		defer close(s.serveDone)
+		_ = s.serve(listener) // returns ErrServerClosed after Close
 	}()
 	return nil
 }
@@ -135,40 +134,40 @@
 	return s.http.Serve(listener)
 }
 
-// Addr returns host:port of a started server.
+// Addr returns the host:port of a started server.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Log returns the log of executions.
 func (s *Server) Log() *Log { return s.cfg.Log }
 
-// Close cuts all connections, ends the work in flight without running it and
-// waits for it.
+// Close closes all connections, ends the requests in flight without running them, and
+// waits for their handlers.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.stop()
 	s.mu.Unlock()
 	if s.http != nil {
 		_ = s.http.Close()
-		<-s.served
+		<-s.serveDone
 	}
 	s.handlers.Wait()
 }
 
-// Shutdown accepts no connection any more and waits until the work in flight has
-// ended or ctx has; then it closes what is left.
+// Shutdown stops accepting connections and waits until the requests in flight have ended
+// or ctx is done. Then it closes the server.
 func (s *Server) Shutdown(ctx context.Context) error {
 	defer s.Close()
 	return s.http.Shutdown(ctx)
 }
 
-// Busiest returns the greatest number of requests that were at work at once.
+// Busiest returns the greatest number of requests that were in flight at once.
 func (s *Server) Busiest() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.busiest
 }
 
-// Busy returns the number of requests at work.
+// Busy returns the number of requests in flight.
 func (s *Server) Busy() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -183,8 +182,8 @@
 	return s.arrivals
 }
 
-// Drain makes the server say that it wants no new work. It goes on running what
-// it is sent, as the grantor decides when to stop sending.
+// Drain makes the server report that it wants no new work. It still runs the requests
+// that it receives, because the grantor decides when to stop sending.
 func (s *Server) Drain(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -198,7 +197,7 @@
 	mux.HandleFunc("GET "+target.PathHealth, s.serveHealth)
 	mux.HandleFunc("/", s.serveWork)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !s.arrive() {
+		if !s.registerHandler() {
 			panic(http.ErrAbortHandler) // ends the connection without an answer
 		}
 		defer s.handlers.Done()
@@ -206,8 +205,8 @@
 	})
 }
 
-// arrive counts a handler in, unless the server is closed.
-func (s *Server) arrive() bool {
+// registerHandler adds a handler to handlers; false means that the server is closed.
+func (s *Server) registerHandler() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.stopped.Err() != nil {
@@ -221,8 +220,8 @@
 
 // load is called with mu held.
 func (s *Server) load() float64 {
-	if lie := s.Faults.now(); lie.lieLoad {
-		return lie.load
+	if faults := s.Faults.current(); faults.misreportLoad {
+		return faults.reportedLoad
 	}
 	if s.cfg.Slots == 0 {
 		return 0
--- a/target/sample/server_test.go
+++ b/target/sample/server_test.go
@@ -20,16 +20,16 @@
 	"tarragongw/target/sample"
 )
 
-// side is a started target with the router's two sides of it.
-type side struct {
+// testTarget is a started target with the two clients that a router has for it.
+type testTarget struct {
 	*sample.Server
 	pool    *target.Pool
 	control *target.Control
 }
 
-func start(t *testing.T, cfg sample.Config) *side {
+func start(t *testing.T, cfg sample.Config) *testTarget {
 	t.Helper()
-	s := &side{Server: sample.New(cfg)}
+	s := &testTarget{Server: sample.New(cfg)}
 	assert.NilError(t, s.Start())
 	t.Cleanup(s.Server.Close)
 	var err error
@@ -42,11 +42,11 @@
 	return s
 }
 
-func (s *side) do(t *testing.T, ctx context.Context, method, key, body string, order target.RequestHeaders) (*sample.Result, *fault.Fault) {
+func (s *testTarget) send(t *testing.T, ctx context.Context, method, key, body string, headers target.RequestHeaders) (*sample.Result, *fault.Fault) {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+s.Addr()+"/stall/"+key, strings.NewReader(body))
 	assert.NilError(t, err)
-	order.Set(r.Header)
+	headers.Set(r.Header)
 	resp, f := s.pool.Attempt(ctx, r)
 	if f != nil {
 		return nil, f
@@ -61,40 +61,40 @@
 	return result, nil
 }
 
-func grant(term, sequence uint64, units ...target.UnitGrant) *target.GrantBatch {
+func fullBatch(term, sequence uint64, units ...target.UnitGrant) *target.GrantBatch {
 	return &target.GrantBatch{Grantor: "r1", Term: term, Sequence: sequence, TTLMillis: 60_000,
 		Service: "faq", Full: true, Units: units, Digest: target.Digest(units)}
 }
 
-var both = model.GrantCheck{ChecksTokens: true, Expires: true}
+var tokensAndExpiry = model.GrantCheck{ChecksTokens: true, Expires: true}
 
 func TestWriteThenReadUnderAGrant(t *testing.T) {
-	s := start(t, sample.Config{Name: "t1", Grants: both, Slots: 3})
+	s := start(t, sample.Config{Name: "t1", Grants: tokensAndExpiry, Slots: 3})
 	ctx := context.Background()
-	order := target.RequestHeaders{RequestID: "a", Unit: "faq/1", Token: 1, Term: 1}
+	headers := target.RequestHeaders{RequestID: "a", Unit: "faq/1", Token: 1, Term: 1}
 
-	_, f := s.do(t, ctx, "PUT", "k", "v", order)
+	_, f := s.send(t, ctx, "PUT", "k", "v", headers)
 	faulttest.Is(t, f, fault.StaleRoute, fault.NotRun)
 	assert.Equal(t, f.Detail, sample.CauseUnit)
 	assert.Equal(t, f.RetryAfter, time.Second)
 
-	reply, err := s.control.Grant(ctx, grant(1, 1, target.UnitGrant{Unit: "faq/1", Token: 1}))
+	reply, err := s.control.Grant(ctx, fullBatch(1, 1, target.UnitGrant{Unit: "faq/1", Token: 1}))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, reply, &target.GrantReply{Accepted: true, Term: 1})
-	_, f = s.do(t, ctx, "PUT", "k", "v", order)
+	_, f = s.send(t, ctx, "PUT", "k", "v", headers)
 	assert.Assert(t, f == nil)
-	order.RequestID = "b"
-	result, f := s.do(t, ctx, "GET", "k", "", order)
+	headers.RequestID = "b"
+	result, f := s.send(t, ctx, "GET", "k", "", headers)
 	assert.Assert(t, f == nil)
 	assert.DeepEqual(t, result, &sample.Result{Target: "t1", Unit: "faq/1", Key: "k", Value: "v", Version: 1})
 	assert.Equal(t, s.Log().Runs("a"), 1)
 
-	reply, err = s.control.Grant(ctx, grant(0, 9))
+	reply, err = s.control.Grant(ctx, fullBatch(0, 9))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, reply, &target.GrantReply{Accepted: false, Term: 1, Cause: sample.CauseTerm})
 }
 
-func TestHealthAndItsLies(t *testing.T) {
+func TestHealthReportsStateUnlessMisreported(t *testing.T) {
 	s := start(t, sample.Config{Slots: 3, ColdFor: time.Hour})
 	ctx := context.Background()
 	s.Drain(true)
@@ -109,7 +109,7 @@
 }
 
 // waitForLoad polls until the target reports the load.
-func (s *side) waitForLoad(t *testing.T, load float64) {
+func (s *testTarget) waitForLoad(t *testing.T, load float64) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -123,23 +123,23 @@
 	}
 }
 
-func TestShedsLoadOverItsSlots(t *testing.T) {
+func TestShedsRequestsBeyondSlots(t *testing.T) {
 	s := start(t, sample.Config{Slots: 1, Work: time.Hour})
 	ctx, cancel := context.WithCancel(context.Background())
 	first := make(chan *fault.Fault)
 	go func() {
-		_, f := s.do(t, ctx, "POST", "k", "v", target.RequestHeaders{RequestID: "a"})
+		_, f := s.send(t, ctx, "POST", "k", "v", target.RequestHeaders{RequestID: "a"})
 		first <- f
 	}()
 	s.waitForLoad(t, 1)
-	_, f := s.do(t, context.Background(), "POST", "k", "v", target.RequestHeaders{RequestID: "b"})
+	_, f := s.send(t, context.Background(), "POST", "k", "v", target.RequestHeaders{RequestID: "b"})
 	assert.Equal(t, f.Kind, fault.TargetRefused)
 	assert.Equal(t, f.Detail, sample.CauseOverload)
 	cancel()
 	<-first
 }
 
-func TestCutsAndWhatRan(t *testing.T) {
+func TestCutPointDecidesWhetherRequestRuns(t *testing.T) {
 	cases := []struct {
 		cut  sample.Cut
 		runs int
@@ -153,17 +153,16 @@
 		t.Run(fmt.Sprint(c.cut), func(t *testing.T) {
 			s := start(t, sample.Config{})
 			s.Faults.CutNext(c.cut)
-			_, f := s.do(t, context.Background(), "POST", "k", "v", target.RequestHeaders{RequestID: "a"})
+			_, f := s.send(t, context.Background(), "POST", "k", "v", target.RequestHeaders{RequestID: "a"})
 			assert.Equal(t, f.Kind, c.kind)
 			assert.Equal(t, s.Log().Runs("a"), c.runs)
 		})
 	}
 }
 
-// Symptom: work of a caller who gave up takes effect much later.
-// Sequence: a request is at work, its caller cancels, the router closes the
-// connection, the work goes on and is run.
-// Cause: a target that doesn't look at the connection before it runs the work.
+// Guards against cancelled work that takes effect later: a caller cancels a request in
+// flight and the router closes the connection, but the target runs the work because it
+// doesn't check the connection first.
 func TestCancelledWorkIsNotRun(t *testing.T) {
 	s := start(t, sample.Config{Slots: 1, Work: time.Hour})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -171,24 +170,23 @@
 		s.waitForLoad(t, 1)
 		cancel()
 	}()
-	_, f := s.do(t, ctx, "POST", "k", "v", target.RequestHeaders{RequestID: "a"})
+	_, f := s.send(t, ctx, "POST", "k", "v", target.RequestHeaders{RequestID: "a"})
 	faulttest.Is(t, f, fault.CallerGone, fault.RanUnknown)
 	s.waitForLoad(t, 0)
 	assert.Equal(t, s.Log().Runs("a"), 0)
 }
 
-// Symptom: a request whose deadline passed is found to have run.
-// Sequence: the target freezes with the request in it, the deadline passes, the
-// target returns as if nothing had happened.
-// Cause: none that the router could mend, so it must say "unknown" and not "not run".
-func TestFrozenTargetRunsOnReturn(t *testing.T) {
+// A target that freezes with a request in flight may run it after the deadline has passed.
+// The router can't prevent this, so it must report "unknown" and not "not run".
+func TestFrozenTargetRunsExpiredRequestAfterUnfreeze(t *testing.T) {
 	ctx, cancel := context.WithCancelCause(context.Background())
-	passed := func(*http.Request) { cancel(context.DeadlineExceeded) }
-	s := start(t, sample.Config{Seen: passed})
+	expireDeadline := func(*http.Request) { cancel(context.DeadlineExceeded) }
+	s := start(t, sample.Config{Seen: expireDeadline})
 	s.Faults.IgnoreCancel(true)
 	s.Faults.Freeze()
-	// Without a body, of which the end may not have been sent when the caller gives up.
-	_, f := s.do(t, ctx, "POST", "k", "", target.RequestHeaders{RequestID: "a"})
+	// The request has no body, because the end of a body might not have been sent when the
+	// context is cancelled.
+	_, f := s.send(t, ctx, "POST", "k", "", target.RequestHeaders{RequestID: "a"})
 	faulttest.Is(t, f, fault.DeadlineExceeded, fault.RanUnknown)
 	assert.Equal(t, s.Log().Runs("a"), 0)
 	s.Faults.Unfreeze()
@@ -197,21 +195,21 @@
 	}
 }
 
-func TestDeadlineThatWorkCannotMeetIsRefused(t *testing.T) {
+func TestRequestThatCannotMeetItsDeadlineIsRefused(t *testing.T) {
 	s := start(t, sample.Config{Work: time.Hour})
-	_, f := s.do(t, context.Background(), "POST", "k", "v", target.RequestHeaders{RequestID: "a", TimeLeft: time.Second})
+	_, f := s.send(t, context.Background(), "POST", "k", "v", target.RequestHeaders{RequestID: "a", TimeLeft: time.Second})
 	assert.Equal(t, f.Ran, fault.NotRun)
 	assert.Equal(t, f.Detail, sample.CauseDeadline)
 	assert.Equal(t, s.Log().Runs("a"), 0)
 }
 
-// It guards against handlers that begin after Close has returned, or race with its wait.
-func TestCloseWaitsForRequestsThatArriveWithIt(t *testing.T) {
+// Guards against handlers that start after Close has returned or race with its wait.
+func TestCloseWaitsForConcurrentRequests(t *testing.T) {
 	for round := range 600 {
 		s := sample.New(sample.Config{Work: time.Millisecond})
 		assert.NilError(t, s.Start())
 		var callers sync.WaitGroup
-		callers.Go(func() { askUntilCut(s.Addr()) })
+		callers.Go(func() { requestUntilError(s.Addr()) })
 		time.Sleep(time.Duration(round%30) * 70 * time.Microsecond)
 		s.Close()
 		arrived := s.Arrivals()
@@ -220,8 +218,8 @@
 	}
 }
 
-// askUntilCut sends one request after the other until one fails.
-func askUntilCut(address string) {
+// requestUntilError sends requests one after another until one fails.
+func requestUntilError(address string) {
 	client := &http.Client{Transport: &http.Transport{}}
 	for {
 		resp, err := client.Get("http://" + address + "/stall/x")
@@ -233,11 +231,11 @@
 	}
 }
 
-func TestOverlapsAreFound(t *testing.T) {
+func TestOverlapsAndRepeatsAreFound(t *testing.T) {
 	log := sample.NewLog(100)
 	run := func(name, id string, token uint64) {
 		s := start(t, sample.Config{Name: name, Log: log})
-		_, f := s.do(t, context.Background(), "POST", "k", "v", target.RequestHeaders{RequestID: id, Unit: "faq/1", Token: token})
+		_, f := s.send(t, context.Background(), "POST", "k", "v", target.RequestHeaders{RequestID: id, Unit: "faq/1", Token: token})
 		assert.Assert(t, f == nil)
 	}
 	run("t1", "a", 1)
@@ -251,10 +249,10 @@
 	assert.DeepEqual(t, log.RepeatedOnce(), []string{"c"})
 }
 
-func TestRepeatedReadsAreNoRepeatedWrites(t *testing.T) {
+func TestRepeatedReadsAreNotInRepeatedOnce(t *testing.T) {
 	s := start(t, sample.Config{Name: "t1"})
 	for range 2 {
-		_, f := s.do(t, context.Background(), "GET", "k", "", target.RequestHeaders{RequestID: "a"})
+		_, f := s.send(t, context.Background(), "GET", "k", "", target.RequestHeaders{RequestID: "a"})
 		assert.Assert(t, f == nil)
 	}
 	assert.DeepEqual(t, s.Log().Repeated(), []string{"a"})
--- a/target/sample/work.go
+++ b/target/sample/work.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// maxValueBytes bounds what is kept of a body; the rest is read and counted.
+	// maxValueBytes limits the stored part of a body; the rest is only read and counted.
 	maxValueBytes = 4 << 10
-	// maxFillBytes bounds the answer that ?fill= asks for.
+	// maxFillBytes limits the size of an answer requested with ?fill=.
 	maxFillBytes = 1 << 30
 	fillChunk    = 32 << 10
 	// retrySeconds is the Retry-After of a refusal.
@@ -27,13 +27,13 @@
 	Key     string `json:"key"`
 	Value   string `json:"value"`
 	Version uint64 `json:"version"`
-	// Received is the number of bytes of the request's body.
+	// Received is the number of bytes in the request's body.
 	Received int64 `json:"received"`
 }
 
-// job is one request at work.
+// job is one request in flight.
 type job struct {
-	order    target.RequestHeaders
+	headers  target.RequestHeaders
 	method   string
 	key      string
 	body     string
@@ -52,59 +52,59 @@
 }
 
 // serveWork runs one request. GET and HEAD read a key; PUT, POST and PATCH write
-// the body as its value; DELETE empties it. ?fill=N adds an answer of N bytes.
+// the body as its value; DELETE clears it. With ?fill=N the answer's body is N zero bytes.
 func (s *Server) serveWork(w http.ResponseWriter, r *http.Request) {
 	if s.cfg.Seen != nil {
 		s.cfg.Seen(r)
 	}
-	s.Faults.gate(s.stopped)
-	order, err := target.ParseRequestHeaders(r.Header)
+	s.Faults.waitUnfrozen(s.stopped)
+	headers, err := target.ParseRequestHeaders(r.Header)
 	if err != nil {
-		refuse(w, CauseRequest)
+		writeRefusal(w, CauseRequest)
 		return
 	}
-	j := &job{order: order, method: r.Method, key: KeyOf(r), cut: s.Faults.nextCut()}
+	j := &job{headers: headers, method: r.Method, key: KeyOf(r), cut: s.Faults.nextCut()}
 	if j.cut == CutBeforeRun {
 		panic(http.ErrAbortHandler)
 	}
-	if cause := s.enter(j); cause != "" {
-		refuse(w, cause)
+	if cause := s.acquireSlot(j); cause != "" {
+		writeRefusal(w, cause)
 		return
 	}
-	defer s.exit(j)
-	if s.Faults.now().failWork {
+	defer s.releaseSlot(j)
+	if s.Faults.current().failWork {
 		writeJSON(w, http.StatusInternalServerError, map[string]string{"error": "the work failed"})
 		return
 	}
 	if err := j.readBody(r); err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	if cause := s.work(r, j); cause != "" {
-		refuse(w, cause)
+	if cause := s.simulateWork(r, j); cause != "" {
+		writeRefusal(w, cause)
 		return
 	}
 	result, cause := s.run(r, j)
 	if cause != "" {
-		refuse(w, cause)
+		writeRefusal(w, cause)
 		return
 	}
 	if j.cut == CutAfterRun {
 		panic(http.ErrAbortHandler)
 	}
-	answer(w, r, j, result)
+	writeResult(w, r, j, result)
 }
 
-// enter takes a slot, or returns why the request is refused.
-func (s *Server) enter(j *job) string {
+// acquireSlot takes a slot for the request, or returns the cause for refusing it.
+func (s *Server) acquireSlot(j *job) string {
 	s.mu.Lock()
 	s.arrivals++
 	s.mu.Unlock()
-	if cause := s.Faults.now().refuse; cause != "" {
+	if cause := s.Faults.current().refuseCause; cause != "" {
 		return cause
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if cause := s.grants.Admit(j.order.Unit, j.order.Token, j.order.Term, s.cfg.Now()); cause != "" {
+	if cause := s.grants.Admit(j.headers.Unit, j.headers.Token, j.headers.Term, s.cfg.Now()); cause != "" {
 		return cause
 	}
 	if s.cfg.Slots > 0 && s.busy >= s.cfg.Slots && !s.cfg.NoShed {
@@ -112,17 +112,17 @@
 	}
 	s.busy++
 	s.busiest = max(s.busiest, s.busy)
-	s.busyUnit[j.order.Unit]++
+	s.busyByUnit[j.headers.Unit]++
 	return ""
 }
 
-func (s *Server) exit(j *job) {
+func (s *Server) releaseSlot(j *job) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.busy--
-	s.busyUnit[j.order.Unit]--
-	if s.busyUnit[j.order.Unit] == 0 {
-		delete(s.busyUnit, j.order.Unit)
+	s.busyByUnit[j.headers.Unit]--
+	if s.busyByUnit[j.headers.Unit] == 0 {
+		delete(s.busyByUnit, j.headers.Unit)
 	}
 }
 
@@ -137,43 +137,44 @@
 	return err
 }
 
-// work takes the request's time. It returns a cause where the sender has gone or
-// the deadline has passed before the request ran.
-func (s *Server) work(r *http.Request, j *job) string {
-	delay := s.cfg.Work + s.Faults.now().delay
+// simulateWork waits for the time that the request takes, or until its sender cancels it
+// or the server is closed, and then while the server is frozen. It returns a cause, without
+// waiting, if the request would take longer than its deadline allows.
+func (s *Server) simulateWork(r *http.Request, j *job) string {
+	delay := s.cfg.Work + s.Faults.current().delay
 	if s.cold() {
 		delay += s.cfg.ColdWork
 	}
 	if delay > 0 {
-		if j.order.TimeLeft > 0 && delay > j.order.TimeLeft {
+		if j.headers.TimeLeft > 0 && delay > j.headers.TimeLeft {
 			return CauseDeadline
 		}
 		timer := time.NewTimer(delay)
 		defer timer.Stop()
-		gone := r.Context().Done()
-		if s.Faults.now().ignoreGone {
-			gone = nil
+		cancelled := r.Context().Done()
+		if s.Faults.current().ignoreCancel {
+			cancelled = nil
 		}
 		select {
 		case <-timer.C:
-		case <-gone:
+		case <-cancelled:
 		case <-s.stopped.Done():
 		}
 	}
-	s.Faults.gate(s.stopped)
+	s.Faults.waitUnfrozen(s.stopped)
 	return ""
 }
 
-// run checks the grant once more and runs the request in one critical section.
+// run checks the grant again and runs the request, both in one critical section.
 func (s *Server) run(r *http.Request, j *job) (*Result, string) {
-	gone := r.Context().Err() != nil && !s.Faults.now().ignoreGone
-	if gone || s.stopped.Err() != nil {
+	cancelled := r.Context().Err() != nil && !s.Faults.current().ignoreCancel
+	if cancelled || s.stopped.Err() != nil {
 		panic(http.ErrAbortHandler)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.cfg.Now()
-	if cause := s.grants.Admit(j.order.Unit, j.order.Token, j.order.Term, now); cause != "" {
+	if cause := s.grants.Admit(j.headers.Unit, j.headers.Token, j.headers.Term, now); cause != "" {
 		return nil, cause
 	}
 	e := s.values[j.key]
@@ -186,22 +187,22 @@
 	}
 	s.values[j.key] = e
 	s.cfg.Log.add(Execution{
-		Target: s.cfg.Name, RequestID: j.order.RequestID, Method: j.method, Key: j.key,
-		Unit: j.order.Unit, Token: j.order.Token, Term: j.order.Term, Time: now,
+		Target: s.cfg.Name, RequestID: j.headers.RequestID, Method: j.method, Key: j.key,
+		Unit: j.headers.Unit, Token: j.headers.Token, Term: j.headers.Term, Time: now,
 	})
-	return &Result{Target: s.cfg.Name, Unit: j.order.Unit, Key: j.key,
+	return &Result{Target: s.cfg.Name, Unit: j.headers.Unit, Key: j.key,
 		Value: e.value, Version: e.version, Received: j.received}, ""
 }
 
-// refuse states that the request did not run.
-func refuse(w http.ResponseWriter, cause string) {
+// writeRefusal answers that the request did not run, and why.
+func writeRefusal(w http.ResponseWriter, cause string) {
 	w.Header().Set(target.HeaderNotRun, cause)
 	w.Header().Set("Retry-After", retrySeconds)
 	writeJSON(w, http.StatusServiceUnavailable, map[string]string{"not_run": cause})
 }
 
-func answer(w http.ResponseWriter, r *http.Request, j *job, result *Result) {
-	fill, _ := strconv.ParseInt(r.URL.Query().Get("fill"), 10, 64) // not a number means none
+func writeResult(w http.ResponseWriter, r *http.Request, j *job, result *Result) {
+	fill, _ := strconv.ParseInt(r.URL.Query().Get("fill"), 10, 64) // an invalid number counts as zero
 	fill = min(fill, maxFillBytes)
 	if j.cut == CutMidAnswer && fill <= 0 {
 		fill = 2 * fillChunk
@@ -219,7 +220,7 @@
 			return
 		}
 		if j.cut == CutMidAnswer {
-			_ = http.NewResponseController(w).Flush() // the cut follows in any case
+			_ = http.NewResponseController(w).Flush() // the connection is cut whether or not this fails
 			panic(http.ErrAbortHandler)
 		}
 	}
