--- a/internal/arch/arch_test.go
+++ b/internal/arch/arch_test.go
@@ -20,17 +20,17 @@
 	pageFile = root + "/docs/ARCHITECTURE.md"
 )
 
-// unpure are packages below core that are held to the import table alone: they
-// are support for tests.
-var unpure = map[string]bool{"core/ownership/ownershiptest": true}
+// exemptFromPurity lists the packages below core that are checked only against the import
+// table, because they support tests.
+var exemptFromPurity = map[string]bool{"core/ownership/ownershiptest": true}
 
-// source is one file of the module that ships.
+// source is one file of the root module that is not a test.
 type source struct {
 	folder string
 	file   *ast.File
 }
 
-// sources parses all files of the root module but its tests.
+// sources parses all files of the root module except its tests.
 func sources(t *testing.T, files *token.FileSet) []source {
 	t.Helper()
 	var all []source
@@ -39,7 +39,7 @@
 			return err
 		}
 		if entry.IsDir() {
-			return skip(name, entry)
+			return skipFolder(name, entry)
 		}
 		if !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") {
 			return nil
@@ -57,8 +57,8 @@
 	return all
 }
 
-// skip leaves out other modules and folders that hold no code.
-func skip(name string, entry fs.DirEntry) error {
+// skipFolder skips other modules, hidden folders and testdata.
+func skipFolder(name string, entry fs.DirEntry) error {
 	if name == root {
 		return nil
 	}
@@ -103,19 +103,19 @@
 	files := token.NewFileSet()
 	var checked int
 	for _, s := range sources(t, files) {
-		if !strings.HasPrefix(s.folder, "core/") || unpure[s.folder] || ast.IsGenerated(s.file) {
+		if !strings.HasPrefix(s.folder, "core/") || exemptFromPurity[s.folder] || ast.IsGenerated(s.file) {
 			continue
 		}
 		checked++
-		for _, fault := range checkPure(files, s.file) {
+		for _, fault := range checkPurity(files, s.file) {
 			t.Error(fault)
 		}
 	}
 	assert.Assert(t, checked > 50, "only %d files were checked", checked)
 }
 
-// Each row must stand for a folder that there is, so that the page does not keep
-// what the code has lost.
+// Each row must name an existing folder, so that the page does not list packages that
+// have been removed from the code.
 func TestPageNamesOnlyFoldersThatExist(t *testing.T) {
 	for _, r := range readTable(t) {
 		_, err := os.Stat(filepath.Join(root, strings.TrimSuffix(r.pattern, "/*")))
@@ -123,16 +123,16 @@
 	}
 }
 
-// wallClockUsers may read the date: they show it, name files of the day after it, or take
-// it for a number that only grows. core/health cuts times into buckets that its caller
-// takes from the clock of leases.
+// wallClockUsers lists the files that may read the wall clock: they display the date, name
+// daily files after it, or use it as an increasing number. core/health truncates times to
+// buckets; its caller takes these times from the clock of leases.
 var wallClockUsers = []string{"cmd/", "dev/", "lab/", "eventlog/", "core/history/", "core/health/target.go", "router/options.go"}
 
-// wallReadings are the methods of a time that leave its monotonic reading out.
-var wallReadings = map[string]bool{"Unix": true, "UnixNano": true, "UnixMilli": true, "UnixMicro": true, "Truncate": true}
+// wallClockMethods lists the methods of time.Time that drop the monotonic clock reading.
+var wallClockMethods = map[string]bool{"Unix": true, "UnixNano": true, "UnixMilli": true, "UnixMicro": true, "Truncate": true}
 
-// Symptom: leases, timeouts or verdicts end or last when a VM's wall clock is set.
-// Sequence: the wall clock jumps. Cause: a time loses its monotonic reading.
+// Guards against leases, timeouts or verdicts that end too early or last too long when a
+// VM's wall clock is set, because a time has lost its monotonic clock reading.
 func TestOnlyNamedFilesReadTheWallClock(t *testing.T) {
 	files := token.NewFileSet()
 	var found int
@@ -143,21 +143,22 @@
 				return true
 			}
 			found++
-			at := files.Position(call.Pos())
-			name, err := filepath.Rel(root, at.Filename)
+			position := files.Position(call.Pos())
+			name, err := filepath.Rel(root, position.Filename)
 			assert.NilError(t, err)
-			named := slices.ContainsFunc(wallClockUsers, func(user string) bool { return strings.HasPrefix(name, user) })
-			assert.Check(t, named, "%v reads the wall clock", at)
+			allowed := slices.ContainsFunc(wallClockUsers, func(user string) bool { return strings.HasPrefix(name, user) })
+			assert.Check(t, allowed, "%v reads the wall clock", position)
 			return true
 		})
 	}
 	assert.Assert(t, found > 3, "only %d readings were found", found)
 }
 
-// readsWallClock leaves out time.Unix and its like, which make a time from a number.
+// readsWallClock reports whether the call is to one of wallClockMethods. It ignores functions
+// of package time such as time.Unix, which make a time from a number.
 func readsWallClock(call *ast.CallExpr) bool {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
-	if !ok || !wallReadings[selector.Sel.Name] {
+	if !ok || !wallClockMethods[selector.Sel.Name] {
 		return false
 	}
 	qualifier, ok := selector.X.(*ast.Ident)
--- a/internal/arch/doc.go
+++ b/internal/arch/doc.go
@@ -1,3 +1,4 @@
-// Package arch holds the tests that keep the code to docs/ARCHITECTURE.md: what
-// each package may import, and what the packages that decide may not touch.
+// Package arch tests that the code follows docs/ARCHITECTURE.md: which packages each
+// package may import, and that the packages below core, which only decide, have no side
+// effects.
 package arch
--- a/internal/arch/rules_sources_test.go
+++ b/internal/arch/rules_sources_test.go
@@ -45,12 +45,12 @@
 	}
 }
 
-func TestParseTableNeedsItsMarks(t *testing.T) {
+func TestParseTableRequiresMarkers(t *testing.T) {
 	_, err := parseTable("| `core/*` | decides | `core/*` |\n")
-	assert.ErrorContains(t, err, "marks")
+	assert.ErrorContains(t, err, "markers")
 }
 
-func TestCheckPureFindsFaults(t *testing.T) {
+func TestCheckPurityFindsFaults(t *testing.T) {
 	cases := []struct {
 		name, source, fault string
 	}{
@@ -84,7 +84,7 @@
 			files := token.NewFileSet()
 			f, err := parser.ParseFile(files, "small.go", "package small; "+c.source, 0)
 			assert.NilError(t, err)
-			got := strings.Join(checkPure(files, f), "\n")
+			got := strings.Join(checkPurity(files, f), "\n")
 			if c.fault == "" {
 				assert.Equal(t, got, "")
 				return
--- a/internal/arch/rules_test.go
+++ b/internal/arch/rules_test.go
@@ -15,21 +15,21 @@
 
 // row is one line of the table in docs/ARCHITECTURE.md.
 type row struct {
-	// pattern names packages by their folder; a trailing /* takes in all below.
+	// pattern is the folder of a package; a trailing /* matches all folders below.
 	pattern string
-	// may are patterns of the packages of this module that it may import.
-	may []string
+	// mayImport lists the patterns of the packages of this module that it may import.
+	mayImport []string
 }
 
-var quoted = regexp.MustCompile("`([^`]+)`")
+var inBackticks = regexp.MustCompile("`([^`]+)`")
 
-// parseTable reads the rows between the marks of the page. The first cell holds
-// the packages, the last one what they may import.
+// parseTable reads the rows between the markers on the page. The first cell of a row lists
+// packages, the last cell the packages that they may import.
 func parseTable(page string) ([]row, error) {
-	_, rest, begun := strings.Cut(page, "<!-- imports:begin -->")
-	table, _, ended := strings.Cut(rest, "<!-- imports:end -->")
-	if !begun || !ended {
-		return nil, fmt.Errorf("the marks of the import table are missing")
+	_, rest, hasBegin := strings.Cut(page, "<!-- imports:begin -->")
+	table, _, hasEnd := strings.Cut(rest, "<!-- imports:end -->")
+	if !hasBegin || !hasEnd {
+		return nil, fmt.Errorf("the markers of the import table are missing")
 	}
 	var rows []row
 	for line := range strings.Lines(table) {
@@ -37,17 +37,17 @@
 		if len(cells) != 3 || !strings.Contains(cells[0], "`") {
 			continue
 		}
-		may := codeIn(cells[2])
-		for _, pattern := range codeIn(cells[0]) {
-			rows = append(rows, row{pattern, may})
+		mayImport := codeSpans(cells[2])
+		for _, pattern := range codeSpans(cells[0]) {
+			rows = append(rows, row{pattern, mayImport})
 		}
 	}
 	return rows, nil
 }
 
-func codeIn(cell string) []string {
+func codeSpans(cell string) []string {
 	var words []string
-	for _, match := range quoted.FindAllStringSubmatch(cell, -1) {
+	for _, match := range inBackticks.FindAllStringSubmatch(cell, -1) {
 		words = append(words, match[1])
 	}
 	return words
@@ -60,8 +60,8 @@
 	return pattern == folder
 }
 
-// rowOf returns the row of the folder; a row that names it goes before one that
-// takes it in with others.
+// rowOf returns the row with the longest pattern that matches the folder, so that a row
+// for the folder itself takes precedence over a wildcard.
 func rowOf(rows []row, folder string) *row {
 	var best *row
 	for i := range rows {
@@ -72,7 +72,8 @@
 	return best
 }
 
-// checkImports returns what the folder's imports break. Tests are not held to it.
+// checkImports returns the rules that the folder's imports violate. Test files are not
+// checked.
 func checkImports(rows []row, folder string, imports []string) []string {
 	own := rowOf(rows, folder)
 	if own == nil {
@@ -81,25 +82,26 @@
 	var faults []string
 	for _, imported := range imports {
 		reason := forbiddenAnywhere(imported)
-		if reason == "" && folder != plotting && strings.HasPrefix(imported, "gonum.org/") {
-			reason = "plots belong to " + plotting + " alone, so that who builds the router in doesn't carry the library"
+		if reason == "" && folder != plottingFolder && strings.HasPrefix(imported, "gonum.org/") {
+			reason = "plots belong to " + plottingFolder + " alone, so that programs that embed the router don't depend on the library"
 		}
 		if reason != "" {
 			faults = append(faults, fmt.Sprintf("%s imports %s: %s", folder, imported, reason))
 			continue
 		}
-		inner, ours := strings.CutPrefix(imported, module+"/")
-		if ours && !slices.ContainsFunc(own.may, func(p string) bool { return matches(p, inner) }) {
-			faults = append(faults, fmt.Sprintf("%s may not import %s", folder, inner))
+		relative, inModule := strings.CutPrefix(imported, module+"/")
+		if inModule && !slices.ContainsFunc(own.mayImport, func(p string) bool { return matches(p, relative) }) {
+			faults = append(faults, fmt.Sprintf("%s may not import %s", folder, relative))
 		}
 	}
 	return faults
 }
 
-// plotting is the only folder that draws.
-const plotting = "cmd/tarragonctl"
+// plottingFolder is the only folder that draws plots.
+const plottingFolder = "cmd/tarragonctl"
 
-// forbiddenAnywhere says why no package of the router's module may import it.
+// forbiddenAnywhere returns why no package of the router's module may import the package;
+// "" means that it is not forbidden.
 func forbiddenAnywhere(imported string) string {
 	switch {
 	case strings.HasPrefix(imported, module+"/lab"):
@@ -112,8 +114,9 @@
 	return ""
 }
 
-// pure are the imports that packages below core may have besides those of core.
-var pure = []string{
+// pureImports lists the packages that packages below core may import in addition to those
+// of core.
+var pureImports = []string{
 	"cmp", "container/heap", "encoding/binary", "errors", "fmt", "hash/fnv", "iter", "maps", "math",
 	"math/bits", "math/rand/v2", "net/netip", "reflect", "regexp", "slices", "sort", "strconv",
 	"strings", "time", "unicode", "unicode/utf8",
@@ -121,38 +124,38 @@
 	"google.golang.org/protobuf/proto",
 }
 
-// forbiddenCalls are members of pure packages that reach outside: the clock, the
-// global random source, and output. fmt.Fprint only reaches what a pure package
-// has, such as a strings.Builder, since none has a file or connection.
+// forbiddenCalls lists the members of otherwise pure packages that depend on or change
+// outside state: the clock, the time zone, input and output. fmt.Fprint is allowed, because
+// a pure package has no file or connection to write to, only a strings.Builder or the like.
 var forbiddenCalls = map[string][]string{
 	"time": {"Now", "Since", "Until", "After", "AfterFunc", "Sleep", "Tick", "NewTimer", "NewTicker", "Local", "LoadLocation"},
 	"fmt":  {"Print", "Printf", "Println", "Scan", "Scanf", "Scanln"},
 }
 
-// allowedMembers are the only members that may be used of packages which do much
-// else: pure functions of package net.
+// allowedMembers lists the pure functions that may be used of packages whose other members
+// are not pure.
 var allowedMembers = map[string][]string{
 	"net": {"SplitHostPort", "JoinHostPort"},
 }
 
-// seededOnly are the members of math/rand/v2 that do not use the global source.
-var seededOnly = []string{"New", "NewPCG", "NewChaCha8", "NewZipf", "Rand", "Source", "PCG", "ChaCha8", "Zipf"}
+// seededMembers lists the members of math/rand/v2 that do not use the global random source.
+var seededMembers = []string{"New", "NewPCG", "NewChaCha8", "NewZipf", "Rand", "Source", "PCG", "ChaCha8", "Zipf"}
 
-// checkPure returns what a source file of a deciding package breaks.
-func checkPure(files *token.FileSet, f *ast.File) []string {
+// checkPurity returns the rules that a source file of a package below core violates.
+func checkPurity(files *token.FileSet, f *ast.File) []string {
 	var faults []string
 	names := make(map[string]string)
 	for _, spec := range f.Imports {
 		imported, _ := strconv.Unquote(spec.Path.Value)
-		_, partly := allowedMembers[imported]
-		if !partly && !slices.Contains(pure, imported) && !strings.HasPrefix(imported, module+"/core/") {
-			faults = append(faults, at(files, spec, "imports "+imported))
+		_, restricted := allowedMembers[imported]
+		if !restricted && !slices.Contains(pureImports, imported) && !strings.HasPrefix(imported, module+"/core/") {
+			faults = append(faults, atPosition(files, spec, "imports "+imported))
 		}
 		names[importName(spec, imported)] = imported
 	}
 	ast.Inspect(f, func(n ast.Node) bool {
-		if fault := impure(n, names); fault != "" {
-			faults = append(faults, at(files, n, fault))
+		if fault := impurityOf(n, names); fault != "" {
+			faults = append(faults, atPosition(files, n, fault))
 		}
 		return true
 	})
@@ -170,8 +173,8 @@
 	return name
 }
 
-// impure says what of the node reaches outside; empty where nothing does.
-func impure(n ast.Node, names map[string]string) string {
+// impurityOf describes the side effect or outside state that the node uses; "" means none.
+func impurityOf(n ast.Node, names map[string]string) string {
 	switch n := n.(type) {
 	case *ast.GoStmt:
 		return "starts a goroutine"
@@ -184,12 +187,12 @@
 			return "prints"
 		}
 	case *ast.SelectorExpr:
-		return impureMember(n, names)
+		return impurityOfMember(n, names)
 	}
 	return ""
 }
 
-func impureMember(n *ast.SelectorExpr, names map[string]string) string {
+func impurityOfMember(n *ast.SelectorExpr, names map[string]string) string {
 	x, ok := n.X.(*ast.Ident)
 	if !ok || x.Obj != nil {
 		return ""
@@ -199,15 +202,15 @@
 	if slices.Contains(forbiddenCalls[imported], member) {
 		return "uses " + imported + "." + member
 	}
-	if allowed, partly := allowedMembers[imported]; partly && !slices.Contains(allowed, member) {
+	if allowed, restricted := allowedMembers[imported]; restricted && !slices.Contains(allowed, member) {
 		return "uses " + imported + "." + member
 	}
-	if imported == "math/rand/v2" && !slices.Contains(seededOnly, member) {
+	if imported == "math/rand/v2" && !slices.Contains(seededMembers, member) {
 		return "uses the global random source through rand." + member
 	}
 	return ""
 }
 
-func at(files *token.FileSet, n ast.Node, text string) string {
+func atPosition(files *token.FileSet, n ast.Node, text string) string {
 	return fmt.Sprintf("%v %s", files.Position(n.Pos()), text)
 }
--- a/internal/faulttest/faulttest.go
+++ b/internal/faulttest/faulttest.go
@@ -9,8 +9,8 @@
 	"tarragongw/core/fault"
 )
 
-// Is fails where there is no fault, or one of another kind, or one that says something
-// else on whether the request ran. The message is as of assert.Equal.
+// Is fails the test if f is nil, has another kind, or differs on whether the request ran.
+// The message is used as by assert.Equal.
 func Is(t testing.TB, f *fault.Fault, kind fault.Kind, ran fault.Ran, message ...any) {
 	t.Helper()
 	assert.Assert(t, f != nil, message...)
--- a/internal/pages/pages.go
+++ b/internal/pages/pages.go
@@ -1,5 +1,5 @@
-// Package pages helps tests to hold the written pages to the code: it finds the
-// command lines that the pages name and checks them against a command.
+// Package pages helps tests to check that the documentation agrees with the code: it finds
+// the command lines on the pages and checks them against the definition of a command.
 package pages
 
 import (
@@ -13,13 +13,13 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Page is one page of the repository.
+// Page is one Markdown file of the repository.
 type Page struct {
 	Name string
 	Text string
 }
 
-// Read returns the pages at the root of the repository and in docs with all below.
+// Read returns the pages at the root of the repository, in docs and in its direct subfolders.
 func Read(root string) ([]Page, error) {
 	var names []string
 	for _, pattern := range []string{"*.md", "docs/*.md", "docs/*/*.md"} {
@@ -40,8 +40,8 @@
 	return all, nil
 }
 
-// Commands returns the command lines of the binary on the page, without its name:
-// what follows the name up to the end of the line or of the code.
+// Commands returns the arguments of each command line of the binary on the page: the words
+// after the binary's name up to the end of the line or of the code span.
 func (p Page) Commands(binary string) [][]string {
 	line := regexp.MustCompile("(?m)(?:`|^ *|/|run )" + regexp.QuoteMeta(binary) + "((?: +[^ .`\n#|][^ `\n#|]*)+)")
 	var lines [][]string
@@ -51,9 +51,9 @@
 	return lines
 }
 
-// CheckAll checks each line of the pages below the root that runs the binary, whose
-// command is made anew for each, and returns how many lines it checked. The error
-// names the page and the line.
+// CheckAll checks each command line of the binary on the pages below root against a new
+// command from the function, and returns the number of lines checked. The error names the
+// page and the line.
 func CheckAll(root, binary string, command func() *cli.Command) (int, error) {
 	all, err := Read(root)
 	if err != nil {
@@ -71,8 +71,8 @@
 	return checked, nil
 }
 
-// Check says what of the words the command does not know: a flag, or a command
-// where commands are expected. Words in capitals and values stand for themselves.
+// Check returns an error if the words contain an unknown flag, or an unknown command where a
+// subcommand is expected. Values and arguments are not checked.
 func Check(root *cli.Command, words []string) error {
 	command := root
 	for i := 0; i < len(words); i++ {
--- a/internal/pages/pages_test.go
+++ b/internal/pages/pages_test.go
@@ -21,7 +21,7 @@
 
 const root = "../.."
 
-func TestCheckFindsWhatACommandLacks(t *testing.T) {
+func TestCheckFindsUnknownCommandsAndFlags(t *testing.T) {
 	command := &cli.Command{Name: "tool", Flags: []cli.Flag{&cli.StringFlag{Name: "router"}}, Commands: []*cli.Command{
 		{Name: "get", Commands: []*cli.Command{{Name: "config", Flags: []cli.Flag{&cli.BoolFlag{Name: "all"}}}}},
 	}}
@@ -33,7 +33,7 @@
 	assert.ErrorContains(t, Check(command, lines[2]), "no flag --none")
 }
 
-func read(t *testing.T) []Page {
+func readPages(t *testing.T) []Page {
 	t.Helper()
 	all, err := Read(root)
 	assert.NilError(t, err)
@@ -41,8 +41,8 @@
 	return all
 }
 
-// Each code word of the form table.name, with a table of the process's settings,
-// must be a setting.
+// Each code span of the form table.name whose table is a table of the process's settings
+// must name a setting.
 func TestSettingsNamedOnPagesExist(t *testing.T) {
 	known, tables := map[string]bool{}, map[string]bool{}
 	for i := range config.Settings {
@@ -54,7 +54,7 @@
 	}
 	word := regexp.MustCompile("`([a-z]+)\\.([a-z_]+)`")
 	var checked int
-	for _, page := range read(t) {
+	for _, page := range readPages(t) {
 		for _, match := range word.FindAllStringSubmatch(page.Text, -1) {
 			if !tables[match[1]] || match[2] == "go" || match[2] == "toml" {
 				continue
@@ -70,7 +70,7 @@
 	makefile, err := os.ReadFile(filepath.Join(root, "Makefile"))
 	assert.NilError(t, err)
 	word := regexp.MustCompile("(?:`|^)make ([a-z]+)")
-	for _, page := range read(t) {
+	for _, page := range readPages(t) {
 		for _, match := range word.FindAllStringSubmatch(page.Text, -1) {
 			target := regexp.MustCompile(`(?m)^` + match[1] + `:`)
 			assert.Assert(t, target.Match(makefile), "%s names make %s", page.Name, match[1])
@@ -80,7 +80,7 @@
 
 func TestLinksLeadToFiles(t *testing.T) {
 	link := regexp.MustCompile(`\]\(([^)#:]+)(?:#[^)]*)?\)`)
-	for _, page := range read(t) {
+	for _, page := range readPages(t) {
 		for _, match := range link.FindAllStringSubmatch(page.Text, -1) {
 			_, err := os.Stat(filepath.Join(filepath.Dir(page.Name), match[1]))
 			assert.NilError(t, err, page.Name)
@@ -88,7 +88,7 @@
 	}
 }
 
-// testNames returns the names of all tests of the workspace.
+// testNames returns the names of all tests and fuzz targets of the repository.
 func testNames(t *testing.T) map[string]bool {
 	t.Helper()
 	declared := regexp.MustCompile(`(?m)^func ((?:Test|Fuzz)[A-Za-z0-9_]+)\(`)
@@ -118,7 +118,7 @@
 	}
 }
 
-// The page of limits names each fuzz target, and none that is gone.
+// The page of limits must name each fuzz target, and only existing ones.
 func TestFuzzTargetsAreOnThePageOfLimits(t *testing.T) {
 	data, err := os.ReadFile(filepath.Join(root, "docs", "LIMITS.md"))
 	assert.NilError(t, err)
@@ -135,8 +135,8 @@
 	}
 }
 
-// kinds returns the kinds of events from their declarations.
-func kinds(t *testing.T) []string {
+// eventKinds returns the kinds of events from their declarations.
+func eventKinds(t *testing.T) []string {
 	t.Helper()
 	f, err := parser.ParseFile(token.NewFileSet(), filepath.Join(root, "eventlog", "event.go"), nil, 0)
 	assert.NilError(t, err)
@@ -158,11 +158,11 @@
 	return all
 }
 
-// Operators find each kind of event on their page, and no kind that there is not.
+// The operators' page must list each kind of event, and only existing ones.
 func TestEventsAreOnTheOperatorsPage(t *testing.T) {
 	data, err := os.ReadFile(filepath.Join(root, "docs", "OPERATING.md"))
 	assert.NilError(t, err)
-	all := kinds(t)
+	all := eventKinds(t)
 	var listed []string
 	for _, match := range regexp.MustCompile("(?m)^\\| `([a-z_]+)` \\|").FindAllStringSubmatch(string(data), -1) {
 		listed = append(listed, match[1])
--- a/internal/proptest/proptest.go
+++ b/internal/proptest/proptest.go
@@ -1,5 +1,5 @@
-// Package proptest runs a package's tests with a fixed seed of their generated cases,
-// so that each run draws the same ones.
+// Package proptest runs the property-based tests of a package with a fixed seed, so that
+// each run generates the same cases.
 package proptest
 
 import (
@@ -8,16 +8,16 @@
 	"testing"
 )
 
-// Main is the body of a package's TestMain. -rapid.seed on the command line overrides
-// the seed. It panics where the package's tests do not use rapid.
+// Main is the body of a package's TestMain. The flag -rapid.seed overrides the seed. Main
+// panics if the package's tests do not use rapid.
 func Main(m *testing.M, seed string) {
-	// m.Run parses the command line after this.
-	set("rapid.seed", seed)
-	set("rapid.nofailfile", "true")
+	// m.Run parses the command line afterwards, so its flags override these values.
+	setFlag("rapid.seed", seed)
+	setFlag("rapid.nofailfile", "true")
 	os.Exit(m.Run())
 }
 
-func set(name, value string) {
+func setFlag(name, value string) {
 	if err := flag.Set(name, value); err != nil {
 		panic(err)
 	}
--- a/internal/suspendtest/suspendtest.go
+++ b/internal/suspendtest/suspendtest.go
@@ -1,5 +1,5 @@
-// Package suspendtest suspends a process of a test again and again while it sends under a right
-// that ends soon, and counts what it sends after the end.
+// Package suspendtest repeatedly suspends a test process that sends messages, each under a
+// right that expires soon, and counts the messages that it sends after their right has expired.
 package suspendtest
 
 import (
@@ -16,27 +16,27 @@
 )
 
 const (
-	// Right is for how long each message may be sent, from its begin on.
+	// Right is how long the right to send a message lasts, counted from when the message is begun.
 	Right = 10 * time.Millisecond
-	// suspensions is how often the process is suspended, for duration each time after it has
-	// run for pause.
-	suspensions = 60
-	duration    = 150 * time.Millisecond
-	pause       = 5 * time.Millisecond
-	// wireDelay is how late a message may arrive that left in time.
+	// suspensions is the number of times that the process is suspended. Each time it first runs
+	// for runDuration and is then suspended for suspendDuration.
+	suspensions     = 60
+	suspendDuration = 150 * time.Millisecond
+	runDuration     = 5 * time.Millisecond
+	// wireDelay is how long after the expiry of its right a message may arrive that was sent in time.
 	wireDelay = 50 * time.Millisecond
-	// addressVariable tells the process that it is to send, and where.
+	// addressVariable is the environment variable that makes a process send, and to which address.
 	addressVariable = "TARRAGONGW_TEST_SUSPENDED_SENDS_TO"
 )
 
-// Sends returns the address that this process is to send to until it is killed; false means
-// that it is the one that runs the tests. TestMain asks it first.
+// Sends returns the address to which this process must send until it is killed; false means
+// that this process runs the tests. TestMain calls it first.
 func Sends() (string, bool) { return os.LookupEnv(addressVariable) }
 
-// Receiver counts the messages that arrive.
+// Receiver counts the messages that arrive, and those that arrive too late.
 type Receiver struct{ arrived, late atomic.Int64 }
 
-// Arrived counts a message whose right ended at a time of clock.Boot.
+// Arrived counts a message whose right expires at the time until of clock.Boot.
 func (r *Receiver) Arrived(until time.Duration) {
 	r.arrived.Add(1)
 	if (clock.Boot{}).Now()-until > wireDelay {
@@ -44,8 +44,8 @@
 	}
 }
 
-// Run starts this test program as a process that sends to the address, suspends it again and
-// again, and fails the test if a message was sent after its right had ended.
+// Run starts this test program as a process that sends to the address, suspends it repeatedly,
+// and fails the test if a message was sent after its right had expired.
 func (r *Receiver) Run(t *testing.T, address string) {
 	t.Helper()
 	child := exec.Command(os.Args[0])
@@ -54,17 +54,17 @@
 	assert.NilError(t, child.Start())
 	defer func() {
 		assert.Check(t, child.Process.Kill())
-		_ = child.Wait() // says that it was killed
+		_ = child.Wait() // returns an error, because the process was killed
 	}()
 	for r.arrived.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	for range suspensions {
-		time.Sleep(pause)
+		time.Sleep(runDuration)
 		assert.NilError(t, child.Process.Signal(syscall.SIGSTOP))
-		time.Sleep(duration)
+		time.Sleep(suspendDuration)
 		assert.NilError(t, child.Process.Signal(syscall.SIGCONT))
 	}
 	t.Logf("%d suspensions, %d messages, %d late", suspensions, r.arrived.Load(), r.late.Load())
-	assert.Equal(t, r.late.Load(), int64(0), "messages were sent after the right to send them had ended")
+	assert.Equal(t, r.late.Load(), int64(0), "messages were sent after the right to send them had expired")
 }
--- a/internal/syncbuffer/syncbuffer.go
+++ b/internal/syncbuffer/syncbuffer.go
@@ -1,5 +1,5 @@
-// Package syncbuffer holds what a log or a command's output is written to while a
-// test reads it.
+// Package syncbuffer provides a buffer that a log or a command writes to while a test
+// reads it.
 package syncbuffer
 
 import (
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// Buffer is an io.Writer whose text may be read by one goroutine while others write.
-// Its zero value is empty and ready.
+// Buffer is an io.Writer that is safe for concurrent use. Its zero value is an empty buffer
+// ready to use.
 type Buffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -21,7 +21,7 @@
 	return b.text.Write(p)
 }
 
-// String returns all that was written so far.
+// String returns all text written so far.
 func (b *Buffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/waittest/waittest.go
+++ b/internal/waittest/waittest.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Patience bounds each wait; it is far beyond what is measured, so that a busy machine
-// fails nothing.
+// Patience is the timeout of each wait. It is much longer than any measured wait, so that
+// no test fails only because the machine is busy.
 const Patience = 60 * time.Second
 
-// step is the time between two looks.
-const step = 2 * time.Millisecond
+// pollInterval is the time between two checks of a condition.
+const pollInterval = 2 * time.Millisecond
 
 // Until waits until the condition holds and returns how long that took. After Patience it
-// fails the test with what was waited for.
-func Until(t testing.TB, what string, condition func() bool) time.Duration {
+// fails the test with the description of the condition.
+func Until(t testing.TB, description string, condition func() bool) time.Duration {
 	t.Helper()
-	began := time.Now()
+	start := time.Now()
 	for !condition() {
-		if time.Since(began) > Patience {
-			t.Fatalf("not within %v: %s", Patience, what)
+		if time.Since(start) > Patience {
+			t.Fatalf("not within %v: %s", Patience, description)
 		}
-		time.Sleep(step)
+		time.Sleep(pollInterval)
 	}
-	return time.Since(began)
+	return time.Since(start)
 }
