--- a/confstore/editor.go
+++ b/confstore/editor.go
@@ -16,18 +16,18 @@
 	"tarragongw/kv"
 )
 
-// storePatience is how long a change waits for a store that can't be reached. It outlasts the pause
-// for which calls are kept back after failures, and a call after it.
-const storePatience = kv.DefaultBackoffCap + 2*time.Second
+// storeRetryTimeout bounds how long a change is retried while the store is unreachable. It is longer
+// than the longest backoff of the store's client, plus a call after it.
+const storeRetryTimeout = kv.DefaultBackoffCap + 2*time.Second
 
-// maxRaces bounds how often a change is made again on top of another operator's.
-const maxRaces = 8
+// maxConflicts bounds the attempts of a change that fail because another operator wrote first.
+const maxConflicts = 8
 
-// Errors of an edit, beside ConflictError, config.Errors and those of the store.
+// Errors of an edit, in addition to ConflictError, config.Errors and the store's errors.
 var (
-	// ErrBaseForgotten means that the edited revision is no longer known here.
+	// ErrBaseForgotten means that History no longer has the edited revision.
 	ErrBaseForgotten = errors.New("the edited revision is no longer known; fetch the present one and edit that")
-	// ErrRaces means that other operators were quicker each time.
+	// ErrRaces means that another operator wrote first at each attempt.
 	ErrRaces = errors.New("other operators' changes kept coming first; try again")
 )
 
@@ -39,14 +39,14 @@
 	return fmt.Sprintf("%d fields were changed by another operator too", len(e.Conflicts))
 }
 
-// Edit makes a new model, which must be sorted, from the present one.
+// Edit returns a new model, which must be sorted, made from the present one.
 type Edit func(present *model.Model) (*model.Model, error)
 
-// Result is an edit that was carried out, or would be with DryRun.
+// Result is the outcome of an edit, or what it would be for a dry run.
 type Result struct {
 	State   *State
 	Changes []config.Change
-	// Merged says that another operator's changes since the base were kept.
+	// Merged reports whether the edit was merged with other changes made since its base.
 	Merged bool
 }
 
@@ -54,15 +54,15 @@
 type Editor struct {
 	Store   kv.Store
 	History *History
-	// Now tells the time of a change; nil means time.Now.
+	// Now returns the time of a change; nil means time.Now.
 	Now func() time.Time
 
 	mu sync.Mutex
-	// last is the newest state that was read or written here.
+	// last is the newest state that this editor has read or written.
 	last *State
 }
 
-// Load reads the present configuration; an absent one is empty with revision zero.
+// Load reads the present configuration; it is empty with revision zero if there is no record.
 func (e *Editor) Load(ctx context.Context) (*State, error) {
 	rec, err := e.Store.Get(ctx, Key)
 	if errors.Is(err, kv.ErrNotFound) {
@@ -76,12 +76,12 @@
 		return nil, err
 	}
 	e.History.Add(state.Model)
-	e.keep(state)
+	e.setLast(state)
 	return state, nil
 }
 
-// decode reads a record, and validates and compiles what the last one did not have. A
-// model that cannot be compiled is read as Decode does, so that it can be mended.
+// decode decodes a record, and validates and compiles the parts that differ from the last
+// state. A model that cannot be compiled is read by Decode, so that it can be corrected.
 func (e *Editor) decode(rec kv.Record) (*State, error) {
 	e.mu.Lock()
 	last := e.last
@@ -102,8 +102,9 @@
 	return state, nil
 }
 
-// keep remembers a state for the next one to be read or written after it.
-func (e *Editor) keep(state *State) {
+// setLast stores a state, unless it is older than last, so that the next record that is
+// read or written reuses its pieces.
+func (e *Editor) setLast(state *State) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.last == nil || state.Revision() >= e.last.Revision() {
@@ -111,8 +112,9 @@
 	}
 }
 
-// Replace puts mine in force, which was edited from the revision base. Changes of
-// others since then are kept where they are disjoint.
+// Replace makes mine, which was edited from the revision base, the present configuration.
+// Changes made since base are kept; a field that both sides changed differently gives a
+// ConflictError.
 func (e *Editor) Replace(ctx context.Context, base uint64, mine *model.Model, author string, dryRun bool) (*Result, error) {
 	var merged bool
 	result, err := e.Change(ctx, author, dryRun, func(present *model.Model) (*model.Model, error) {
@@ -120,15 +122,15 @@
 		if !merged {
 			return mine, nil
 		}
-		from := e.History.Find(base)
-		if from == nil {
+		baseModel := e.History.Find(base)
+		if baseModel == nil {
 			return nil, ErrBaseForgotten
 		}
-		joined, conflicts := config.Merge(from, present, mine)
+		mergedModel, conflicts := config.Merge(baseModel, present, mine)
 		if len(conflicts) > 0 {
 			return nil, &ConflictError{conflicts}
 		}
-		return joined, nil
+		return mergedModel, nil
 	})
 	if err != nil {
 		return nil, err
@@ -137,21 +139,21 @@
 	return result, nil
 }
 
-// Change applies an edit to the present configuration. It returns without error
-// only once the new revision is known to be durable; where that is unknown the
-// error is kv.ErrUnknown. A store that can't be reached is asked again for storePatience.
+// Change applies an edit to the present configuration. It returns without error only
+// after the new revision is known to be durable; if that is unknown, the error is
+// kv.ErrUnknown. While the store is unreachable it retries, up to storeRetryTimeout.
 func (e *Editor) Change(ctx context.Context, author string, dryRun bool, edit Edit) (*Result, error) {
-	patience, cancel := context.WithTimeout(ctx, storePatience)
+	retryCtx, cancel := context.WithTimeout(ctx, storeRetryTimeout)
 	defer cancel()
-	races, failures := 0, 0
-	for races < maxRaces {
+	conflicts, failures := 0, 0
+	for conflicts < maxConflicts {
 		result, err := e.tryChange(ctx, author, dryRun, edit)
 		switch {
 		case errors.Is(err, kv.ErrConflict):
-			races++
+			conflicts++
 		case errors.Is(err, kv.ErrUnavailable):
 			failures++
-			if !sleep(patience, retryBackoff.Wait(failures, mathrand.Float64())) {
+			if !sleep(retryCtx, retryBackoff.Wait(failures, mathrand.Float64())) {
 				return nil, err
 			}
 		default:
@@ -161,10 +163,10 @@
 	return nil, ErrRaces
 }
 
-// retryBackoff spaces the attempts to reach the store.
+// retryBackoff sets the delays between attempts while the store is unreachable.
 var retryBackoff = kv.Backoff{Base: 50 * time.Millisecond, Cap: 500 * time.Millisecond}
 
-// sleep waits for d; false means that ctx ended before.
+// sleep waits for d; it returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -189,11 +191,11 @@
 		return nil, err
 	}
 	e.History.Add(result.State.Model)
-	e.keep(result.State)
+	e.setLast(result.State)
 	return result, nil
 }
 
-// prepare validates the edited model whole.
+// prepare applies the edit, and validates and compiles the whole edited model.
 func (e *Editor) prepare(present *State, author string, edit Edit) (*Result, error) {
 	edited, err := edit(present.Model)
 	if err != nil {
@@ -225,11 +227,11 @@
 	if err != nil {
 		return err
 	}
-	settler := kv.WriteResolver{Store: e.Store, Ops: opsOf}
-	settled, err := settler.Write(ctx, kv.Write{Key: Key, OpID: opID, Expect: state.Stored, Value: value})
+	resolver := kv.WriteResolver{Store: e.Store, Ops: opsOf}
+	written, err := resolver.Write(ctx, kv.Write{Key: Key, OpID: opID, Expect: state.Stored, Value: value})
 	if err != nil {
 		return err
 	}
-	state.Stored, state.Value = settled.Revision, value
+	state.Stored, state.Value = written.Revision, value
 	return nil
 }
--- a/confstore/editor_test.go
+++ b/confstore/editor_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestChangeGrowsTheRevision(t *testing.T) {
+func TestChangeIncrementsRevision(t *testing.T) {
 	_, e := stored(t)
 	result, err := e.Change(ctx, "second", false, drain("faq-viewer-01"))
 	assert.NilError(t, err)
@@ -75,39 +75,39 @@
 	assert.Equal(t, p.Revision(), before)
 }
 
-// An operator's change is refused because the store misses one call.
-func TestChangeWaitsForAStoreThatIsAwayForAMoment(t *testing.T) {
+// Guards against a change that fails because the store is unreachable for a moment.
+func TestChangeRetriesUntilStoreIsReachable(t *testing.T) {
 	p, e := stored(t)
 	p.SetDown(true)
-	back := time.AfterFunc(500*time.Millisecond, func() { p.SetDown(false) })
-	defer back.Stop()
+	restore := time.AfterFunc(500*time.Millisecond, func() { p.SetDown(false) })
+	defer restore.Stop()
 	result, err := e.Change(ctx, "second", false, drain("faq-viewer-01"))
 	assert.NilError(t, err)
 	assert.Equal(t, result.State.Revision(), uint64(2))
 }
 
-// operatorsCall bounds the work on one call of an operator.
-const operatorsCall = 10 * time.Second
+// operatorCallTimeout bounds the handling of one operator call.
+const operatorCallTimeout = 10 * time.Second
 
-// An operator waits for a store that is away for long until the connection gives up, and doesn't
-// learn that nothing was changed.
-func TestChangeEndsWhereTheStoreStaysAway(t *testing.T) {
+// Guards against a change that is retried until the operator's call times out, so that the
+// operator doesn't learn that nothing was changed.
+func TestChangeFailsIfStoreStaysUnreachable(t *testing.T) {
 	p, e := stored(t)
 	p.SetDown(true)
 	began := time.Now()
 	_, err := e.Change(ctx, "second", false, drain("faq-viewer-01"))
 	assert.Assert(t, errors.Is(err, kv.ErrUnavailable), "%v", err)
-	assert.Assert(t, time.Since(began) < operatorsCall)
+	assert.Assert(t, time.Since(began) < operatorCallTimeout)
 	p.SetDown(false)
 	loaded, err := e.Load(ctx)
 	assert.NilError(t, err)
 	assert.Equal(t, loaded.Revision(), uint64(1))
 }
 
-// Symptom: a change is applied twice, or reported as failed although it holds.
-// Sequence: the store writes and its reply is lost.
-// Cause: the write is repeated or given up without reading it back.
-func TestLostReplyIsSettled(t *testing.T) {
+// Guards against a change that is applied twice, or reported as failed although it was
+// applied: the store writes, its reply is lost, and the write is repeated or abandoned
+// without reading the record back.
+func TestLostReplyIsResolved(t *testing.T) {
 	p, e := stored(t)
 	p.LoseReplies(kv.CallCAS, 1)
 	result, err := e.Change(ctx, "lost", false, drain("faq-viewer-01"))
@@ -118,9 +118,8 @@
 	assert.Equal(t, loaded.Revision(), uint64(2))
 }
 
-// Symptom: an acknowledged change is gone.
-// Sequence: two editors read the same revision; both write.
-// Cause: the second write lands on top of the first without having seen it.
+// Guards against the loss of an acknowledged change: two editors read the same revision,
+// both write, and the second write overwrites the first.
 func TestRaceKeepsBothChanges(t *testing.T) {
 	p, first := stored(t)
 	second := newEditor(p.Client("second"))
@@ -140,7 +139,7 @@
 	assert.Assert(t, result.State.Model.Target("faq-viewer-02").Drain)
 }
 
-func TestOldBase(t *testing.T) {
+func TestReplaceFromOlderBase(t *testing.T) {
 	_, e := stored(t)
 	mine := example(t)
 	mine.Targets[0].Slots = 2
@@ -151,8 +150,8 @@
 	assert.Assert(t, merged.Merged)
 	assert.Assert(t, merged.State.Model.Target("faq-viewer-01").Drain)
 
-	stranger := newEditor(e.Store)
-	_, err = stranger.Replace(ctx, 1, mine, "stranger", false)
+	otherEditor := newEditor(e.Store)
+	_, err = otherEditor.Replace(ctx, 1, mine, "stranger", false)
 	assert.Assert(t, errors.Is(err, confstore.ErrBaseForgotten), err)
 }
 
@@ -189,7 +188,7 @@
 	assert.Equal(t, loaded.Revision(), uint64(1))
 }
 
-func TestBrokenRecordIsReported(t *testing.T) {
+func TestMalformedRecordIsRefused(t *testing.T) {
 	for _, value := range []string{"", "{", `{"revision":1,"model":"AAAA"}`} {
 		_, err := confstore.Decode(kv.Record{Key: confstore.Key, Value: []byte(value), Revision: 1})
 		assert.Assert(t, err != nil, value)
--- a/confstore/fuzz_test.go
+++ b/confstore/fuzz_test.go
@@ -9,9 +9,9 @@
 	"tarragongw/kv"
 )
 
-// FuzzDecodeRecord: a record of the store is refused or gives a model that encodes to
-// a record which decodes to the same revision; packed data never unpacks beyond its
-// limit. In pieces it gives the same.
+// FuzzDecodeRecord checks that a record of the store is either refused or gives a model
+// whose encoding decodes to the same revision, and that decoding it in pieces gives the
+// same model. Packed data never unpacks beyond its limit.
 func FuzzDecodeRecord(f *testing.F) {
 	state := &State{Model: &model.Model{Revision: 3}, Author: "ann"}
 	whole, err := state.encode("op-1", nil)
@@ -22,19 +22,19 @@
 	f.Add([]byte(`{"revision":1,"model":"bm90IHBhY2tlZA=="}`))
 	f.Fuzz(func(t *testing.T, value []byte) {
 		s, err := Decode(kv.Record{Value: value, Revision: 1})
-		pieces, failed := DecodeAfter(nil, kv.Record{Value: value, Revision: 1})
+		fromPieces, piecesErr := DecodeAfter(nil, kv.Record{Value: value, Revision: 1})
 		if err != nil {
 			return
 		}
-		assert.NilError(t, failed)
-		assert.DeepEqual(t, pieces.Model, s.Model)
-		again, err := s.encode("op-2", pieces)
+		assert.NilError(t, piecesErr)
+		assert.DeepEqual(t, fromPieces.Model, s.Model)
+		encoded, err := s.encode("op-2", fromPieces)
 		assert.NilError(t, err)
-		back, err := Decode(kv.Record{Value: again, Revision: 2})
+		decoded, err := Decode(kv.Record{Value: encoded, Revision: 2})
 		assert.NilError(t, err)
-		assert.Equal(t, back.Revision(), s.Revision())
-		ops, err := opsOf(again)
+		assert.Equal(t, decoded.Revision(), s.Revision())
+		ops, err := opsOf(encoded)
 		assert.NilError(t, err)
-		assert.Assert(t, len(ops) >= 1 && len(ops) <= keptOps)
+		assert.Assert(t, len(ops) >= 1 && len(ops) <= maxRecordedOps)
 	})
 }
--- a/confstore/history.go
+++ b/confstore/history.go
@@ -6,29 +6,29 @@
 	"tarragongw/core/model"
 )
 
-// historyLength bounds the revisions that a router remembers as bases of edits.
+// historyLength bounds the number of revisions that a router keeps as bases of edits.
 const historyLength = 64
 
-// History remembers the last revisions that this router saw, so that a change
-// made on an older one can be merged with what came since. It lives in memory
-// only: a base that is no longer known makes the operator fetch and edit again.
+// History keeps the latest revisions that this router has seen, so that an edit of
+// an older one can be merged with the changes made since. It is kept in memory only: if
+// the base of an edit is no longer known, the operator has to fetch and edit again.
 //
-// It holds the newest model and how each older one differs from its successor: whole,
-// 64 models of 17,270 targets would take over a hundred megabytes.
+// It holds the newest model and the difference of each older one from its successor:
+// 64 whole models of 17,270 targets would take over a hundred megabytes.
 type History struct {
 	mu     sync.Mutex
 	newest *model.Model
-	// older has the differences in order of revision.
-	older []revised
+	// older has the differences in ascending order of revision.
+	older []revisionDiff
 }
 
-// revised is how a revision differs from the next one that is remembered.
-type revised struct {
+// revisionDiff is the difference between a revision and the next one that is kept.
+type revisionDiff struct {
 	revision   uint64
 	difference *model.Difference
 }
 
-// Add remembers a model. One that is not newer than all others is not remembered anew.
+// Add adds a model. It ignores a model that is not newer than all those it holds.
 func (h *History) Add(m *model.Model) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -36,15 +36,16 @@
 		return
 	}
 	if h.newest != nil {
-		h.older = append(h.older, revised{h.newest.Revision, model.Compare(h.newest, m)})
+		h.older = append(h.older, revisionDiff{h.newest.Revision, model.Compare(h.newest, m)})
 	}
 	if len(h.older) >= historyLength {
-		h.older = append([]revised(nil), h.older[1:]...)
+		h.older = append([]revisionDiff(nil), h.older[1:]...)
 	}
 	h.newest = m
 }
 
-// Find returns the model of the revision, or nil. Revision zero is the empty model.
+// Find returns the model of the revision, or nil. Revision zero is the empty
+// model.
 func (h *History) Find(revision uint64) *model.Model {
 	if revision == 0 {
 		return &model.Model{}
--- a/confstore/pieces_test.go
+++ b/confstore/pieces_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) { proptest.Main(m, "1") }
 
-// drawTargets returns the next model, in which some targets were added, removed or drained.
+// drawTargets returns a next model, in which targets were added, removed, or had Drain toggled.
 func drawTargets(t *rapid.T, present *model.Model) *model.Model {
 	next := *present
 	next.Revision++
@@ -41,9 +41,10 @@
 	return &next
 }
 
-// Whatever came before, also where records in between were lost, come again or late:
-// what is read in pieces, with those kept from the record before, is what the whole
-// record gives; and a patch of one of them gives its very bytes.
+// Decoding a record in pieces, with unchanged pieces taken from the state before, gives the
+// same model as decoding it whole, also if records are missed, repeated or out of order.
+// Encoding with reused pieces gives the same bytes as encoding from scratch, a patch between
+// two records reproduces the newer one, and History returns each model.
 func TestReadingInPiecesEqualsReadingWhole(t *testing.T) {
 	first, err := config.LoadModelFS(examples.FS, "shiretoko")
 	assert.NilError(t, err)
@@ -65,9 +66,9 @@
 			history.Add(present)
 			value, err := (&State{Model: present}).encode("op", state)
 			assert.NilError(t, err)
-			anew, err := (&State{Model: present}).encode("op", nil)
+			fresh, err := (&State{Model: present}).encode("op", nil)
 			assert.NilError(t, err)
-			assert.Equal(t, string(value), string(anew))
+			assert.Equal(t, string(value), string(fresh))
 			rec := kv.Record{Key: Key, Value: value, Revision: kv.Revision(present.Revision)}
 			records = append(records, rec)
 			at := max(0, len(records)-rapid.IntRange(1, 3).Draw(t, "late"))
@@ -76,7 +77,7 @@
 			before := state
 			state, err = DecodeAfter(before, records[at])
 			assert.NilError(t, err)
-			assert.Assert(t, before == nil || &state.Model.Services[0] == &before.Model.Services[0], "read anew")
+			assert.Assert(t, before == nil || &state.Model.Services[0] == &before.Model.Services[0], "unchanged services were decoded again")
 			assert.Assert(t, reflect.DeepEqual(state.Model, whole.Model))
 
 			got, err := patch.Apply(records[0].Value, patch.Make(records[0].Value, value), len(value))
@@ -90,9 +91,9 @@
 	})
 }
 
-// Symptom: an accepted change gives a record that no router can read.
-// Sequence: targets are added at the end, one by one, also where a piece is full.
-// Cause: the last piece is taken as it was, without the comma that must follow it now.
+// Guards against an accepted change whose record no router can read: when a target is
+// appended after a full last piece and that piece is reused unchanged, the comma that must
+// now follow it is missing.
 func TestAddingAtTheEnd(t *testing.T) {
 	m := &model.Model{}
 	var before *State
@@ -103,9 +104,9 @@
 		state := &State{Model: m}
 		value, err := state.encode("op", before)
 		assert.NilError(t, err)
-		anew, err := (&State{Model: m}).encode("op", nil)
+		fresh, err := (&State{Model: m}).encode("op", nil)
 		assert.NilError(t, err)
-		assert.Equal(t, string(value), string(anew), "%d targets", i+1)
+		assert.Equal(t, string(value), string(fresh), "%d targets", i+1)
 		before = state
 	}
 }
--- a/confstore/record.go
+++ b/confstore/record.go
@@ -1,5 +1,5 @@
-// Package confstore keeps the operators' configuration in the platform's store:
-// one record, changed by compare-and-swap, whose revision only grows.
+// Package confstore keeps the operators' configuration in the platform's store as
+// one record. It is changed by compare-and-swap and its revision only increases.
 package confstore
 
 import (
@@ -17,53 +17,54 @@
 	"tarragongw/kv"
 )
 
-// Key is the store key of the configuration and Prefix what a watch of it asks for.
+// Key is the store key of the configuration and Prefix the key prefix to watch.
 const (
 	Prefix = "config/"
 	Key    = Prefix + "current"
 )
 
 const (
-	// maxModelBytes bounds an unpacked model; a packed one is bounded by the store.
+	// maxModelBytes bounds an unpacked model; the store bounds a packed one.
 	maxModelBytes = config.MaxRecordSize
-	// keptOps bounds the writes that a record remembers.
-	keptOps = 16
+	// maxRecordedOps bounds the number of latest writes that a record lists.
+	maxRecordedOps = 16
 )
 
 // record is the value in the store. The packed model stays far below the store's
-// limit for a value: names repeat, so it packs to about a tenth.
+// limit for a value: names repeat, so it compresses to about a tenth.
 type record struct {
 	Revision uint64    `json:"revision"`
 	Author   string    `json:"author"`
 	Time     time.Time `json:"time"`
 	Ops      []kv.Op   `json:"ops"`
-	// Model is config.Encode's form, packed by gzip, a member for each of its pieces.
+	// Model is the output of config.Encode, compressed by gzip with one member for each
+	// piece.
 	Model []byte `json:"model"`
 }
 
 // State is a configuration as read from the store.
 type State struct {
 	Model *model.Model
-	// Author and Time are those of the last change.
+	// Author and Time describe the last change.
 	Author string
 	Time   time.Time
-	// Stored is the store's revision of the record; zero where there is none.
+	// Stored is the store's revision of the record; zero if there is no record.
 	Stored kv.Revision
 
 	// Value is the record's value as stored.
 	Value []byte
 
 	ops []kv.Op
-	// parts are where the pieces of the record went, if it could be read in pieces.
+	// parts are the pieces of the record, if it was read or written in pieces.
 	parts []part
-	// compiled is the model as Editor compiled it; nil where it did not.
+	// compiled is the model as compiled by Editor; nil if Editor did not compile it.
 	compiled *selector.Compiled
 }
 
 // Revision returns the configuration's own revision.
 func (s *State) Revision() uint64 { return s.Model.Revision }
 
-// Decode reads a record of the store.
+// Decode decodes a record of the store.
 func Decode(rec kv.Record) (*State, error) {
 	var r record
 	if err := json.Unmarshal(rec.Value, &r); err != nil {
@@ -81,8 +82,8 @@
 	return &State{Model: m, Author: r.Author, Time: r.Time, Stored: rec.Revision, Value: rec.Value, ops: r.Ops}, nil
 }
 
-// encode returns the value of the state with the operation id. What it has in common
-// with before, which may be nil, is not encoded again.
+// encode returns the state as a record's value that lists the operation ID opID. Pieces
+// that are equal in before, which may be nil, are copied instead of encoded again.
 func (s *State) encode(opID string, before *State) ([]byte, error) {
 	packed, parts, err := pack(s.Model, before)
 	if err != nil {
@@ -94,12 +95,12 @@
 		Revision: s.Model.Revision,
 		Author:   s.Author,
 		Time:     s.Time,
-		Ops:      ops[:min(len(ops), keptOps)],
+		Ops:      ops[:min(len(ops), maxRecordedOps)],
 		Model:    packed,
 	})
 }
 
-// opsOf returns the writes that a record remembers.
+// opsOf returns the writes that a record lists.
 func opsOf(value []byte) ([]kv.Op, error) {
 	var r record
 	if err := json.Unmarshal(value, &r); err != nil {
