--- a/operator/api.go
+++ b/operator/api.go
@@ -1,5 +1,5 @@
-// Package operator is the side of the router that operators meet: an HTTP+JSON
-// endpoint and the client that tarragonctl uses.
+// Package operator is the router's interface for operators: an HTTP+JSON endpoint and
+// the client that tarragonctl uses.
 package operator
 
 import (
@@ -29,12 +29,12 @@
 	PathRouters        = "/v1/routers"
 )
 
-// ParamRouter names the router that is to answer a call in place of the one that is
-// asked, which passes the call on; see PassedOn.
+// ParamRouter is the query parameter that names the router to answer a call. A router
+// that receives a call for another one passes it on; see PassedOn.
 const ParamRouter = "router"
 
-// PassedOn reports whether a router answers GET calls of the path to others that pass
-// them on: those that only read what that router alone knows.
+// PassedOn reports whether GET calls of the path may be passed on to another router. They
+// may where the call only reads data that each router has for itself alone.
 func PassedOn(path string) bool {
 	switch path {
 	case PathStatus, PathEvents, PathExplainRequest, PathExplainTarget, PathSeries:
@@ -43,7 +43,7 @@
 	return false
 }
 
-// Code is the closed list of reasons for which an operators' call fails.
+// Code is the reason why an operator call failed; the codes below are all there are.
 type Code string
 
 // The codes.
@@ -54,14 +54,14 @@
 	CodeUnavailable Code = "unavailable"
 	CodeUnknown     Code = "unknown_outcome"
 	CodeInternal    Code = "internal"
-	// CodeUnauthenticated and CodeForbidden refuse a call without a valid certificate and
-	// one whose certificate has too low a role; nothing was changed.
+	// CodeUnauthenticated refuses a call without a valid certificate, CodeForbidden one whose
+	// certificate has too low a role. Nothing was changed.
 	CodeUnauthenticated Code = "unauthenticated"
 	CodeForbidden       Code = "forbidden"
 )
 
-// statuses maps each code to its HTTP status.
-var statuses = map[Code]int{
+// httpStatuses maps each code to its HTTP status.
+var httpStatuses = map[Code]int{
 	CodeInvalid:     422,
 	CodeConflict:    409,
 	CodeNotFound:    404,
@@ -73,13 +73,13 @@
 	CodeForbidden:       403,
 }
 
-// Error is the typed failure of an operators' call.
+// Error is the typed failure of an operator call.
 type Error struct {
 	Code    Code   `json:"code"`
 	Message string `json:"message"`
-	// Problems lists every fault of a refused configuration.
+	// Problems lists all errors of a refused configuration.
 	Problems []string `json:"problems,omitempty"`
-	// Conflicts shows both sides of each change that clashes.
+	// Conflicts shows both sides of each conflicting change.
 	Conflicts []Conflict `json:"conflicts,omitempty"`
 }
 
@@ -100,14 +100,14 @@
 	return &Error{Code: code, Message: fmt.Sprintf(format, args...)}
 }
 
-// Conflict is one object that two operators changed differently.
+// Conflict is an object that two operators changed differently.
 type Conflict struct {
 	Object string `json:"object"`
 	Theirs string `json:"theirs"`
 	Mine   string `json:"mine"`
 }
 
-// String shows both sides.
+// String returns the object with both sides of the conflict.
 func (c Conflict) String() string {
 	return fmt.Sprintf("%s: theirs %s; yours %s", c.Object, c.Theirs, c.Mine)
 }
@@ -119,59 +119,60 @@
 	Model json.RawMessage `json:"model"`
 }
 
-// ApplyRequest asks to put a whole configuration in force.
+// ApplyRequest asks to make a whole configuration the present one.
 type ApplyRequest struct {
 	// Base is the revision that the operator edited; zero means an empty one.
 	Base uint64 `json:"base"`
 	// Author names the operator in the journal.
 	Author string          `json:"author"`
 	Model  json.RawMessage `json:"model"`
-	// DryRun only shows what would change.
+	// DryRun returns the changes without making them.
 	DryRun bool `json:"dry_run,omitempty"`
 }
 
-// ApplyReply says what was accepted.
+// ApplyReply describes the accepted change.
 type ApplyReply struct {
 	Revision uint64 `json:"revision"`
-	// Merged says that another operator's disjoint changes were kept.
+	// Merged reports whether the change was merged with other changes made since its base.
 	Merged  bool     `json:"merged,omitempty"`
 	Changes []string `json:"changes"`
 }
 
-// DrainRequest marks a target as leaving, or takes the mark away.
+// DrainRequest asks to drain a target, or with Undo to end its drain.
 type DrainRequest struct {
 	Target string `json:"target"`
 	Undo   bool   `json:"undo,omitempty"`
 	Author string `json:"author"`
 }
 
-// ConfirmDeadRequest is the operator's word that the routers which may still send to
-// a target are dead and will not come back.
+// ConfirmDeadRequest is the operator's confirmation that the routers which may still send
+// to a target are dead and will not come back.
 type ConfirmDeadRequest struct {
 	Target string `json:"target"`
 	Author string `json:"author"`
 }
 
-// ConfirmDeadReply names the routers that were taken for dead.
+// ConfirmDeadReply names the routers that are now treated as dead.
 type ConfirmDeadReply struct {
 	Target string   `json:"target"`
 	Dead   []string `json:"dead"`
 }
 
-// RouterRevision is what one router has in force.
+// RouterRevision is the configuration revision that a router has in force.
 type RouterRevision struct {
 	Router     string    `json:"router"`
 	DataCentre string    `json:"data_centre"`
 	Revision   uint64    `json:"revision"`
 	Since      time.Time `json:"since"`
-	// State is what the reporting router holds of it: alive, suspect, lost and so on.
+	// State is the router's membership state as the reporting router sees it: alive, suspect,
+	// lost and so on.
 	State string `json:"state"`
-	// Silent says that the router itself did not answer: the row is another's last report
-	// on it, or has revision zero where there is none.
+	// Silent reports that the router itself did not answer. The row is then the last report
+	// that another router has of it, or has revision zero if there is none.
 	Silent bool `json:"silent,omitempty"`
 }
 
-// KeyExplanation says who owns a key and why.
+// KeyExplanation describes which target owns a key and why.
 type KeyExplanation struct {
 	Service  string `json:"service"`
 	Key      string `json:"key"`
@@ -184,15 +185,15 @@
 	Revision uint64 `json:"revision"`
 	// Eligible are the targets that the selectors allow.
 	Eligible []string `json:"eligible"`
-	// Selector is the selector that decided; empty where none did.
+	// Selector is the selector that decided; empty if none did.
 	Selector string `json:"selector,omitempty"`
-	// Because are the reasons in order, each a sentence.
+	// Because lists the reasons in order, each as a sentence.
 	Because []string `json:"because"`
 	// Events are the latest moves of the unit.
 	Events []eventlog.Event `json:"events,omitempty"`
 }
 
-// TargetExplanation says how a target stands.
+// TargetExplanation describes the state of a target.
 type TargetExplanation struct {
 	Target     string `json:"target"`
 	Service    string `json:"service"`
@@ -200,7 +201,8 @@
 	Address    string `json:"address"`
 	Grantor    string `json:"grantor"`
 	Term       uint64 `json:"term"`
-	// Successors may take the target over without the store, the first one first.
+	// Successors are the routers that may take the target over without the store, in order
+	// of precedence.
 	Successors []string         `json:"successors"`
 	Units      int              `json:"units"`
 	Health     string           `json:"health"`
@@ -215,47 +217,47 @@
 type EventQuery struct {
 	// Since keeps events at or after the time.
 	Since time.Time
-	// After keeps events after the sequence number, in place of Since, where Life is
-	// still that of the router; of a later life all events are returned.
+	// After keeps events after the sequence number, in place of Since, if Life is the
+	// router's present instance; of a later instance all events are returned.
 	After uint64
 	Life  uint64
 }
 
-// EventPage is a part of a router's journal.
+// EventPage is a page of a router's journal.
 type EventPage struct {
 	Router string `json:"router"`
-	// Life tells the router's restarts apart: each begins with an empty journal and
+	// Life identifies the router's instance: each restart begins with an empty journal and
 	// sequence number 1.
 	Life   uint64           `json:"life"`
 	Events []eventlog.Event `json:"events"`
-	// Next is the sequence number to ask after for what follows.
+	// Next is the sequence number to pass as EventQuery.After for the next page.
 	Next uint64 `json:"next"`
 	// Missed is the number of events that the journal no longer held.
 	Missed uint64 `json:"missed,omitempty"`
 }
 
-// RouterState is what one router holds of another.
+// RouterState is a router's membership state as the answering router sees it.
 type RouterState struct {
 	Router     string `json:"router"`
 	DataCentre string `json:"data_centre"`
 	State      string `json:"state"`
 }
 
-// Series are the measures that one router keeps.
+// Series are the measurements that a router keeps.
 type Series struct {
 	Router     string `json:"router"`
 	DataCentre string `json:"data_centre"`
 	history.Series
 }
 
-// RequestExplanation says why a request ended as it did.
+// RequestExplanation describes how a request was handled and why it ended as it did.
 type RequestExplanation struct {
 	ID      string           `json:"id"`
 	Request eventlog.Request `json:"request"`
 }
 
-// Status is the screen for an owner: what is wrong, since when, what the system
-// does about it and what is to be done.
+// Status is the status screen for operators: what is wrong, since when, what the system
+// does about it and what the operator should do.
 type Status struct {
 	Router     string    `json:"router"`
 	DataCentre string    `json:"data_centre"`
@@ -268,7 +270,7 @@
 	Problems   []Problem `json:"problems"`
 }
 
-// Problem is one thing that is wrong.
+// Problem is a present fault, what the system does about it and the operator's action.
 type Problem struct {
 	What   string    `json:"what"`
 	Since  time.Time `json:"since"`
@@ -276,7 +278,8 @@
 	Action string    `json:"action"`
 }
 
-// Backend is what the router offers to operators. Each method fails with *Error.
+// Backend is implemented by the router and does the work of operator calls. Its methods
+// return errors of type *Error.
 type Backend interface {
 	Config(ctx context.Context) (*Config, error)
 	Apply(ctx context.Context, req *ApplyRequest) (*ApplyReply, error)
@@ -285,7 +288,7 @@
 	Revisions(ctx context.Context, all bool) ([]RouterRevision, error)
 	Status(ctx context.Context) (*Status, error)
 	Events(ctx context.Context, query EventQuery) (*EventPage, error)
-	// Routers returns this router and all others that it remembers.
+	// Routers returns this router and all others that it knows of.
 	Routers(ctx context.Context) ([]RouterState, error)
 	Series(ctx context.Context, since time.Time) (*Series, error)
 	ExplainKey(ctx context.Context, service, key string) (*KeyExplanation, error)
@@ -293,7 +296,7 @@
 	ExplainTarget(ctx context.Context, name string) (*TargetExplanation, error)
 	// Self is the name of this router.
 	Self() string
-	// PassOn asks another router and returns its answer, whose body is to be closed. The
-	// URI is path and query.
+	// PassOn sends a GET call to another router and returns its answer, whose body the caller
+	// must close. The URI consists of path and query.
 	PassOn(ctx context.Context, router, uri string) (*http.Response, error)
 }
--- a/operator/client.go
+++ b/operator/client.go
@@ -15,21 +15,21 @@
 	"tarragongw/eventlog"
 )
 
-// Client calls a router's operators' endpoint. Its methods mirror Backend.
+// Client calls the operator endpoint of a router. Its methods mirror Backend.
 type Client struct {
-	// Base is the URL of the endpoint, such as http://127.0.0.1:9100.
+	// Base is the URL of the endpoint, for example http://127.0.0.1:9100.
 	Base string
 	// HTTP is the client that is used; nil means http.DefaultClient.
 	HTTP *http.Client
-	// Router names the router that is to answer in place of the one at Base, which
-	// passes the calls on that PassedOn allows; empty means the one at Base.
+	// Router names the router that answers the calls; empty means the one at Base. The
+	// router at Base passes on those calls that PassedOn allows.
 	Router string
 }
 
-// maxReply bounds a router's answer; the longest is a whole journal.
-const maxReply = 64 << 20
+// maxReplyBytes bounds a router's answer; the longest is a whole journal.
+const maxReplyBytes = 64 << 20
 
-// Of returns a client whose calls the named router answers.
+// Of returns a copy of the client whose calls are answered by the named router.
 func (c *Client) Of(router string) *Client {
 	other := *c
 	other.Router = router
@@ -41,22 +41,22 @@
 	return call[Config](ctx, c, http.MethodGet, PathConfig, nil, nil)
 }
 
-// Apply puts a configuration in force.
+// Apply makes a configuration the present one.
 func (c *Client) Apply(ctx context.Context, req *ApplyRequest) (*ApplyReply, error) {
 	return call[ApplyReply](ctx, c, http.MethodPut, PathConfig, nil, req)
 }
 
-// Drain marks a target as leaving.
+// Drain starts or, with Undo, ends the drain of a target.
 func (c *Client) Drain(ctx context.Context, req *DrainRequest) (*ApplyReply, error) {
 	return call[ApplyReply](ctx, c, http.MethodPost, PathDrain, nil, req)
 }
 
-// ConfirmDead says that the routers which may still send to a target are dead.
+// ConfirmDead confirms that the routers which may still send to a target are dead.
 func (c *Client) ConfirmDead(ctx context.Context, req *ConfirmDeadRequest) (*ConfirmDeadReply, error) {
 	return call[ConfirmDeadReply](ctx, c, http.MethodPost, PathConfirmDead, nil, req)
 }
 
-// Revisions returns what the router, or every router, has in force.
+// Revisions returns the revision that the router, or every router, has in force.
 func (c *Client) Revisions(ctx context.Context, all bool) ([]RouterRevision, error) {
 	q := url.Values{"all": {strconv.FormatBool(all)}}
 	return deref(call[[]RouterRevision](ctx, c, http.MethodGet, PathRevision, q, nil))
@@ -67,7 +67,7 @@
 	return call[Status](ctx, c, http.MethodGet, PathStatus, nil, nil)
 }
 
-// Events returns the events of the time since.
+// Events returns the events of the last since.
 func (c *Client) Events(ctx context.Context, since time.Duration) ([]eventlog.Event, error) {
 	page, err := c.EventPage(ctx, since)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return page.Events, nil
 }
 
-// EventPage returns the events of the time since, with what EventsAfter goes on from.
+// EventPage returns the events of the last since as a page, which EventsAfter continues.
 func (c *Client) EventPage(ctx context.Context, since time.Duration) (*EventPage, error) {
 	return call[EventPage](ctx, c, http.MethodGet, PathEvents, url.Values{paramSince: {since.String()}}, nil)
 }
@@ -90,29 +90,29 @@
 	return call[EventPage](ctx, c, http.MethodGet, PathEvents, q, nil)
 }
 
-// Routers returns the router and all others that it remembers.
+// Routers returns the router and all others that it knows of.
 func (c *Client) Routers(ctx context.Context) ([]RouterState, error) {
 	return deref(call[[]RouterState](ctx, c, http.MethodGet, PathRouters, nil, nil))
 }
 
-// Series returns the measures of the time since.
+// Series returns the measurements of the last since.
 func (c *Client) Series(ctx context.Context, since time.Duration) (*Series, error) {
 	return call[Series](ctx, c, http.MethodGet, PathSeries, url.Values{paramSince: {since.String()}}, nil)
 }
 
-// ExplainKey says who owns the key and why.
+// ExplainKey returns which target owns the key and why.
 func (c *Client) ExplainKey(ctx context.Context, service, key string) (*KeyExplanation, error) {
 	q := url.Values{"service": {service}, "key": {key}}
 	return call[KeyExplanation](ctx, c, http.MethodGet, PathExplainKey, q, nil)
 }
 
-// ExplainRequest says why the request ended as it did.
+// ExplainRequest returns why the request ended as it did.
 func (c *Client) ExplainRequest(ctx context.Context, id string) (*RequestExplanation, error) {
 	q := url.Values{"id": {id}}
 	return call[RequestExplanation](ctx, c, http.MethodGet, PathExplainRequest, q, nil)
 }
 
-// ExplainTarget says how the target stands.
+// ExplainTarget returns the state of the target.
 func (c *Client) ExplainTarget(ctx context.Context, name string) (*TargetExplanation, error) {
 	q := url.Values{"name": {name}}
 	return call[TargetExplanation](ctx, c, http.MethodGet, PathExplainTarget, q, nil)
@@ -146,9 +146,9 @@
 		return nil, Errorf(CodeUnavailable, "the router was not reached: %v", err)
 	}
 	defer resp.Body.Close()
-	answer := io.LimitReader(resp.Body, maxReply)
-	// Without the end of the answer, which a decoder does not read, the connection would
-	// be closed and each call would need a handshake.
+	answer := io.LimitReader(resp.Body, maxReplyBytes)
+	// The decoder does not read the end of the answer. If it stayed unread, the connection
+	// would be closed and each call would need a new handshake.
 	defer func() { _, _ = io.Copy(io.Discard, answer) }()
 	decoder := json.NewDecoder(answer)
 	if resp.StatusCode != http.StatusOK {
--- a/operator/endpoint.go
+++ b/operator/endpoint.go
@@ -6,18 +6,18 @@
 	"tarragongw/keys"
 )
 
-// Endpoint is one path of the operators' listener and the role that it needs.
+// Endpoint is a path of the operator listener and the role that it requires.
 type Endpoint struct {
-	// Pattern is as http.ServeMux takes it.
+	// Pattern is a pattern of http.ServeMux.
 	Pattern string
-	// Role is the least role; keys.RoleNone lets everybody in.
+	// Role is the lowest role that is allowed; keys.RoleNone allows calls without a certificate.
 	Role keys.Role
 }
 
-// Endpoints is the table of all paths of the operators' listener, those of health,
-// metrics and profiles included. What is not in it needs keys.RoleAdminister.
+// Endpoints is the table of all paths of the operator listener, including those of health,
+// metrics and profiles. A path that is not in it requires keys.RoleAdminister.
 var Endpoints = []Endpoint{
-	// The balancer and the supervisor ask these, and have no certificate.
+	// The load balancer and the supervisor call these without a certificate.
 	{"GET /livez", keys.RoleNone},
 	{"GET /readyz", keys.RoleNone},
 
@@ -38,9 +38,9 @@
 	{"POST " + PathDrain, keys.RoleOperate},
 
 	{"PUT " + PathConfig, keys.RoleAdminister},
-	// A wrong word here gives a key two owners.
+	// A wrong confirmation can give a key two owners.
 	{"POST " + PathConfirmDead, keys.RoleAdminister},
-	// Profiles take processor time and show what the process works on.
+	// Profiles take CPU time and reveal what the process works on.
 	{"/debug/pprof/", keys.RoleAdminister},
 	{"/debug/pprof/cmdline", keys.RoleAdminister},
 	{"/debug/pprof/profile", keys.RoleAdminister},
@@ -48,27 +48,28 @@
 	{"/debug/pprof/trace", keys.RoleAdminister},
 }
 
-// roles finds the role that a request needs.
-type roles struct{ mux *http.ServeMux }
+// roleTable finds the role that a request requires.
+type roleTable struct{ mux *http.ServeMux }
 
-// needed marks a pattern of the mux with its role; it answers nothing.
-type needed keys.Role
+// requiredRole is the handler that marks a pattern of the mux with its role; it writes no
+// answer.
+type requiredRole keys.Role
 
-func (needed) ServeHTTP(http.ResponseWriter, *http.Request) {}
+func (requiredRole) ServeHTTP(http.ResponseWriter, *http.Request) {}
 
-func newRoles(table []Endpoint) *roles {
+func newRoleTable(table []Endpoint) *roleTable {
 	mux := http.NewServeMux()
 	for _, e := range table {
-		mux.Handle(e.Pattern, needed(e.Role))
+		mux.Handle(e.Pattern, requiredRole(e.Role))
 	}
-	return &roles{mux}
+	return &roleTable{mux}
 }
 
-// of fails closed: a path that nobody put into the table, or that the mux would
-// redirect, needs the highest role.
-func (r *roles) of(req *http.Request) keys.Role {
+// roleFor returns the role that a request requires. It fails closed: a path that is not in
+// the table, or that the mux would redirect, requires the highest role.
+func (r *roleTable) roleFor(req *http.Request) keys.Role {
 	handler, _ := r.mux.Handler(req)
-	if role, ok := handler.(needed); ok {
+	if role, ok := handler.(requiredRole); ok {
 		return keys.Role(role)
 	}
 	return keys.RoleAdminister
--- a/operator/fuzz_test.go
+++ b/operator/fuzz_test.go
@@ -12,8 +12,8 @@
 	"tarragongw/operator"
 )
 
-// FuzzEndpoint: whatever is sent to the operators' endpoint gets an answer of its own
-// closed list, in JSON, and a body that can't be read changes nothing.
+// FuzzEndpoint checks that any request to the operator endpoint gets a JSON answer, and
+// each failure a code and a message, or an answer of the multiplexer itself.
 func FuzzEndpoint(f *testing.F) {
 	f.Add("PUT", operator.PathConfig, "", `{"base":1,"author":"ann","model":{}}`)
 	f.Add("POST", operator.PathDrain, "", `{"target":"t"}`)
@@ -23,7 +23,7 @@
 	f.Add("GET", operator.PathExplainKey, "service=%00&key=%ff;", "")
 	f.Add("GET", operator.PathStatus, "router=b", "")
 	f.Add("POST", operator.PathCheck, "", strings.Repeat("[", 20_000))
-	handler := operator.NewHandler(&fake{})
+	handler := operator.NewHandler(&fakeBackend{})
 	f.Fuzz(func(t *testing.T, method, path, query, body string) {
 		req, err := http.NewRequest(method, "http://router"+path, strings.NewReader(body))
 		if err != nil || !strings.HasPrefix(req.URL.Path, "/v1/") {
@@ -33,7 +33,7 @@
 		w := httptest.NewRecorder()
 		handler.ServeHTTP(w, req)
 		if w.Header().Get("Content-Type") != "application/json" {
-			// The multiplexer's own answers: unknown path, wrong method, path to be cleaned.
+			// The multiplexer's own answers: unknown path, wrong method, redirect to the clean path.
 			assert.Assert(t, w.Code == 404 || w.Code == 405 || w.Code/100 == 3, "%d", w.Code)
 			return
 		}
--- a/operator/guard.go
+++ b/operator/guard.go
@@ -10,23 +10,23 @@
 	"tarragongw/keys"
 )
 
-// Identity is who makes a call.
+// Identity is the authenticated sender of a call.
 type Identity struct {
-	// Name is that of the certificate; empty where none was shown.
+	// Name is the name in the certificate; empty if none was presented.
 	Name string
 	Role keys.Role
 }
 
-// Cause is the closed list of reasons for which the operators' listener refuses
-// somebody.
+// Cause is the reason why the operator listener refused a call or connection; the causes
+// below are all there are.
 type Cause string
 
 // The causes.
 const (
 	// CauseNoCertificate is a call without a certificate, CauseCertificate one whose
-	// certificate is not valid any more, CauseRole one whose role is too low, and
-	// CauseRevoked one whose certificate is revoked, and CauseHandshake a connection whose
-	// TLS handshake failed for another reason.
+	// certificate is no longer valid, CauseRole one whose role is too low, CauseRevoked
+	// one whose certificate is revoked, and CauseHandshake a connection whose TLS handshake
+	// failed for another reason.
 	CauseNoCertificate Cause = "no_certificate"
 	CauseCertificate   Cause = "certificate"
 	CauseRole          Cause = "role"
@@ -34,55 +34,54 @@
 	CauseHandshake     Cause = "handshake"
 )
 
-// Refusal is a call or connection that was refused; nothing of it took effect.
+// Refusal is a call or connection that was refused; it had no effect.
 type Refusal struct {
 	Cause Cause
-	// Name is that of the certificate, where one was shown and is valid.
+	// Name is the name in the certificate, if one was presented and is valid.
 	Name string
-	// Remote is the address that it came from.
+	// Remote is the address of the sender.
 	Remote string
 	// Method and Path are empty for a handshake.
 	Method string
 	Path   string
-	// Detail says more, in words for operators.
+	// Detail explains the refusal to operators.
 	Detail string
 }
 
-// Guard lets only those calls through whose certificate has the role that their
-// path needs.
+// Guard admits only calls whose certificate has the role that their path requires.
 type Guard struct {
-	// Next answers the calls that are let through.
+	// Next handles the admitted calls.
 	Next http.Handler
-	// Identify says who makes the call; an error means that the certificate is not valid.
+	// Identify returns the sender of the call; an error means that its certificate is not valid.
 	Identify func(*http.Request) (Identity, error)
-	// Refused is told of each refusal.
+	// Refused is called for each refusal.
 	Refused func(Refusal)
 
-	roles *roles
+	roles *roleTable
 }
 
-// NewGuard returns a guard by the table Endpoints.
+// NewGuard returns a Guard that takes the required roles from Endpoints.
 func NewGuard(next http.Handler, identify func(*http.Request) (Identity, error), refused func(Refusal)) *Guard {
-	return &Guard{Next: next, Identify: identify, Refused: refused, roles: newRoles(Endpoints)}
+	return &Guard{Next: next, Identify: identify, Refused: refused, roles: newRoleTable(Endpoints)}
 }
 
 // ServeHTTP implements http.Handler.
 func (g *Guard) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	need := g.roles.of(r)
-	if need == keys.RoleNone {
+	required := g.roles.roleFor(r)
+	if required == keys.RoleNone {
 		g.Next.ServeHTTP(w, r)
 		return
 	}
-	who, err := g.Identify(r)
+	identity, err := g.Identify(r)
 	switch {
 	case err != nil:
 		g.refuse(w, r, causeOf(err), "", "the certificate is not accepted: "+err.Error())
-	case who.Role.Covers(need):
-		g.Next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), identityKey{}, who)))
-	case who.Name == "":
-		g.refuse(w, r, CauseNoCertificate, "", fmt.Sprintf("this call needs a certificate with the role %s", need))
+	case identity.Role.Covers(required):
+		g.Next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), identityKey{}, identity)))
+	case identity.Name == "":
+		g.refuse(w, r, CauseNoCertificate, "", fmt.Sprintf("this call needs a certificate with the role %s", required))
 	default:
-		g.refuse(w, r, CauseRole, who.Name, fmt.Sprintf("this call needs the role %s; %s has %s", need, who.Name, orNoRole(who.Role)))
+		g.refuse(w, r, CauseRole, identity.Name, fmt.Sprintf("this call needs the role %s; %s has %s", required, identity.Name, roleOrNone(identity.Role)))
 	}
 }
 
@@ -93,7 +92,7 @@
 		code = CodeUnauthenticated
 	}
 	if cause == CauseCertificate || cause == CauseRevoked {
-		// Nothing that follows on the connection would be answered.
+		// No further call on this connection would be answered.
 		w.Header().Set("Connection", "close")
 	}
 	writeError(w, Errorf(code, "%s; nothing was changed", detail))
@@ -107,7 +106,7 @@
 	return CauseCertificate
 }
 
-func orNoRole(role keys.Role) string {
+func roleOrNone(role keys.Role) string {
 	if role == keys.RoleNone {
 		return "none"
 	}
@@ -116,12 +115,12 @@
 
 type identityKey struct{}
 
-// authorOf returns under which name a change is recorded: that of the certificate
-// where there is one, else what the call says. Without this an operator could act
-// under another one's name.
-func authorOf(ctx context.Context, said string) string {
-	if who, ok := ctx.Value(identityKey{}).(Identity); ok && who.Name != "" {
-		return who.Name
+// authorOf returns the name under which a change is recorded: the name in the certificate
+// if there is one, else the name that the call claims. Otherwise an operator could act
+// under another operator's name.
+func authorOf(ctx context.Context, claimed string) string {
+	if identity, ok := ctx.Value(identityKey{}).(Identity); ok && identity.Name != "" {
+		return identity.Name
 	}
-	return said
+	return claimed
 }
--- a/operator/guard_test.go
+++ b/operator/guard_test.go
@@ -14,28 +14,29 @@
 	"tarragongw/operator"
 )
 
-// guarded serves calls under the identity, and counts what was let through and refused.
-type guarded struct {
-	who      operator.Identity
+// guardFixture sends calls under an identity through a Guard, and counts those admitted and records
+// the refusals.
+type guardFixture struct {
+	identity operator.Identity
 	err      error
-	passed   int
+	admitted int
 	refusals []operator.Refusal
 	guard    *operator.Guard
 }
 
-func newGuarded(next http.Handler) *guarded {
-	g := &guarded{}
+func newGuardFixture(next http.Handler) *guardFixture {
+	g := &guardFixture{}
 	counted := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		g.passed++
+		g.admitted++
 		next.ServeHTTP(w, r)
 	})
 	g.guard = operator.NewGuard(counted,
-		func(*http.Request) (operator.Identity, error) { return g.who, g.err },
+		func(*http.Request) (operator.Identity, error) { return g.identity, g.err },
 		func(r operator.Refusal) { g.refusals = append(g.refusals, r) })
 	return g
 }
 
-func (g *guarded) call(pattern string) int {
+func (g *guardFixture) call(pattern string) int {
 	method, path, found := strings.Cut(pattern, " ")
 	if !found {
 		method, path = "GET", pattern
@@ -45,28 +46,28 @@
 	return w.Code
 }
 
-// Each endpoint under each role: what is refused does not reach the endpoint and is
-// told with its cause.
+// Calls each endpoint under each role: a refused call must not reach the endpoint and must
+// be reported with its cause.
 func TestEachEndpointNeedsItsRole(t *testing.T) {
-	g := newGuarded(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {}))
+	g := newGuardFixture(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {}))
 	for _, e := range operator.Endpoints {
 		for _, have := range []keys.Role{keys.RoleNone, keys.RoleRead, keys.RoleOperate, keys.RoleAdminister, keys.RoleRouter} {
-			g.who, g.passed, g.refusals = operator.Identity{Name: "ann", Role: have}, 0, nil
+			g.identity, g.admitted, g.refusals = operator.Identity{Name: "ann", Role: have}, 0, nil
 			status := g.call(e.Pattern)
 			if e.Role == keys.RoleNone || have.Covers(e.Role) {
 				assert.Equal(t, status, 200, "%s %s", e.Pattern, have)
-				assert.Equal(t, g.passed, 1)
+				assert.Equal(t, g.admitted, 1)
 				continue
 			}
 			assert.Equal(t, status, http.StatusForbidden, "%s %s", e.Pattern, have)
-			assert.Equal(t, g.passed, 0, e.Pattern)
+			assert.Equal(t, g.admitted, 0, e.Pattern)
 			assert.Equal(t, g.refusals[0].Cause, operator.CauseRole)
 		}
 	}
 }
 
-// What one router passes on to another is not checked there again, so that it must
-// never be more than reading.
+// The router that receives a passed-on call does not check the operator's role again, so
+// only calls that read may be passed on.
 func TestOnlyReadingIsPassedOn(t *testing.T) {
 	var passed int
 	for _, e := range operator.Endpoints {
@@ -79,44 +80,44 @@
 	assert.Assert(t, passed > 0)
 }
 
-// A path that is not in the table, or comes in another form, needs the highest role.
+// A path or method that is not in the table, or a path that is not in its clean form,
+// requires the highest role.
 func TestUnknownPathsFailClosed(t *testing.T) {
-	g := newGuarded(http.NotFoundHandler())
+	g := newGuardFixture(http.NotFoundHandler())
 	for _, call := range []string{"GET /v1/new", "DELETE /v1/config", "GET /", "PUT /v1//config", "PUT /x/../v1/config", "POST /livez", "CONNECT /v1/drain"} {
-		g.who = operator.Identity{Name: "ann", Role: keys.RoleOperate}
+		g.identity = operator.Identity{Name: "ann", Role: keys.RoleOperate}
 		assert.Equal(t, g.call(call), http.StatusForbidden, call)
 	}
-	assert.Equal(t, g.passed, 0)
+	assert.Equal(t, g.admitted, 0)
 }
 
-func TestRefusalsSayTheirCause(t *testing.T) {
-	g := newGuarded(http.NotFoundHandler())
+func TestRefusalsReportTheirCause(t *testing.T) {
+	g := newGuardFixture(http.NotFoundHandler())
 	assert.Equal(t, g.call("POST /v1/drain"), http.StatusUnauthorized)
 	g.err = errors.New("it ended")
 	assert.Equal(t, g.call("POST /v1/drain"), http.StatusUnauthorized)
 	assert.Equal(t, g.refusals[0].Cause, operator.CauseNoCertificate)
 	assert.Equal(t, g.refusals[1].Cause, operator.CauseCertificate)
-	assert.Equal(t, g.passed, 0)
+	assert.Equal(t, g.admitted, 0)
 }
 
-// Symptom: the journal names the wrong operator.
-// Sequence: a call gives another name than its certificate.
-// Cause: the name in the call is believed.
-func TestTheCertificateNamesTheAuthor(t *testing.T) {
-	f := &fake{}
-	g := newGuarded(operator.NewHandler(f))
+// Guards against a journal that names the wrong operator: a call claims another name than
+// its certificate has, and the claimed name is recorded.
+func TestAuthorIsTakenFromCertificate(t *testing.T) {
+	f := &fakeBackend{}
+	g := newGuardFixture(operator.NewHandler(f))
 	server := httptest.NewServer(g.guard)
 	defer server.Close()
 	c := &operator.Client{Base: server.URL}
-	g.who = operator.Identity{Name: "ann", Role: keys.RoleAdminister}
+	g.identity = operator.Identity{Name: "ann", Role: keys.RoleAdminister}
 	_, err := c.Drain(context.Background(), &operator.DrainRequest{Target: "t", Author: "bob"})
 	assert.NilError(t, err)
 	assert.Equal(t, f.drain.Author, "ann")
 	_, err = c.Apply(context.Background(), &operator.ApplyRequest{Author: "bob", Model: []byte(`{}`)})
 	assert.NilError(t, err)
 	assert.Equal(t, f.apply.Author, "ann")
-	// Without TLS nobody is named but by the call.
-	g.who.Name = ""
+	// Without TLS the call itself is the only source of the name.
+	g.identity.Name = ""
 	_, err = c.Drain(context.Background(), &operator.DrainRequest{Target: "t", Author: "bob"})
 	assert.NilError(t, err)
 	assert.Equal(t, f.drain.Author, "bob")
--- a/operator/limits_test.go
+++ b/operator/limits_test.go
@@ -15,10 +15,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// patience bounds every wait; it is far beyond what is measured.
-const patience = 30 * time.Second
+// waitTimeout bounds every wait; it is far longer than any wait of a passing test.
+const waitTimeout = 30 * time.Second
 
-// slowBackend holds each call for its status until it is let go.
+// slowBackend blocks each Status call until release is closed.
 type slowBackend struct {
 	Backend
 	entered chan struct{}
@@ -37,38 +37,37 @@
 	return &ApplyReply{Revision: 2}, nil
 }
 
-// Symptom: a router runs out of memory while a program asks it without a pause.
-// Sequence: calls come faster than they are answered, each with megabytes in hand.
-// Cause: nothing bounds how many are worked on at once.
-func TestCallsAtOnceAreBounded(t *testing.T) {
-	b := &slowBackend{entered: make(chan struct{}, maxCalls), release: make(chan struct{})}
+// Guards against a router that runs out of memory when a program calls it continuously:
+// calls arrive faster than they are answered, each holds megabytes, and nothing bounds the
+// number in flight.
+func TestConcurrentCallsAreBounded(t *testing.T) {
+	b := &slowBackend{entered: make(chan struct{}, maxConcurrentCalls), release: make(chan struct{})}
 	server := httptest.NewServer(newServer(b))
 	defer server.Close()
-	c := &Client{Base: server.URL, HTTP: &http.Client{Timeout: patience}}
-	answers := make(chan error, maxCalls)
-	for range maxCalls {
+	c := &Client{Base: server.URL, HTTP: &http.Client{Timeout: waitTimeout}}
+	answers := make(chan error, maxConcurrentCalls)
+	for range maxConcurrentCalls {
 		go func() {
 			_, err := c.Status(t.Context())
 			answers <- err
 		}()
 	}
-	for range maxCalls {
+	for range maxConcurrentCalls {
 		<-b.entered
 	}
 	_, err := c.Status(t.Context())
 	assert.ErrorContains(t, err, "operators' calls are under way")
 	close(b.release)
-	for range maxCalls {
+	for range maxConcurrentCalls {
 		assert.NilError(t, <-answers)
 	}
 	_, err = c.Drain(t.Context(), &DrainRequest{Target: "t"})
-	assert.NilError(t, err, "a place is given back")
+	assert.NilError(t, err, "finished calls must free their slots")
 }
 
-// Symptom: connections of operators pile up, each with half a call.
-// Sequence: a caller sends a part of its body and goes silent.
-// Cause: the server waits for the rest without a bound.
-func TestBodyThatDoesNotArriveIsCut(t *testing.T) {
+// Guards against operator connections that accumulate with incomplete calls: a client sends
+// a part of its body and then nothing, and the server waits for the rest without a timeout.
+func TestIncompleteBodyTimesOut(t *testing.T) {
 	s := newServer(&slowBackend{})
 	s.bodyTimeout = 50 * time.Millisecond
 	server := httptest.NewServer(s)
@@ -76,7 +75,7 @@
 	conn, err := net.Dial("tcp", server.Listener.Addr().String())
 	assert.NilError(t, err)
 	defer conn.Close()
-	assert.NilError(t, conn.SetDeadline(time.Now().Add(patience)))
+	assert.NilError(t, conn.SetDeadline(time.Now().Add(waitTimeout)))
 	_, err = fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: a\r\nContent-Length: 100\r\n\r\n{\"target\":", PathDrain)
 	assert.NilError(t, err)
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -87,17 +86,17 @@
 	assert.Equal(t, e.Code, CodeInvalid)
 }
 
-// A body that is too long, too deep, or goes on after the call is refused.
+// A body that is too long, nested too deeply, or has data after the call is refused.
 func TestBodiesAreBounded(t *testing.T) {
 	s := newServer(&slowBackend{})
 	for name, body := range map[string]string{
-		"long":  `{"target":"` + strings.Repeat("x", maxBody) + `"}`,
+		"long":  `{"target":"` + strings.Repeat("x", maxBodyBytes) + `"}`,
 		"deep":  strings.Repeat(`{"target":`, 20_000),
 		"twice": `{"target":"t"} {"target":"u"}`,
 	} {
 		w := httptest.NewRecorder()
 		s.ServeHTTP(w, httptest.NewRequest(http.MethodPost, PathDrain, strings.NewReader(body)))
-		assert.Equal(t, w.Code, statuses[CodeInvalid], name)
+		assert.Equal(t, w.Code, httpStatuses[CodeInvalid], name)
 	}
 	w := httptest.NewRecorder()
 	s.ServeHTTP(w, httptest.NewRequest(http.MethodPost, PathDrain, strings.NewReader("{\"target\":\"t\"}\n")))
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -19,38 +19,38 @@
 	"tarragongw/operator"
 )
 
-// fake answers with what it was given and remembers what it was asked.
-type fake struct {
+// fakeBackend answers with fixed values and records the arguments of calls.
+type fakeBackend struct {
 	err   error
 	apply operator.ApplyRequest
 	drain operator.DrainRequest
 	since time.Time
 	query operator.EventQuery
 	key   string
-	// passedOn is what was to be passed on, and passOn answers it.
+	// passedOn is the router and URI of the last call to PassOn, which passOn answers.
 	passedOn string
 	passOn   func(ctx context.Context) (*http.Response, error)
 }
 
-func (f *fake) Config(context.Context) (*operator.Config, error) {
+func (f *fakeBackend) Config(context.Context) (*operator.Config, error) {
 	return &operator.Config{Revision: 7, Model: []byte(`{}`)}, f.err
 }
 
-func (f *fake) Apply(_ context.Context, req *operator.ApplyRequest) (*operator.ApplyReply, error) {
+func (f *fakeBackend) Apply(_ context.Context, req *operator.ApplyRequest) (*operator.ApplyReply, error) {
 	f.apply = *req
 	return &operator.ApplyReply{Revision: 8}, f.err
 }
 
-func (f *fake) Drain(_ context.Context, req *operator.DrainRequest) (*operator.ApplyReply, error) {
+func (f *fakeBackend) Drain(_ context.Context, req *operator.DrainRequest) (*operator.ApplyReply, error) {
 	f.drain = *req
 	return &operator.ApplyReply{Revision: 9}, f.err
 }
 
-func (f *fake) ConfirmDead(_ context.Context, req *operator.ConfirmDeadRequest) (*operator.ConfirmDeadReply, error) {
+func (f *fakeBackend) ConfirmDead(_ context.Context, req *operator.ConfirmDeadRequest) (*operator.ConfirmDeadReply, error) {
 	return &operator.ConfirmDeadReply{Target: req.Target, Dead: []string{"a", "b"}}, f.err
 }
 
-func (f *fake) Revisions(_ context.Context, all bool) ([]operator.RouterRevision, error) {
+func (f *fakeBackend) Revisions(_ context.Context, all bool) ([]operator.RouterRevision, error) {
 	out := []operator.RouterRevision{{Router: "a"}}
 	if all {
 		out = append(out, operator.RouterRevision{Router: "b"})
@@ -58,27 +58,27 @@
 	return out, f.err
 }
 
-func (f *fake) Status(context.Context) (*operator.Status, error) {
+func (f *fakeBackend) Status(context.Context) (*operator.Status, error) {
 	return &operator.Status{Router: "a"}, f.err
 }
 
-func (f *fake) Events(_ context.Context, query operator.EventQuery) (*operator.EventPage, error) {
+func (f *fakeBackend) Events(_ context.Context, query operator.EventQuery) (*operator.EventPage, error) {
 	f.since, f.query = query.Since, query
 	return &operator.EventPage{Router: "a", Life: 5, Next: 3, Events: []eventlog.Event{{Seq: 3, Kind: eventlog.OwnerChanged}}}, f.err
 }
 
-func (f *fake) Routers(context.Context) ([]operator.RouterState, error) {
+func (f *fakeBackend) Routers(context.Context) ([]operator.RouterState, error) {
 	return []operator.RouterState{{Router: "a"}, {Router: "b"}}, f.err
 }
 
-func (f *fake) Series(_ context.Context, since time.Time) (*operator.Series, error) {
+func (f *fakeBackend) Series(_ context.Context, since time.Time) (*operator.Series, error) {
 	f.since = since
 	return &operator.Series{Router: "a", Series: history.Series{Step: time.Second}}, f.err
 }
 
-func (f *fake) Self() string { return "a" }
+func (f *fakeBackend) Self() string { return "a" }
 
-func (f *fake) PassOn(ctx context.Context, router, uri string) (*http.Response, error) {
+func (f *fakeBackend) PassOn(ctx context.Context, router, uri string) (*http.Response, error) {
 	if f.passOn == nil {
 		return nil, operator.Errorf(operator.CodeUnavailable, "router %s was not reached", router)
 	}
@@ -86,28 +86,28 @@
 	return f.passOn(ctx)
 }
 
-func (f *fake) ExplainKey(_ context.Context, service, key string) (*operator.KeyExplanation, error) {
+func (f *fakeBackend) ExplainKey(_ context.Context, service, key string) (*operator.KeyExplanation, error) {
 	f.key = service + "/" + key
 	return &operator.KeyExplanation{Service: service, Key: key}, f.err
 }
 
-func (f *fake) ExplainRequest(_ context.Context, id string) (*operator.RequestExplanation, error) {
+func (f *fakeBackend) ExplainRequest(_ context.Context, id string) (*operator.RequestExplanation, error) {
 	return &operator.RequestExplanation{ID: id}, f.err
 }
 
-func (f *fake) ExplainTarget(_ context.Context, name string) (*operator.TargetExplanation, error) {
+func (f *fakeBackend) ExplainTarget(_ context.Context, name string) (*operator.TargetExplanation, error) {
 	return &operator.TargetExplanation{Target: name}, f.err
 }
 
-func serve(t *testing.T, f *fake) *operator.Client {
+func serve(t *testing.T, f *fakeBackend) *operator.Client {
 	t.Helper()
 	server := httptest.NewServer(operator.NewHandler(f))
 	t.Cleanup(server.Close)
 	return &operator.Client{Base: server.URL}
 }
 
-func TestCallsArriveWhole(t *testing.T) {
-	f := &fake{}
+func TestCallsReachBackendWithAllArguments(t *testing.T) {
+	f := &fakeBackend{}
 	c := serve(t, f)
 	ctx := context.Background()
 
@@ -145,7 +145,7 @@
 	assert.Assert(t, time.Since(f.since) >= time.Hour)
 }
 
-func TestErrorsKeepTheirCode(t *testing.T) {
+func TestErrorsKeepTheirCodeAndStatus(t *testing.T) {
 	cases := []struct {
 		err    error
 		code   operator.Code
@@ -159,7 +159,7 @@
 		{errors.New("untyped"), operator.CodeInternal, 500},
 	}
 	for _, tc := range cases {
-		c := serve(t, &fake{err: tc.err})
+		c := serve(t, &fakeBackend{err: tc.err})
 		_, err := c.Status(context.Background())
 		var e *operator.Error
 		assert.Assert(t, errors.As(err, &e))
@@ -181,7 +181,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			f := &fake{}
+			f := &fakeBackend{}
 			c := serve(t, f)
 			req, err := http.NewRequest(tc.method, c.Base+tc.path, strings.NewReader(tc.body))
 			assert.NilError(t, err)
@@ -199,7 +199,7 @@
 }
 
 func TestCheckNeverWrites(t *testing.T) {
-	f := &fake{}
+	f := &fakeBackend{}
 	c := serve(t, f)
 	resp, err := http.Post(c.Base+operator.PathCheck, "application/json", strings.NewReader(`{"base":7,"author":"ann","model":{}}`))
 	assert.NilError(t, err)
@@ -213,9 +213,8 @@
 	assert.ErrorContains(t, err, "not reached")
 }
 
-// Symptom: each call of a program opens a connection, now and then.
-// Sequence: the end of an answer arrives after its content.
-// Cause: the client closes the answer before it has read the end.
+// Guards against calls that each open a new connection: the end of an answer arrives after
+// its content, and the client closes the body before it has read the end.
 func TestCallsShareAConnection(t *testing.T) {
 	var opened atomic.Int32
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -237,9 +236,9 @@
 	assert.Equal(t, opened.Load(), int32(1))
 }
 
-// What follows a page is asked for by its last number and its life.
-func TestEventsGoOnAfterAPage(t *testing.T) {
-	f := &fake{}
+// The next page is requested by the page's Next and Life.
+func TestEventsAfterContinuesPage(t *testing.T) {
+	f := &fakeBackend{}
 	c := serve(t, f)
 	page, err := c.EventPage(context.Background(), time.Hour)
 	assert.NilError(t, err)
@@ -257,10 +256,10 @@
 	}
 }
 
-// A call for another router is passed on without that router's name; one for the
-// router itself is not.
+// A call for another router is passed on without that router's name; a call for the router
+// itself is not passed on.
 func TestCallsArePassedOn(t *testing.T) {
-	f := &fake{passOn: answerWith(200, `{"router":"b","step_ns":7}`)}
+	f := &fakeBackend{passOn: answerWith(200, `{"router":"b","step_ns":7}`)}
 	c := serve(t, f)
 	ctx := context.Background()
 	series, err := c.Of("b").Series(ctx, time.Minute)
@@ -281,9 +280,9 @@
 	assert.Equal(t, e.Code, operator.CodeNotFound)
 }
 
-// Nothing that changes something is passed on.
+// Calls that change something are not passed on, nor is Config, which reads the store.
 func TestChangesAreNotPassedOn(t *testing.T) {
-	f := &fake{passOn: answerWith(200, `{}`)}
+	f := &fakeBackend{passOn: answerWith(200, `{}`)}
 	c := serve(t, f).Of("b")
 	ctx := context.Background()
 	_, err := c.Drain(ctx, &operator.DrainRequest{Target: "t"})
@@ -296,26 +295,26 @@
 	assert.Equal(t, f.drain, operator.DrainRequest{})
 }
 
-// Symptom: a report takes half of a router's measures for all of them.
-// Sequence: the answer that is passed on is longer than the limit, or breaks off.
-// Cause: the router in between ends its own answer as if it were whole.
-func TestCutAnswersAreNotPassedOnAsWhole(t *testing.T) {
+// Guards against a report that takes a part of a router's measurements for all of them: an
+// answer that is passed on exceeds the limit or is truncated, and the router in between
+// ends its own answer normally.
+func TestTruncatedAnswersAreAborted(t *testing.T) {
 	long := `{"router":"` + strings.Repeat("x", 17<<20) + `"}`
-	broken := func(context.Context) (*http.Response, error) {
+	truncated := func(context.Context) (*http.Response, error) {
 		body := io.MultiReader(strings.NewReader(`{"router":"b"}`), &failingReader{})
 		return &http.Response{StatusCode: 200, Header: http.Header{}, Body: io.NopCloser(body)}, nil
 	}
-	for _, passOn := range []func(context.Context) (*http.Response, error){answerWith(200, long), broken} {
-		resp, err := http.Get(serve(t, &fake{passOn: passOn}).Base + operator.PathSeries + "?router=b")
+	for _, passOn := range []func(context.Context) (*http.Response, error){answerWith(200, long), truncated} {
+		resp, err := http.Get(serve(t, &fakeBackend{passOn: passOn}).Base + operator.PathSeries + "?router=b")
 		if err != nil {
 			continue
 		}
 		_, err = io.Copy(io.Discard, resp.Body)
 		assert.NilError(t, resp.Body.Close())
-		assert.Assert(t, err != nil, "a cut answer ended cleanly")
+		assert.Assert(t, err != nil, "a truncated answer ended normally")
 	}
 }
 
 type failingReader struct{}
 
-func (*failingReader) Read([]byte) (int, error) { return 0, errors.New("broke off") }
+func (*failingReader) Read([]byte) (int, error) { return 0, errors.New("connection broken") }
--- a/operator/passon.go
+++ b/operator/passon.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// passOnTimeout bounds a call that is passed on, so that a router that is silent is
-	// told of before the operator's own patience ends.
+	// passOnTimeout bounds a call that is passed on, so that the operator learns of an
+	// unresponsive router before the operator's own timeout.
 	passOnTimeout = 4 * time.Second
-	// maxPassedOn bounds an answer that is passed on.
-	maxPassedOn = 16 << 20
+	// maxPassedOnBytes bounds an answer that is passed on.
+	maxPassedOnBytes = 16 << 20
 )
 
-// passOnTo is the router that the call is for; empty where it is for the one asked.
-func passOnTo(r *http.Request) string {
+// requestedRouter returns the router that the call names; empty if it names none.
+func requestedRouter(r *http.Request) string {
 	if r.URL.RawQuery == "" {
 		return ""
 	}
 	return r.URL.Query().Get(ParamRouter)
 }
 
-// passOn passes a call on. An answer that is cut off on the way is broken off here
-// too, so that no part of one passes for the whole.
+// passOn passes a call on to the named router. If the answer is truncated, the answer to
+// the operator is aborted too, so that a part of it isn't taken for the whole.
 func (s *server) passOn(w http.ResponseWriter, r *http.Request, name string) {
 	if r.Method != http.MethodGet || !PassedOn(r.URL.Path) {
 		writeError(w, Errorf(CodeInvalid, "%s %s can't be passed on to another router; ask it itself", r.Method, r.URL.Path))
@@ -41,13 +41,13 @@
 	defer resp.Body.Close()
 	w.Header().Set("Content-Type", resp.Header.Get("Content-Type"))
 	w.WriteHeader(resp.StatusCode)
-	limited := &io.LimitedReader{R: resp.Body, N: maxPassedOn}
+	limited := &io.LimitedReader{R: resp.Body, N: maxPassedOnBytes}
 	if _, err := io.Copy(w, limited); err != nil || limited.N == 0 {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// passedOnURI is the call without the name of the router.
+// passedOnURI returns the call's URI without the name of the router.
 func passedOnURI(u *url.URL) string {
 	q := u.Query()
 	q.Del(ParamRouter)
--- a/operator/server.go
+++ b/operator/server.go
@@ -15,34 +15,34 @@
 )
 
 const (
-	// maxBody bounds an operators' request; a whole configuration fits well below.
-	maxBody = 8 << 20
-	// bodyTimeout bounds the arrival of a call's body.
+	// maxBodyBytes bounds the body of a call; a whole configuration fits well below.
+	maxBodyBytes = 8 << 20
+	// bodyTimeout bounds the time to receive a call's body.
 	bodyTimeout = 10 * time.Second
-	// maxCalls bounds the calls that are worked on at once: each may hold a body and an
-	// answer of megabytes.
-	maxCalls = 64
-	// callTimeout bounds the work on one call.
+	// maxConcurrentCalls bounds the calls in flight: each may hold a body and an answer of
+	// megabytes.
+	maxConcurrentCalls = 64
+	// callTimeout bounds the handling of one call.
 	callTimeout = 10 * time.Second
-	// defaultSince is how far back events go where the call does not say.
+	// defaultSince is how far back events and series go if the call doesn't say.
 	defaultSince = time.Minute
 )
 
-// Names of parameters.
+// Names of query parameters.
 const (
 	paramSince = "since"
 	paramAfter = "after"
 	paramLife  = "life"
 )
 
-// NewHandler serves the backend to operators. Nothing of a refused call takes
-// effect.
+// NewHandler returns a handler that serves the backend to operators. A refused call has
+// no effect.
 func NewHandler(b Backend) http.Handler {
 	return newServer(b)
 }
 
 func newServer(b Backend) *server {
-	s := &server{backend: b, slots: make(chan struct{}, maxCalls), bodyTimeout: bodyTimeout}
+	s := &server{backend: b, slots: make(chan struct{}, maxConcurrentCalls), bodyTimeout: bodyTimeout}
 	mux := http.NewServeMux()
 	for pattern, handle := range handlers(s) {
 		mux.HandleFunc(pattern, handle)
@@ -75,7 +75,7 @@
 type server struct {
 	backend Backend
 	mux     *http.ServeMux
-	// slots has room for the calls that may be worked on at once.
+	// slots limits the calls in flight: each holds one place in the channel.
 	slots       chan struct{}
 	bodyTimeout time.Duration
 }
@@ -86,10 +86,10 @@
 	case s.slots <- struct{}{}:
 		defer func() { <-s.slots }()
 	default:
-		writeError(w, Errorf(CodeUnavailable, "%d operators' calls are under way; ask again", maxCalls))
+		writeError(w, Errorf(CodeUnavailable, "%d operators' calls are under way; ask again", maxConcurrentCalls))
 		return
 	}
-	if name := passOnTo(r); name != "" && name != s.backend.Self() {
+	if name := requestedRouter(r); name != "" && name != s.backend.Self() {
 		s.passOn(w, r, name)
 		return
 	}
@@ -154,19 +154,19 @@
 	if query.Since, err = sinceOf(q); err != nil {
 		return query, err
 	}
-	for name, into := range map[string]*uint64{paramAfter: &query.After, paramLife: &query.Life} {
+	for name, dst := range map[string]*uint64{paramAfter: &query.After, paramLife: &query.Life} {
 		text := q.Get(name)
 		if text == "" {
 			continue
 		}
-		if *into, err = strconv.ParseUint(text, 10, 64); err != nil {
+		if *dst, err = strconv.ParseUint(text, 10, 64); err != nil {
 			return query, Errorf(CodeInvalid, "%s %q is not a number", name, text)
 		}
 	}
 	return query, nil
 }
 
-// sinceOf is the time that the call asks to begin at.
+// sinceOf returns the start of the period that the call asks for.
 func sinceOf(q url.Values) (time.Time, error) {
 	since := defaultSince
 	if text := q.Get(paramSince); text != "" {
@@ -211,7 +211,7 @@
 	})
 }
 
-// answer runs a call without a body and writes its result.
+// answer runs a call and writes its result.
 func answer[T any](w http.ResponseWriter, r *http.Request, call func(context.Context) (T, error)) {
 	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
@@ -233,16 +233,16 @@
 	answer(w, r, func(ctx context.Context) (T, error) { return call(ctx, req) })
 }
 
-// readBody reads a body of one JSON value to its end. Where that fails the deadline
-// stays, as net/http goes on to read what is left; where it succeeds there is nothing
-// left, and the deadline would cut off a call that takes long.
-func (s *server) readBody(w http.ResponseWriter, r *http.Request, into any) error {
+// readBody reads a body of one JSON value to its end. If that fails, the read deadline
+// stays set, as net/http goes on to read the rest of the body. If it succeeds, the body is
+// read whole, and the deadline is removed because it would cut off a call that takes long.
+func (s *server) readBody(w http.ResponseWriter, r *http.Request, dst any) error {
 	control := http.NewResponseController(w)
-	// A writer that knows no deadlines is that of a test.
+	// Only the response writers of tests don't support deadlines.
 	_ = control.SetReadDeadline(time.Now().Add(s.bodyTimeout))
-	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
+	if err := decoder.Decode(dst); err != nil {
 		return err
 	}
 	if _, err := decoder.Token(); err != io.EOF {
@@ -257,7 +257,7 @@
 	if !errors.As(err, &e) {
 		e = Errorf(CodeInternal, "%v", err)
 	}
-	writeJSON(w, statuses[e.Code], e)
+	writeJSON(w, httpStatuses[e.Code], e)
 }
 
 func writeJSON(w http.ResponseWriter, status int, value any) {
@@ -265,6 +265,6 @@
 	w.WriteHeader(status)
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
-	// The operator went away if this fails; there is nobody left to tell.
+	// If this fails, the operator has disconnected and the error can't be reported to them.
 	_ = encoder.Encode(value)
 }
