--- a/operator/api.go
+++ b/operator/api.go
@@ -34,7 +34,7 @@
 const ParamRouter = "router"
 
 // PassedOn reports whether GET calls of the path may be passed on to another router. They
-// may where the call only reads data that each router has for itself alone.
+// may where the call only reads data that only the router which answers has.
 func PassedOn(path string) bool {
 	switch path {
 	case PathStatus, PathEvents, PathExplainRequest, PathExplainTarget, PathSeries:
--- a/operator/client.go
+++ b/operator/client.go
@@ -67,7 +67,7 @@
 	return call[Status](ctx, c, http.MethodGet, PathStatus, nil, nil)
 }
 
-// Events returns the events of the last since.
+// Events returns the events from the duration since ago until now.
 func (c *Client) Events(ctx context.Context, since time.Duration) ([]eventlog.Event, error) {
 	page, err := c.EventPage(ctx, since)
 	if err != nil {
@@ -76,7 +76,8 @@
 	return page.Events, nil
 }
 
-// EventPage returns the events of the last since as a page, which EventsAfter continues.
+// EventPage returns the events from the duration since ago until now. EventsAfter
+// continues from the page.
 func (c *Client) EventPage(ctx context.Context, since time.Duration) (*EventPage, error) {
 	return call[EventPage](ctx, c, http.MethodGet, PathEvents, url.Values{paramSince: {since.String()}}, nil)
 }
@@ -95,7 +96,7 @@
 	return deref(call[[]RouterState](ctx, c, http.MethodGet, PathRouters, nil, nil))
 }
 
-// Series returns the measurements of the last since.
+// Series returns the measurements from the duration since ago until now.
 func (c *Client) Series(ctx context.Context, since time.Duration) (*Series, error) {
 	return call[Series](ctx, c, http.MethodGet, PathSeries, url.Values{paramSince: {since.String()}}, nil)
 }
