--- a/peer/wire/compactload.go
+++ b/peer/wire/compactload.go
@@ -12,18 +12,19 @@
 	"tarragongw/peer/peerpb"
 )
 
-// loadParts are the parts of a slot that a load is counted in. A tenth of a thousandth
-// is far below what two intervals of one unit differ by.
-const loadParts = 10000
+// loadScale is the fixed-point scale of a load in a CompactLoad: loads are encoded in
+// ten-thousandths of a slot. The load of a unit differs by far more than that between two
+// intervals.
+const loadScale = 10000
 
-// EncodeCompactLoad returns the payload of a report with hash slots by number. It keeps
-// the first MaxUnitLoads units, and no order among them.
+// EncodeCompactLoad returns the payload of a load report that identifies hash slots by
+// number. It keeps the first MaxUnitLoads units and does not preserve their order.
 func EncodeCompactLoad(m *peerpb.LoadReport) ([]byte, error) {
 	out := &peerpb.CompactLoad{Service: m.Service, Target: m.Target, Term: m.Term}
 	units := slices.Clone(m.Units[:min(len(m.Units), MaxUnitLoads)])
-	slices.SortStableFunc(units, func(x, y *peerpb.UnitLoad) int { return rank(x) - rank(y) })
+	slices.SortStableFunc(units, func(x, y *peerpb.UnitLoad) int { return hotKeyRank(x) - hotKeyRank(y) })
 	for _, u := range units {
-		slot, ok := slotOf(m.Service, u.Unit)
+		slot, ok := parseSlot(m.Service, u.Unit)
 		if !ok {
 			out.Named = append(out.Named, u)
 			continue
@@ -33,24 +34,26 @@
 		}
 		if u.HotKeyHash != 0 {
 			out.HotKeyHashes = append(out.HotKeyHashes, u.HotKeyHash)
-			out.HotLoads = append(out.HotLoads, parts(u.HotLoad))
+			out.HotLoads = append(out.HotLoads, scaleLoad(u.HotLoad))
 		}
 		out.Slots = append(out.Slots, slot)
-		out.Loads = append(out.Loads, parts(u.Load))
+		out.Loads = append(out.Loads, scaleLoad(u.Load))
 	}
 	b, err := proto.Marshal(out)
 	return b, errors.Wrap(err, "encode compact load report")
 }
 
-// rank puts the units with a hot key first.
-func rank(u *peerpb.UnitLoad) int {
+// hotKeyRank is the sort key that puts units with a hot key first. DecodeCompactLoad
+// assigns the hot keys to the first slots.
+func hotKeyRank(u *peerpb.UnitLoad) int {
 	if u.HotKeyHash != 0 {
 		return 0
 	}
 	return 1
 }
 
-func slotOf(service, unit string) (uint32, bool) {
+// parseSlot returns the hash slot's number if the unit is a hash slot of the service.
+func parseSlot(service, unit string) (uint32, bool) {
 	number, found := strings.CutPrefix(unit, service+"/")
 	if !found {
 		return 0, false
@@ -59,12 +62,13 @@
 	return uint32(slot), err == nil
 }
 
-func parts(load float64) uint32 {
-	return uint32(min(math.Round(load*loadParts), math.MaxUint32))
+func scaleLoad(load float64) uint32 {
+	return uint32(min(math.Round(load*loadScale), math.MaxUint32))
 }
 
-// DecodeCompactLoad reads the payload of a report with hash slots by number. It refuses
-// what DecodeLoad refuses, and rows of unequal length.
+// DecodeCompactLoad reads the payload of a load report that identifies hash slots by
+// number. It refuses what DecodeLoad refuses, and also parallel fields whose lengths don't
+// match and at-most-once indexes that are out of range.
 func DecodeCompactLoad(b []byte) (*peerpb.LoadReport, error) {
 	m := new(peerpb.CompactLoad)
 	if err := proto.Unmarshal(b, m); err != nil {
@@ -75,20 +79,20 @@
 		return nil, errors.Errorf("compact load report of %d slots with %d loads and %d hot keys", len(m.Slots), len(m.Loads), len(m.HotLoads))
 	}
 	out := &peerpb.LoadReport{Service: m.Service, Target: m.Target, Term: m.Term, Units: m.Named}
-	rows := make([]peerpb.UnitLoad, len(m.Slots))
+	slotLoads := make([]peerpb.UnitLoad, len(m.Slots))
 	for i, slot := range m.Slots {
-		rows[i].Unit = m.Service + "/" + strconv.FormatUint(uint64(slot), 10)
-		rows[i].Load = float64(m.Loads[i]) / loadParts
+		slotLoads[i].Unit = m.Service + "/" + strconv.FormatUint(uint64(slot), 10)
+		slotLoads[i].Load = float64(m.Loads[i]) / loadScale
 		if i < len(m.HotLoads) {
-			rows[i].HotKeyHash, rows[i].HotLoad = m.HotKeyHashes[i], float64(m.HotLoads[i])/loadParts
+			slotLoads[i].HotKeyHash, slotLoads[i].HotLoad = m.HotKeyHashes[i], float64(m.HotLoads[i])/loadScale
 		}
-		out.Units = append(out.Units, &rows[i])
+		out.Units = append(out.Units, &slotLoads[i])
 	}
-	for _, place := range m.AtMostOnce {
-		if int(place) >= len(rows) {
-			return nil, errors.Errorf("compact load report of %d slots names the one at %d", len(rows), place)
+	for _, index := range m.AtMostOnce {
+		if int(index) >= len(slotLoads) {
+			return nil, errors.Errorf("compact load report of %d slots marks the slot at index %d as at-most-once", len(slotLoads), index)
 		}
-		rows[place].AtMostOnce = true
+		slotLoads[index].AtMostOnce = true
 	}
-	return checkLoad(out)
+	return validateLoad(out)
 }
--- a/peer/wire/confirm.go
+++ b/peer/wire/confirm.go
@@ -10,10 +10,10 @@
 	"tarragongw/peer/peerpb"
 )
 
-// KindConfirm is the kind of the control messages of confirmations.
+// KindConfirm is the kind of control message that carries a confirmation message.
 const KindConfirm = "confirm"
 
-// EncodeConfirm returns the payload of a message.
+// EncodeConfirm returns the payload of a confirmation message.
 func EncodeConfirm(m *confirm.Message) ([]byte, error) {
 	p := &peerpb.Confirm{Kind: peerpb.Confirm_Kind(m.Kind), Life: m.Incarnation, Sequence: m.Sequence, Surely: m.Reliable, EarlierUs: uint32(m.Earlier / time.Microsecond)}
 	for _, k := range m.Known {
@@ -26,18 +26,19 @@
 	return b, errors.Wrap(err, "encode confirmation")
 }
 
-// DecodeConfirm reads the payload of a message. One of a kind that this version does
-// not know is refused.
+// DecodeConfirm reads the payload of a confirmation message. It refuses a message of a
+// kind that this version does not know and one with more than confirm.MaxTargets records
+// of either sort.
 func DecodeConfirm(b []byte) (confirm.Message, error) {
 	p := new(peerpb.Confirm)
 	if err := proto.Unmarshal(b, p); err != nil {
 		return confirm.Message{}, errors.Wrap(err, "decode confirmation")
 	}
 	if p.Kind < peerpb.Confirm_QUESTION || p.Kind > peerpb.Confirm_REFUSAL {
-		return confirm.Message{}, errors.Errorf("confirmation of kind %d", p.Kind)
+		return confirm.Message{}, errors.Errorf("confirmation of unknown kind %d", p.Kind)
 	}
 	if len(p.Known) > confirm.MaxTargets || len(p.Changed) > confirm.MaxTargets {
-		return confirm.Message{}, errors.Errorf("confirmation of %d and %d records", len(p.Known), len(p.Changed))
+		return confirm.Message{}, errors.Errorf("confirmation with %d known and %d changed records", len(p.Known), len(p.Changed))
 	}
 	m := confirm.Message{Kind: confirm.Kind(p.Kind), Incarnation: p.Life, Sequence: p.Sequence, Reliable: p.Surely, Earlier: time.Duration(p.EarlierUs) * time.Microsecond}
 	for _, k := range p.Known {
--- a/peer/wire/confirm_test.go
+++ b/peer/wire/confirm_test.go
@@ -30,19 +30,19 @@
 }
 
 func TestConfirmationsAreBounded(t *testing.T) {
-	refused := func(m *peerpb.Confirm, text string) {
+	assertRefused := func(m *peerpb.Confirm, text string) {
 		b, err := proto.Marshal(m)
 		assert.NilError(t, err)
 		_, err = DecodeConfirm(b)
 		assert.ErrorContains(t, err, text)
 	}
-	refused(&peerpb.Confirm{}, "kind")
-	refused(&peerpb.Confirm{Kind: 9}, "kind")
-	many := make([]*peerpb.KnownRecord, confirm.MaxTargets+1)
-	for i := range many {
-		many[i] = &peerpb.KnownRecord{}
+	assertRefused(&peerpb.Confirm{}, "unknown kind")
+	assertRefused(&peerpb.Confirm{Kind: 9}, "unknown kind")
+	tooMany := make([]*peerpb.KnownRecord, confirm.MaxTargets+1)
+	for i := range tooMany {
+		tooMany[i] = &peerpb.KnownRecord{}
 	}
-	refused(&peerpb.Confirm{Kind: peerpb.Confirm_QUESTION, Known: many}, "records")
+	assertRefused(&peerpb.Confirm{Kind: peerpb.Confirm_QUESTION, Known: tooMany}, "records")
 	_, err := DecodeConfirm([]byte{0xff})
 	assert.ErrorContains(t, err, "decode")
 }
--- a/peer/wire/membership.go
+++ b/peer/wire/membership.go
@@ -1,6 +1,7 @@
-// Package wire turns the messages of the pure cores into the protobuf payloads
-// of control messages and back. Decoding accepts fields and kinds that it does
-// not know; a core ignores such kinds.
+// Package wire converts between the messages of the core packages, which do no I/O, and
+// the protobuf payloads of control messages between peers. Decoders ignore unknown fields.
+// Membership and spread messages of an unknown kind are decoded too, and the core ignores
+// them; confirmation messages of an unknown kind are refused.
 package wire
 
 import (
@@ -13,7 +14,7 @@
 	"tarragongw/peer/peerpb"
 )
 
-// Kinds of control messages as given to peer.Transport.
+// Kinds of control messages, as passed to peer.Transport.
 const (
 	KindMembership = "m"
 	KindSpread     = "s"
@@ -72,7 +73,7 @@
 		return membership.Message{}, errors.Wrap(err, "decode membership message")
 	}
 	m := membership.Message{
-		Kind:          membership.Kind(narrow(p.Kind)),
+		Kind:          membership.Kind(saturateUint8(p.Kind)),
 		Version:       p.Version,
 		Seq:           p.Seq,
 		Target:        p.Target,
@@ -82,8 +83,8 @@
 		HearsNobody:   p.Deaf,
 		Leaving:       p.Leaving,
 		Revision:      p.Revision,
-		RevisionAge:   duration(p.RevisionAgeMs),
-		Silent:        duration(p.SilentMs),
+		RevisionAge:   clampDuration(p.RevisionAgeMs),
+		Silent:        clampDuration(p.SilentMs),
 		DataCentre:    p.DataCentre,
 	}
 	for _, d := range p.Digests {
@@ -111,28 +112,30 @@
 			Incarnation: u.Incarnation,
 		},
 		Version: u.Version,
-		State:   membership.State(narrow(u.State)),
+		State:   membership.State(saturateUint8(u.State)),
 		Leaving: u.Leaving,
 	}
 }
 
-// narrow keeps a value that this version does not know from wrapping round to
-// one that it does.
-func narrow(v uint32) uint8 {
+// saturateUint8 converts v to 8 bits and returns 255 for larger values, so that a value
+// that this version does not know does not wrap round to one that it does.
+func saturateUint8(v uint32) uint8 {
 	if v > 0xff {
 		return 0xff
 	}
 	return uint8(v)
 }
 
+// millis returns d in milliseconds, or 0 if d is negative.
 func millis(d time.Duration) uint64 { return uint64(max(0, d.Milliseconds())) }
 
-// maxAge bounds ages from the wire, so that they cannot overflow.
-const maxAge = 10 * 365 * 24 * time.Hour
+// maxDuration limits decoded durations, so that the conversion cannot overflow.
+const maxDuration = 10 * 365 * 24 * time.Hour
 
-func duration(ms uint64) time.Duration {
-	if ms > uint64(maxAge.Milliseconds()) {
-		return maxAge
+// clampDuration converts milliseconds to a duration of at most maxDuration.
+func clampDuration(ms uint64) time.Duration {
+	if ms > uint64(maxDuration.Milliseconds()) {
+		return maxDuration
 	}
 	return time.Duration(ms) * time.Millisecond
 }
--- a/peer/wire/rebalance_test.go
+++ b/peer/wire/rebalance_test.go
@@ -29,16 +29,16 @@
 		b, err = EncodeLoad(&peerpb.LoadReport{Units: []*peerpb.UnitLoad{{Unit: "s/1", Load: load}}})
 		assert.NilError(t, err)
 		_, err = DecodeLoad(b)
-		assert.ErrorContains(t, err, "no number")
+		assert.ErrorContains(t, err, "load outside [0, 1e9)")
 	}
 	_, err = DecodeLoad([]byte{0xff})
 	assert.ErrorContains(t, err, "decode")
 }
 
-// Symptom: a planner takes a busy target for an idle one, and moves units to it.
-// Sequence: a report goes by number and back.
-// Cause: a row is lost, goes to another unit, or counts as one without load.
-func TestCompactLoadSaysWhatTheReportSays(t *testing.T) {
+// Guards against a planner that takes a busy target for an idle one and moves units to it,
+// because encoding a load report as a CompactLoad and decoding it drops a unit, assigns
+// its load to another unit, or loses the load.
+func TestCompactLoadPreservesReport(t *testing.T) {
 	report := &peerpb.LoadReport{Service: "s", Target: "t", Term: 7, Units: []*peerpb.UnitLoad{
 		{Unit: "s/range:a", Load: 3, HotKeyHash: 5, HotLoad: 2},
 		{Unit: "s/4095", Load: 1.5, AtMostOnce: true, HotKeyHash: 1 << 63, HotLoad: 0.25},
@@ -46,9 +46,9 @@
 		{Unit: "s/7", Load: 0.5},
 		{Unit: "s/8", AtMostOnce: true},
 	}}
-	mixed := proto.CloneOf(report)
-	slices.Reverse(mixed.Units[2:])
-	b, err := EncodeCompactLoad(mixed)
+	reordered := proto.CloneOf(report)
+	slices.Reverse(reordered.Units[2:])
+	b, err := EncodeCompactLoad(reordered)
 	assert.NilError(t, err)
 	got, err := DecodeCompactLoad(b)
 	assert.NilError(t, err)
--- a/peer/wire/spread.go
+++ b/peer/wire/spread.go
@@ -40,7 +40,7 @@
 
 func decodePatch(p *peerpb.SpreadPatch) spread.Patch {
 	return spread.Patch{
-		Key: p.Key, Revision: p.Revision, Class: spread.Class(narrow(p.Class)), Base: p.Base, Sum: p.Sum, Bytes: p.Patch,
+		Key: p.Key, Revision: p.Revision, Class: spread.Class(saturateUint8(p.Class)), Base: p.Base, Sum: p.Sum, Bytes: p.Patch,
 	}
 }
 
@@ -64,7 +64,7 @@
 		return spread.Message{}, errors.Wrap(err, "decode spread message")
 	}
 	m := spread.Message{
-		Kind: spread.Kind(narrow(p.Kind)), Root: p.Root, Seq: p.Seq, Incarnation: p.Life,
+		Kind: spread.Kind(saturateUint8(p.Kind)), Root: p.Root, Seq: p.Seq, Incarnation: p.Life,
 		Sum: p.Sum, Max: p.Max, Reply: p.Reply, Sums: p.Sums,
 		Group: p.Group, Hashes: p.Hashes, After: p.After, Done: p.Done,
 		Up: p.Up, ReplyTo: p.ReplyTo,
@@ -87,12 +87,12 @@
 func decodeRow(r *peerpb.SpreadRow) spread.Row {
 	return spread.Row{
 		Router: r.Router, DataCentre: r.DataCentre, State: r.State,
-		Revision: r.Revision, Age: duration(r.AgeMs), Reporter: r.Reporter,
+		Revision: r.Revision, Age: clampDuration(r.AgeMs), Reporter: r.Reporter,
 	}
 }
 
 func decodeEntry(e *peerpb.SpreadEntry) spread.Entry {
 	return spread.Entry{
-		Key: e.Key, Revision: e.Revision, Class: spread.Class(narrow(e.Class)), Deleted: e.Deleted, Value: e.Value,
+		Key: e.Key, Revision: e.Revision, Class: spread.Class(saturateUint8(e.Class)), Deleted: e.Deleted, Value: e.Value,
 	}
 }
--- a/peer/wire/wire_test.go
+++ b/peer/wire/wire_test.go
@@ -65,10 +65,9 @@
 	})
 }
 
-// Symptom: after a rolling upgrade old routers drop the new ones' heartbeats and
-// declare them lost.
-// Sequence: a newer minor version adds a field and a kind; an old one decodes it.
-// Cause: a decoder that rejects what it does not know.
+// Guards against routers of an old version that drop the heartbeats of upgraded routers
+// and declare them lost during a rolling upgrade. This happens if a decoder rejects fields
+// and kinds that a newer minor version has added.
 func TestUnknownFieldsAndKindsAreAccepted(t *testing.T) {
 	m := membership.Message{Kind: membership.Heartbeat, Version: 3}
 	b, err := EncodeMembership(&m)
@@ -79,9 +78,9 @@
 	assert.NilError(t, err)
 	assert.DeepEqual(t, got, m)
 
-	future := protowire.AppendTag(nil, 1, protowire.VarintType)
-	future = protowire.AppendVarint(future, 256+uint64(membership.Ping))
-	got, err = DecodeMembership(future)
+	unknownKind := protowire.AppendTag(nil, 1, protowire.VarintType)
+	unknownKind = protowire.AppendVarint(unknownKind, 256+uint64(membership.Ping))
+	got, err = DecodeMembership(unknownKind)
 	assert.NilError(t, err)
 	assert.Assert(t, got.Kind != membership.Ping, "an unknown kind must not turn into a known one")
 }
