--- a/caller/conns.go
+++ b/caller/conns.go
@@ -36,8 +36,8 @@
 	requestCtx  atomic.Pointer[reqctx.Context]
 	closeOnce   sync.Once
 	certificate certificateState
-	// pipeline starts pipelined requests before their turn; nil if Config.LookAhead is zero or
-	// the connection uses TLS.
+	// pipeline starts pipelined requests before their turn; nil if Config.MaxPipelined is zero
+	// or the connection uses TLS.
 	pipeline *pipeline
 }
 
--- a/caller/exchange.go
+++ b/caller/exchange.go
@@ -33,7 +33,7 @@
 	// outcome is passed to the observer.
 	outcome Outcome
 	began   time.Time
-	// requestNumber is the request's number on its connection, see Outcome.Nth.
+	// requestNumber is the request's number on its connection, see Outcome.RequestNumber.
 	requestNumber int64
 	// expectsContinue means that the caller waits for a 100 Continue before it sends its body.
 	expectsContinue bool
--- a/cmd/tarragonctl/ctl_test.go
+++ b/cmd/tarragonctl/ctl_test.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// Every error of a file is told at once with file, line and mend, and nothing of
+// Every error of a file is told at once with file, line and fix, and nothing of
 // it takes effect.
 func TestRefusedFiles(t *testing.T) {
 	_, url := startSystem(t)
--- a/config/errors.go
+++ b/config/errors.go
@@ -17,12 +17,12 @@
 	// Line and Column count from one; zero if not known.
 	Line   int
 	Column int
-	// Text describes the error and Mend how to correct it.
+	// Text describes the error and Fix how to correct it.
 	Text string
 	Fix  string
 }
 
-// Error implements error: file:line:column: text; mend.
+// Error implements error: file:line:column: text; fix.
 func (e Error) Error() string {
 	var b strings.Builder
 	if e.File != "" {
--- a/core/admission/config.go
+++ b/core/admission/config.go
@@ -49,7 +49,7 @@
 	// InitialService is the service time assumed before one has been measured.
 	InitialService time.Duration
 	// HoldUnknown is the maximum time for which a slot stays held after an outcome
-	// of Unknown or Awaiting.
+	// of Unknown or UnknownSlowCaller.
 	HoldUnknown time.Duration
 	// MinRetryAfter and MaxRetryAfter bound the RetryAfter of a refusal.
 	MinRetryAfter time.Duration
--- a/core/assign/assign.go
+++ b/core/assign/assign.go
@@ -70,7 +70,7 @@
 )
 
 // Config holds the durations that the assignment uses, and what is known of the store.
-// GrantTTL, LongHold and RenewInterval have defaults.
+// GrantTTL, OutageGrantTTL and RenewInterval have defaults.
 type Config struct {
 	// GrantTTL is the TTL of a grant, and OutageGrantTTL its TTL while the store is unreachable,
 	// when no other router could take over.
@@ -80,7 +80,7 @@
 	// OldLeaderBound bounds how long after the loss of its lease another leader may still send
 	// renewals.
 	OldLeaderBound time.Duration
-	// Era is the store era, see Assigner.Restored.
+	// Era is the store era, see Assigner.StoreRestored.
 	Era uint32
 	// TableOutdated reports whether the store may have lost writes of a former leader. The holders
 	// in its table may then be wrong, and no key is granted until everything that the former
--- a/core/confirm/config.go
+++ b/core/confirm/config.go
@@ -81,7 +81,7 @@
 func (c *Config) gatherDelay() time.Duration { return c.Interval / 16 }
 
 // answerTimeout is how long an asker waits for any reply of its relay. It is shorter than
-// Every, so that the asker's own read ends before the next confirmation is due and a single
+// Interval, so that the asker's own read ends before the next confirmation is due and a single
 // missing reply never makes the grantor ask targets for promises instead.
 func (c *Config) answerTimeout() time.Duration { return c.Interval * 3 / 4 }
 
@@ -120,6 +120,6 @@
 func (c *Config) minReliable() time.Duration { return 60 * c.Interval }
 
 // fallbackBurst bounds the reads that a router makes at once in place of its relays. The
-// budget grows by one read per Every, so that in the long run a router makes no more reads
+// budget grows by one read per Interval, so that in the long run a router makes no more reads
 // than it would without relays.
 const fallbackBurst = 4
--- a/core/confirm/event.go
+++ b/core/confirm/event.go
@@ -75,8 +75,8 @@
 type Confirmed struct {
 	Record Record
 	SentAt time.Duration
-	// Earlier is by how much sooner than Every after this question the next one should be
-	// sent, so that it shares a list call with others. It is at most half of Every.
+	// Earlier is by how much sooner than Interval after this question the next one should
+	// be sent, so that it shares a list call with others. It is at most half of Interval.
 	Earlier time.Duration
 }
 
--- a/core/confirm/relay.go
+++ b/core/confirm/relay.go
@@ -118,9 +118,9 @@
 // align sets by how much askers that are out of step with the others should ask sooner, until
 // one list call in each interval serves all questions.
 //
-// Askers don't know of each other, and each asks again Every after its last question. Without
-// align they would keep the offsets at which they started, and a relay would make two list
-// calls in each interval and be woken for each asker separately.
+// Askers don't know of each other, and each asks again one Interval after its last question.
+// Without align they would keep the offsets at which they started, and a relay would make two
+// list calls in each interval and be woken for each asker separately.
 func (c *Core) align() {
 	if c.now >= c.nextSharedCallAt() {
 		c.sharedCallAt = c.now
--- a/core/dispatch/queue.go
+++ b/core/dispatch/queue.go
@@ -36,8 +36,8 @@
 	return n
 }
 
-// ordered returns the requests in the order in which they get places: by rank, then those that
-// are not late before those that are, then by age.
+// ordered returns the requests in the order in which they get places: by priority, then those
+// that are not late before those that are, then by age.
 //
 // In order of arrival alone, after a burst that makes the wait longer than the objective, every
 // later answer would be late as well.
--- a/core/dispatch/service.go
+++ b/core/dispatch/service.go
@@ -117,7 +117,7 @@
 	random             *rand.Rand
 	// queue holds the requests with the verdict Wait.
 	queue queue
-	// pendingStats are the statistics of targets since the last DrainServiceTimes.
+	// pendingStats are the statistics of targets since the last DrainStats.
 	pendingStats map[string]*TargetStats
 	limits       limits
 }
@@ -217,7 +217,7 @@
 }
 
 // Done records the result of a request at a target and how long it took; turns is its
-// Decision.Turns.
+// Decision.ServiceMultiple.
 func (s *Service) Done(now time.Time, id string, result Result, took time.Duration, turns float64) {
 	t := s.targetByID[id]
 	if t == nil {
--- a/core/dispatch/target.go
+++ b/core/dispatch/target.go
@@ -70,7 +70,7 @@
 	// inFlight is the number of this router's requests at the target.
 	inFlight int
 	// conns is how many connections to the target this router is assumed to have: the most
-	// requests in flight since it was last idle for RestTime. usedAt is when a request was last
+	// requests in flight since it was last idle for IdleConnTimeout. usedAt is when a request was last
 	// sent or ended.
 	conns  int
 	usedAt time.Time
@@ -96,7 +96,7 @@
 	nextConnectAt  time.Time
 	// progressAt is when a request at the target last ended, or when one was sent while none
 	// was in flight. stallReported is the duration of the current stall that
-	// DrainServiceTimes last returned; zero if it has not.
+	// DrainStats last returned; zero if it has not.
 	progressAt    time.Time
 	stallReported time.Duration
 	// overloadedAt is when the target last showed a sign of overload.
--- a/core/dispatch/targetstats.go
+++ b/core/dispatch/targetstats.go
@@ -58,7 +58,7 @@
 	return stats
 }
 
-// recordOverload records a sign of overload for DrainServiceTimes and Pressed: at least as many
+// recordOverload records a sign of overload for DrainStats and Overloaded: at least as many
 // waiting requests as slots, or a failed request.
 func (s *Service) recordOverload(now time.Time, t *targetState, waiting, failed int) {
 	if !s.byKey || waiting < t.Slots && failed == 0 {
@@ -72,7 +72,7 @@
 
 // Overloaded reports whether a target was overloaded recently: it had at least as many waiting
 // requests as slots, or refused or failed requests. If other routers report their answers by
-// LearnServiceTimes, these count too.
+// MergeStats, these count too.
 func (s *Service) Overloaded(now time.Time, id string) bool {
 	t := s.targetByID[id]
 	return t != nil && !t.overloadedAt.IsZero() && now.Sub(t.overloadedAt) < overloadedFor
--- a/core/model/problem.go
+++ b/core/model/problem.go
@@ -40,7 +40,7 @@
 	Field  string
 	// Others are the other objects at fault, for instance the second of two that overlap.
 	Others []Ref
-	// Text describes the problem and Mend how to fix it.
+	// Text describes the problem and Fix how to solve it.
 	Text string
 	Fix  string
 }
--- a/core/model/validateservice.go
+++ b/core/model/validateservice.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// duplicateRoutes adds a problem for each two services with the same host and prefix:
+// routes adds a problem for each two services with the same host and prefix:
 // a request could match both.
 func (v *validator) routes() {
 	type route struct{ host, prefix string }
--- a/core/ownership/ownershiptest/check.go
+++ b/core/ownership/ownershiptest/check.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// Gap returns the longest time that the unit was not served since Track, and at least the
+// Gap returns the longest time that the unit was not served since MeasureGaps, and at least the
 // time since it was last served.
 func (w *World) Gap(u routing.Unit) time.Duration {
 	s := w.served[u]
--- a/core/ownership/ownershiptest/world.go
+++ b/core/ownership/ownershiptest/world.go
@@ -239,7 +239,7 @@
 func (w *World) linked(a, b int) bool { return !w.cutLinks[[2]int{min(a, b), max(a, b)}] }
 
 // updateMembers stands in for the membership: a router is live if a heartbeat of it arrived
-// within Detect.
+// within DetectAfter.
 func (r *router) updateMembers() {
 	if r.dead || r.paused {
 		return
--- a/core/selector/parse.go
+++ b/core/selector/parse.go
@@ -13,7 +13,7 @@
 type SyntaxError struct {
 	// Column is the position of the error in bytes, counted from one.
 	Column int
-	// Text says what is wrong, and Mend how to correct it.
+	// Text says what is wrong, and Fix how to correct it.
 	Text string
 	Fix  string
 }
--- a/core/shed/shed.go
+++ b/core/shed/shed.go
@@ -65,7 +65,8 @@
 	above int
 }
 
-// New returns a controller that keeps the delay near targetDelay; zero means DefaultTarget.
+// New returns a controller that keeps the delay near targetDelay; zero means
+// DefaultTargetDelay.
 func New(targetDelay time.Duration) *Controller {
 	if targetDelay <= 0 {
 		targetDelay = DefaultTargetDelay
--- a/core/spread/event.go
+++ b/core/spread/event.go
@@ -22,8 +22,8 @@
 // FromStore reports records read from the store, or written to it by this router.
 type FromStore struct {
 	Entries []Entry
-	// Complete says that Entries are all records under Prefix at store revision Upto: keys that
-	// this router holds and that are not among them were deleted.
+	// Complete says that Entries are all records under Prefix at the store revision Revision:
+	// keys that this router holds and that are not among them were deleted.
 	Complete bool
 	Prefix   string
 	Revision uint64
@@ -38,8 +38,8 @@
 	Message Message
 }
 
-// PatchesUnsupported reports that a message with patches was not sent, because the other router doesn't
-// support patches or isn't known to.
+// PatchesUnsupported reports that a message with patches was not sent, because the other
+// router doesn't support patches or isn't known to.
 type PatchesUnsupported struct {
 	To      string
 	Message Message
--- a/core/spread/message.go
+++ b/core/spread/message.go
@@ -55,7 +55,7 @@
 	Ask
 	Rows
 	// Notice goes down the tree of Root and carries the announced value in its only entry. Seq
-	// orders the notices within a Life.
+	// orders the notices within an Incarnation.
 	Notice
 	// Patched carries records down the tree of Root as patches against a revision that the
 	// receiver probably holds. A receiver that doesn't hold it requests the full records with
@@ -68,7 +68,7 @@
 	Kind Kind
 	// Root is the router whose tree the message goes down.
 	Root string
-	// Seq pairs Ask with Rows, and orders StoreState, both within Life.
+	// Seq pairs Ask with Rows, and orders StoreState, both within an Incarnation.
 	Seq         uint64
 	Incarnation uint64
 	// Sum and Max are the digest and the highest revision of the sender's records.
--- a/core/spread/patch.go
+++ b/core/spread/patch.go
@@ -151,8 +151,8 @@
 	return e, true
 }
 
-// mayRequest limits requests for the same record to one per Quiet, because both trees bring
-// the same patch.
+// mayRequest limits requests for the same record to one per PropagationTime, because both
+// trees bring the same patch.
 func (c *Core) mayRequest(hash uint64) bool {
 	if at, asked := c.requestedAt[hash]; asked && c.now.Sub(at) < c.cfg.PropagationTime {
 		return false
--- a/core/spread/question.go
+++ b/core/spread/question.go
@@ -9,7 +9,7 @@
 // AskID identifies one question. It is the same on all routers that the question reaches in
 // one data centre.
 type AskID struct {
-	// Root is the router down whose tree the question is sent. Life is the incarnation of the
+	// Root is the router down whose tree the question is sent. Incarnation is that of the
 	// asker, and Seq is unique within it.
 	Root        string
 	Incarnation uint64
--- a/eventlog/request.go
+++ b/eventlog/request.go
@@ -11,7 +11,7 @@
 // part of the request's body or headers.
 type Request struct {
 	ID string `json:"id"`
-	// Time is set by Refused if it is zero.
+	// Time is set by RecordRequest if it is zero.
 	Time    time.Time `json:"time"`
 	Service string    `json:"service"`
 	Caller  string    `json:"caller,omitempty"`
--- a/examples/embed/main.go
+++ b/examples/embed/main.go
@@ -40,7 +40,7 @@
 	settings.DataCentre = "kushiro-hall"
 	settings.Listen.Caller, settings.Listen.Operator, settings.Listen.Peer = loopback, loopback, loopback
 
-	// A firm gives its own kv.Store and kv.Directory, or
+	// A firm gives its own kv.Store and kv.VMLister, or
 	// kv/httpstore with the address of its platform.
 	service := standin.New(standin.Config{})
 	client := service.Client(settings.Name)
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -37,7 +37,7 @@
 	client   *http.Client
 	// links are the gateways' connections to the store, by gateway name.
 	links map[string]*storeLink
-	// knownWithin is Options.KnownWithin of gateways that are started.
+	// knownWithin is Options.PropagationLimit of gateways that are started.
 	knownWithin time.Duration
 	// slowPrefix is a prefix whose listings take slowListing for gateways that are started.
 	slowPrefix string
@@ -50,7 +50,7 @@
 type storeLink struct {
 	kv.TxnStore
 	cut atomic.Bool
-	// slowDelay is the delay of listings of slowPrefix.
+	// Listings of slowPrefix are delayed by slowDelay.
 	slowPrefix string
 	slowDelay  time.Duration
 }
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// Get implements kv.Ledger.
+// Get implements kv.TxnStore.
 func (w *storeLink) Get(ctx context.Context, key string) (kv.Record, error) {
 	if err := w.errIfCut(); err != nil {
 		return kv.Record{}, err
@@ -70,7 +70,7 @@
 	return w.TxnStore.Get(ctx, key)
 }
 
-// List implements kv.Ledger.
+// List implements kv.TxnStore.
 func (w *storeLink) List(ctx context.Context, prefix string) ([]kv.Record, kv.Revision, error) {
 	if err := w.errIfCut(); err != nil {
 		return nil, 0, err
@@ -81,7 +81,7 @@
 	return w.TxnStore.List(ctx, prefix)
 }
 
-// Watch implements kv.Ledger. If the connection is cut during the watch, its result is lost.
+// Watch implements kv.TxnStore. If the connection is cut during the watch, its result is lost.
 func (w *storeLink) Watch(ctx context.Context, prefix string, since kv.Revision, wait time.Duration) ([]kv.Record, kv.Revision, error) {
 	records, at, err := w.TxnStore.Watch(ctx, prefix, since, wait)
 	if cutErr := w.errIfCut(); cutErr != nil {
@@ -90,7 +90,7 @@
 	return records, at, err
 }
 
-// RenewLease implements kv.Ledger.
+// RenewLease implements kv.TxnStore.
 func (w *storeLink) RenewLease(ctx context.Context, id kv.LeaseID) error {
 	if err := w.errIfCut(); err != nil {
 		return err
--- a/gateway/storecalls.go
+++ b/gateway/storecalls.go
@@ -54,10 +54,10 @@
 	s.observer.StoreCall(call+"_"+s.purpose, kv.Code(err), time.Since(began))
 }
 
-// Era implements kv.Ledger.
+// Era implements kv.TxnStore.
 func (s *countedStore) Era() (kv.Era, bool) { return s.store.Era() }
 
-// Get implements kv.Ledger.
+// Get implements kv.TxnStore.
 func (s *countedStore) Get(ctx context.Context, key string) (kv.Record, error) {
 	began := time.Now()
 	r, err := s.store.Get(ctx, key)
@@ -65,7 +65,7 @@
 	return r, err
 }
 
-// List implements kv.Ledger.
+// List implements kv.TxnStore.
 func (s *countedStore) List(ctx context.Context, prefix string) ([]kv.Record, kv.Revision, error) {
 	began := time.Now()
 	records, at, err := s.store.List(ctx, prefix)
@@ -73,7 +73,7 @@
 	return records, at, err
 }
 
-// Watch implements kv.Ledger.
+// Watch implements kv.TxnStore.
 func (s *countedStore) Watch(ctx context.Context, prefix string, since kv.Revision, wait time.Duration) ([]kv.Record, kv.Revision, error) {
 	began := time.Now()
 	records, at, err := s.store.Watch(ctx, prefix, since, wait)
@@ -81,7 +81,7 @@
 	return records, at, err
 }
 
-// Commit implements kv.Ledger.
+// Commit implements kv.TxnStore.
 func (s *countedStore) Commit(ctx context.Context, txn kv.Txn) (kv.Revision, []kv.Record, error) {
 	began := time.Now()
 	revision, conflict, err := s.store.Commit(ctx, txn)
@@ -89,7 +89,7 @@
 	return revision, conflict, err
 }
 
-// NewLease implements kv.Ledger.
+// NewLease implements kv.TxnStore.
 func (s *countedStore) NewLease(ctx context.Context, ttl time.Duration) (kv.LeaseID, time.Duration, error) {
 	began := time.Now()
 	id, granted, err := s.store.NewLease(ctx, ttl)
@@ -97,7 +97,7 @@
 	return id, granted, err
 }
 
-// RenewLease implements kv.Ledger.
+// RenewLease implements kv.TxnStore.
 func (s *countedStore) RenewLease(ctx context.Context, id kv.LeaseID) error {
 	began := time.Now()
 	err := s.store.RenewLease(ctx, id)
@@ -105,7 +105,7 @@
 	return err
 }
 
-// EndLease implements kv.Ledger.
+// EndLease implements kv.TxnStore.
 func (s *countedStore) EndLease(ctx context.Context, id kv.LeaseID) error {
 	began := time.Now()
 	err := s.store.EndLease(ctx, id)
--- a/gateway/subscription.go
+++ b/gateway/subscription.go
@@ -51,11 +51,11 @@
 	// planned stop.
 	minFallbackDelay = 600 * time.Millisecond
 	maxFallbackDelay = 1400 * time.Millisecond
-	// fallbackReserve is the part of Options.KnownWithin that is reserved for noticing that the
-	// leader is lost and for reading the state from the store.
+	// fallbackReserve is the part of Options.PropagationLimit that is reserved for noticing that
+	// the leader is lost and for reading the state from the store.
 	fallbackReserve = 1400 * time.Millisecond
 	// newLeaderGrace is how long a router at least waits for the feed of a leader that it has just
-	// found, if Options.KnownWithin allows it: the new leader has to read the store first.
+	// found, if Options.PropagationLimit allows it: the new leader has to read the store first.
 	newLeaderGrace = 300 * time.Millisecond
 	// fallbackJitter spreads the routers' calls when all lose their leader at once.
 	fallbackJitter = 100 * time.Millisecond
--- a/gateway/subscription_test.go
+++ b/gateway/subscription_test.go
@@ -187,7 +187,7 @@
 	assert.Equal(t, len(store.Calls()), 0)
 }
 
-// Guards against a change that comes into force too late if Options.KnownWithin is short.
+// Guards against a change that comes into force too late if Options.PropagationLimit is short.
 func TestFallbackDoesNotWaitForANewLeaderIfTimeIsShort(t *testing.T) {
 	g, _ := idleGateway(t)
 	g.opts.PropagationLimit = 2 * time.Second
--- a/keys/keys.go
+++ b/keys/keys.go
@@ -15,7 +15,7 @@
 // Error is a problem with a file.
 type Error struct {
 	File string
-	// Text says what is wrong, and Mend how to correct it.
+	// Text says what is wrong, and Fix how to correct it.
 	Text string
 	Fix  string
 }
--- a/kv/budget.go
+++ b/kv/budget.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// For returns a client whose calls have the priority. It implements Store and Directory.
+// For returns a client whose calls have the priority. It implements Store and VMLister.
 func (b *Budget) For(p Priority) *Budgeted { return &Budgeted{budget: b, priority: min(p, Rest)} }
 
 // call makes one call if the budget allows it.
--- a/kv/budgeted.go
+++ b/kv/budgeted.go
@@ -77,7 +77,7 @@
 	})
 }
 
-// VMs implements Directory.
+// VMs implements VMLister.
 func (s *Budgeted) VMs(ctx context.Context) (vms []VM, err error) {
 	err = s.call(ctx, CallVMs, func() error {
 		vms, err = s.budget.directory.VMs(ctx)
--- a/kv/era.go
+++ b/kv/era.go
@@ -26,7 +26,7 @@
 // Number returns the store's own revision number.
 func (r Revision) Number() uint64 { return uint64(r) & LastNumber }
 
-// LeaseID identifies a lease of a Ledger; the zero value means no lease.
+// LeaseID identifies a lease of a TxnStore; the zero value means no lease.
 type LeaseID struct {
 	// Era is the era in which the lease was acquired, Number the store's own id of the lease.
 	Era    Era
--- a/kv/httpstore/client.go
+++ b/kv/httpstore/client.go
@@ -77,7 +77,7 @@
 }
 
 // Client calls the platform over the protocol. It implements kv.Store and
-// kv.Directory and is safe for concurrent use.
+// kv.VMLister and is safe for concurrent use.
 type Client struct {
 	cfg       Config
 	scheme    string
@@ -222,7 +222,7 @@
 	return err
 }
 
-// VMs implements kv.Directory.
+// VMs implements kv.VMLister.
 func (c *Client) VMs(ctx context.Context) ([]kv.VM, error) {
 	reply, err := c.call(ctx, kv.CallVMs, &callBody{})
 	if err != nil {
--- a/kv/standin/client.go
+++ b/kv/standin/client.go
@@ -8,7 +8,7 @@
 )
 
 // Client is one client of the stand-in. It implements kv.Store and
-// kv.Directory and is safe for concurrent use.
+// kv.VMLister and is safe for concurrent use.
 type Client struct {
 	p    *Platform
 	name string
@@ -144,7 +144,7 @@
 	return c.do(ctx, kv.CallRelease, func() error { return c.p.releaseLocked(l) })
 }
 
-// VMs implements kv.Directory.
+// VMs implements kv.VMLister.
 func (c *Client) VMs(ctx context.Context) (vms []kv.VM, err error) {
 	err = c.do(ctx, kv.CallVMs, func() error {
 		current := c.p.vms
--- a/reqctx/reqctx.go
+++ b/reqctx/reqctx.go
@@ -66,8 +66,9 @@
 	c.cancel(c.parent.Err())
 }
 
-// SetAnswerDeadline sets the answer deadline, at which the context ends with context.DeadlineExceeded
-// unless Begin is called before; left is the time until then. It may be called once.
+// SetAnswerDeadline sets the answer deadline, at which the context ends with
+// context.DeadlineExceeded unless AnswerBegan is called before; left is the time until then.
+// It may be called once.
 func (c *Context) SetAnswerDeadline(deadline time.Time, left time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/router/security_test.go
+++ b/router/security_test.go
@@ -106,7 +106,7 @@
 	assert.Assert(t, s.forService("other") == nil)
 }
 
-// Wrong files end the start with the table, the file and the mend.
+// Wrong files end the start with the table, the file and the fix.
 func TestWrongFilesEndTheStart(t *testing.T) {
 	_, err := newTestRouter(t, func(o *Options) {
 		o.Settings.TLS.Peers = config.MutualTLS{CertFiles: config.CertFiles{Cert: "/none.crt", Key: "/none.key"}, CA: "/none-ca.crt"}
