--- a/cmd/tarragonctl/config.go
+++ b/cmd/tarragonctl/config.go
@@ -17,7 +17,7 @@
 	"tarragongw/operator"
 )
 
-// baseFile remembers beside the TOML files which revision they were edited from.
+// baseFile is the file next to the TOML files that holds the revision they are based on.
 const baseFile = ".revision"
 
 const flagBase = "base"
@@ -25,7 +25,7 @@
 func checkCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "check",
-		Usage:     "read settings files and report every error with file, line and mend",
+		Usage:     "read settings files and report every error with file, line and suggested fix",
 		ArgsUsage: "FOLDER",
 		Action: func(_ context.Context, c *cli.Command) error {
 			m, err := modelArgument(c)
@@ -42,7 +42,7 @@
 func baseFlag() cli.Flag {
 	return &cli.Uint64Flag{
 		Name:  flagBase,
-		Usage: "`REVISION` that the files were edited from; default: the one that apply or get left beside them, else the present one",
+		Usage: "`REVISION` that the files were edited from; default: the one that apply or get wrote next to them, else the current one",
 	}
 }
 
@@ -76,7 +76,7 @@
 		return err
 	}
 	folder := c.Args().First()
-	base, err := baseOf(ctx, c, folder)
+	base, err := baseRevision(ctx, c, folder)
 	if err != nil {
 		return err
 	}
@@ -109,8 +109,9 @@
 	return config.LoadModel(folder)
 }
 
-// baseOf finds the revision that the files were edited from.
-func baseOf(ctx context.Context, c *cli.Command, folder string) (uint64, error) {
+// baseRevision returns the revision that the files were edited from: the value of --base,
+// else the content of baseFile, else the revision in force.
+func baseRevision(ctx context.Context, c *cli.Command, folder string) (uint64, error) {
 	if c.IsSet(flagBase) {
 		return c.Uint64(flagBase), nil
 	}
@@ -122,19 +123,20 @@
 	if !os.IsNotExist(err) {
 		return 0, errors.Wrap(err, "read the base revision")
 	}
-	present, err := client(c).Config(ctx)
+	current, err := client(c).Config(ctx)
 	if err != nil {
 		return 0, err
 	}
-	return present.Revision, nil
+	return current.Revision, nil
 }
 
 func writeBase(folder string, revision uint64) error {
 	text := strconv.FormatUint(revision, 10) + "\n"
-	return errors.Wrap(os.WriteFile(basePath(folder), []byte(text), 0o644), "remember the base revision")
+	return errors.Wrap(os.WriteFile(basePath(folder), []byte(text), 0o644), "write the base revision")
 }
 
-// basePath is beside the file where the settings are one file.
+// basePath returns the path of baseFile: in the folder, or next to the file if the
+// settings are a single file.
 func basePath(folder string) string {
 	if info, err := os.Stat(folder); err == nil && !info.IsDir() {
 		return filepath.Join(filepath.Dir(folder), baseFile)
@@ -142,7 +144,7 @@
 	return filepath.Join(folder, baseFile)
 }
 
-// configFile is the name of the file that get config writes.
+// configFile is the name of the file that get config --out writes.
 const configFile = "tarragon.toml"
 
 func getConfigCommand() *cli.Command {
@@ -171,7 +173,7 @@
 
 func writeConfig(folder string, revision uint64, text []byte) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return errors.Wrap(err, "make the folder")
+		return errors.Wrap(err, "create the folder")
 	}
 	if err := os.WriteFile(filepath.Join(folder, configFile), text, 0o644); err != nil {
 		return errors.Wrap(err, "write the configuration")
--- a/cmd/tarragonctl/confirm.go
+++ b/cmd/tarragonctl/confirm.go
@@ -15,8 +15,8 @@
 func confirmDeadCommand() *cli.Command {
 	return &cli.Command{
 		Name: "confirm-dead",
-		Usage: "say that a target's grantor and first successor are gone for good, where status asks for it; " +
-			"with a wrong word a key may get two owners",
+		Usage: "confirm that a target's grantor and first successor are gone for good, where status asks for it; " +
+			"a wrong confirmation may give a key two owners",
 		ArgsUsage: "TARGET",
 		Flags:     []cli.Flag{&cli.BoolFlag{Name: "yes", Usage: "both VMs were seen to be gone"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
--- a/cmd/tarragonctl/events.go
+++ b/cmd/tarragonctl/events.go
@@ -13,8 +13,8 @@
 	"tarragongw/operator"
 )
 
-// followEvery is the interval at which events --follow asks again.
-const followEvery = time.Second
+// followInterval is the interval at which events --follow polls the router.
+const followInterval = time.Second
 
 func eventsCommand() *cli.Command {
 	return &cli.Command{
@@ -26,7 +26,7 @@
 			&cli.StringFlag{Name: flagOf, Usage: "`NAME` of another router, which the one asked passes the call on to"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			page, err := clientOf(c).EventPage(ctx, c.Duration("since"))
+			page, err := clientForRouter(c).EventPage(ctx, c.Duration("since"))
 			if err != nil {
 				return err
 			}
@@ -38,9 +38,9 @@
 	}
 }
 
-// follow prints the page and what follows, each event once, until ctx ends. A router
-// that doesn't answer is asked again: it may be restarting, and to end then would
-// leave out just the events that one wants to see.
+// follow prints the events of the page and all later ones, each event once, until ctx
+// ends. A router that doesn't answer is polled again: it may be restarting, and events
+// around a restart are the ones that an operator wants to see.
 func follow(ctx context.Context, c *cli.Command, page *operator.EventPage) error {
 	f := &follower{c: c, page: page}
 	if err := f.print(page.Events); err != nil {
@@ -48,56 +48,58 @@
 	}
 	for {
 		select {
-		case <-time.After(followEvery):
+		case <-time.After(followInterval):
 		case <-ctx.Done():
 			return nil
 		}
-		next, err := clientOf(c).EventsAfter(ctx, f.page)
+		next, err := clientForRouter(c).EventsAfter(ctx, f.page)
 		if ctx.Err() != nil {
 			return nil
 		}
 		if err != nil {
-			f.silent(err)
+			f.reportFailure(err)
 			continue
 		}
-		if err := f.take(next); err != nil {
+		if err := f.advance(next); err != nil {
 			return err
 		}
 	}
 }
 
-// follower is what was printed up to now.
+// follower holds the state of events --follow between two polls.
 type follower struct {
-	c    *cli.Command
+	c *cli.Command
+	// page is the last page that was printed.
 	page *operator.EventPage
-	// lost says that the router didn't answer the last time.
-	lost bool
+	// unreachable is set if the last poll failed.
+	unreachable bool
 }
 
-func (f *follower) silent(err error) {
-	if !f.lost {
-		f.note("%v; asking again", err)
+// reportFailure prints a note on the first of several failed polls in a row.
+func (f *follower) reportFailure(err error) {
+	if !f.unreachable {
+		f.note("%v; trying again", err)
 	}
-	f.lost = true
+	f.unreachable = true
 }
 
-// take prints what is new and says what is missing.
-func (f *follower) take(next *operator.EventPage) error {
+// advance prints the new events, with notes about a restart and about missed events.
+func (f *follower) advance(next *operator.EventPage) error {
 	restarted := next.Life != f.page.Life
 	switch {
 	case restarted:
 		f.note("router %s was restarted; events that it recorded after the last one above are lost with its memory", next.Router)
-	case f.lost:
+	case f.unreachable:
 		f.note("router %s answers again", next.Router)
 	}
 	if next.Missed > 0 {
 		f.note("%d events came faster than they could be read", next.Missed)
 	}
-	f.page, f.lost = next, false
+	f.page, f.unreachable = next, false
 	return f.print(next.Events)
 }
 
-// note tells of the stream itself, apart from the events.
+// note prints a message about the stream to the error output, apart from the events.
 func (f *follower) note(format string, args ...any) {
 	fmt.Fprintf(f.c.Root().ErrWriter, "tarragonctl: "+format+"\n", args...)
 }
--- a/cmd/tarragonctl/follow_test.go
+++ b/cmd/tarragonctl/follow_test.go
@@ -21,11 +21,10 @@
 	waittest.Until(t, fmt.Sprintf("%q is there %d times", text, n), func() bool { return strings.Count(b.String(), text) >= n })
 }
 
-// Symptom: events --follow ends, or is silent for good, when the router restarts.
-// Sequence: a router is followed; it is lost and another life of it starts, whose
-// sequence numbers begin anew below the last one seen.
-// Cause: an error ends the command, and events are taken for old by their number.
-func TestFollowOutlivesARestart(t *testing.T) {
+// events --follow must go on when the router restarts. The new instance numbers its
+// events from 1 again, below the last number printed. A command that ends at the first
+// failed poll, or that skips events with lower numbers, would print nothing more.
+func TestFollowContinuesAfterRouterRestart(t *testing.T) {
 	s, url := startSystem(t)
 	awaitRouters(t, url, len(s.Routers))
 	followed := s.Routers[2].Name()
@@ -43,12 +42,12 @@
 	assert.NilError(t, s.Restart(2))
 	awaitText(t, &out, 2, applied)
 	awaitText(t, &notes, 1, "router "+followed+" was restarted")
-	works(t, url, "drain", "faq-viewer-03")
+	mustRun(t, url, "drain", "faq-viewer-03")
 	awaitText(t, &out, 3, applied)
 	stop()
 	assert.NilError(t, <-ended)
 
-	// Each line is an event, and none of one life came twice.
+	// Each line is an event, and no event of one instance is printed twice.
 	var last eventlog.Event
 	for _, text := range strings.Split(strings.TrimSpace(out.String()), "\n") {
 		var e eventlog.Event
@@ -58,14 +57,14 @@
 	}
 }
 
-// Each command that looks has a form for programs.
-func TestCommandsThatLookHaveJSON(t *testing.T) {
+// Each command that reads state must print JSON with --output json.
+func TestReadCommandsPrintJSON(t *testing.T) {
 	s, url := startSystem(t)
-	call(t, s.CallerURL(0)+"/no-such-path", "lost-one")
+	sendRequest(t, s.CallerURL(0)+"/no-such-path", "lost-one")
 
 	read := func(into any, args ...string) {
 		t.Helper()
-		assert.NilError(t, json.Unmarshal([]byte(works(t, url, append(args, "--output", "json")...)), into), "%v", args)
+		assert.NilError(t, json.Unmarshal([]byte(mustRun(t, url, append(args, "--output", "json")...)), into), "%v", args)
 	}
 	var status operator.Status
 	read(&status, "status")
@@ -88,24 +87,24 @@
 	assert.Equal(t, revisions[0].Revision, uint64(1))
 }
 
-// A refusal at one router is explained through any other; a router that is gone is
-// named beside what the others know.
+// explain request must find a refusal of one router through any other router, and must
+// name routers that don't answer next to the records of the others.
 func TestExplainRequestAsksAllRouters(t *testing.T) {
 	s, url := startSystem(t)
 	awaitRouters(t, url, len(s.Routers))
 	for _, target := range s.Targets {
 		target.Faults.Refuse("closed")
 	}
-	call(t, s.CallerURL(1)+"/faq-viewer/kiosk-7", "shut-out")
+	sendRequest(t, s.CallerURL(1)+"/faq-viewer/kiosk-7", "shut-out")
 	s.Routers[2].Abort()
 
-	out := works(t, url, "explain", "request", "shut-out")
+	out := mustRun(t, url, "explain", "request", "shut-out")
 	for _, want := range []string{
 		"request shut-out at ", "router " + s.Routers[1].Name() + ": target_refused (not-run) after ",
 		"    1. after 0s, for ", "    2. after ", " attempts:", "no answer from router " + s.Routers[2].Name(),
 	} {
 		assert.Assert(t, strings.Contains(out, want), "%q is not in:\n%s", want, out)
 	}
-	r := ctl(t, url, "explain", "request", "never-seen")
+	r := runCommand(t, url, "explain", "request", "never-seen")
 	assert.ErrorContains(t, r.err, "no answer from "+s.Routers[2].Name())
 }
--- a/cmd/tarragonctl/look.go
+++ b/cmd/tarragonctl/inspect.go
@@ -46,14 +46,14 @@
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\n", r.Router, r.DataCentre, state, r.Revision, r.Since.Format(time.RFC3339Nano))
 	}
-	// The writer below is the terminal; there is nobody else to tell of its failure.
+	// The output is the terminal; there is nowhere else to report an error to.
 	_ = w.Flush()
 }
 
 func explainCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "explain",
-		Usage: "say why something is as it is",
+		Usage: "explain the state of a key or target, or the failure of a request",
 		Commands: []*cli.Command{
 			{
 				Name: "key", Usage: "who owns a key and why", ArgsUsage: "SERVICE KEY",
@@ -94,7 +94,7 @@
 	if err != nil {
 		return err
 	}
-	reply, err := clientOf(c).ExplainTarget(ctx, name)
+	reply, err := clientForRouter(c).ExplainTarget(ctx, name)
 	if err != nil {
 		return err
 	}
@@ -113,7 +113,7 @@
 		Usage: "what is wrong, what the system does about it and what you need to do",
 		Flags: []cli.Flag{&cli.StringFlag{Name: flagOf, Usage: "`NAME` of another router, which the one asked passes the call on to"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			reply, err := clientOf(c).Status(ctx)
+			reply, err := clientForRouter(c).Status(ctx)
 			if err != nil {
 				return err
 			}
--- a/cmd/tarragonctl/keys.go
+++ b/cmd/tarragonctl/keys.go
@@ -23,8 +23,8 @@
 	flagKey  = "key"
 )
 
-// developmentValid is how long the certificates of keys init are valid.
-const developmentValid = 90 * 24 * time.Hour
+// developmentValidity is the validity period of the certificates that keys init makes.
+const developmentValidity = 90 * 24 * time.Hour
 
 func keyFlags() []cli.Flag {
 	return []cli.Flag{
@@ -34,28 +34,28 @@
 	}
 }
 
-// transport is for plain text where no file is named. The files are read at the first
-// call, so that commands that call nobody need none.
+// transport returns a plain-text transport if no TLS file is named. If the files can't be
+// used, the transport returns the error from each call.
 func transport(c *cli.Command) http.RoundTripper {
 	files := keys.Files{Table: "--ca, --cert and --key", CA: c.String(flagCA), Cert: c.String(flagCert), Key: c.String(flagKey), Use: keys.Client}
 	if files.CA == "" && files.Cert == "" && files.Key == "" {
 		return http.DefaultTransport
 	}
 	if (files.Cert == "") != (files.Key == "") {
-		return failing{errors.New("--cert and --key belong together; name both")}
+		return failingTransport{errors.New("--cert and --key belong together; name both")}
 	}
 	source, err := keys.Open(files, nil)
 	if err != nil {
-		return failing{err}
+		return failingTransport{err}
 	}
 	return &http.Transport{TLSClientConfig: source.ClientTLS(""), DisableKeepAlives: true}
 }
 
-// failing answers each call with why there is no connection.
-type failing struct{ err error }
+// failingTransport fails each call with the error that prevents connections.
+type failingTransport struct{ err error }
 
 // RoundTrip implements http.RoundTripper.
-func (f failing) RoundTrip(*http.Request) (*http.Response, error) { return nil, f.err }
+func (f failingTransport) RoundTrip(*http.Request) (*http.Response, error) { return nil, f.err }
 
 func keysCommand() *cli.Command {
 	return &cli.Command{
@@ -73,7 +73,7 @@
 				Action: initKeys,
 			},
 			{Name: "revoke", Usage: "add certificates to the revocation lists of a folder that init made", ArgsUsage: "DIR FILE...", Action: revokeKeys},
-			{Name: "check", Usage: "say what files hold, whether it is valid and for how long", ArgsUsage: "FILE...", Action: checkKeys},
+			{Name: "check", Usage: "print what files contain, whether it is valid and for how long", ArgsUsage: "FILE...", Action: checkKeys},
 		},
 	}
 }
@@ -86,7 +86,7 @@
 	files, err := keys.Initialise(keys.Plan{
 		Folder: folder, Routers: c.StringSlice("for-router"), Targets: c.StringSlice("for-target"),
 		Callers: c.StringSlice("for-caller"),
-		Hosts:   c.StringSlice("host"), Valid: developmentValid, Now: time.Now(),
+		Hosts:   c.StringSlice("host"), Valid: developmentValidity, Now: time.Now(),
 	})
 	if err != nil {
 		return err
@@ -99,13 +99,13 @@
 	})
 }
 
-// revokeKeys signs the next list of each authority concerned.
+// revokeKeys signs a new revocation list for each authority that issued a named certificate.
 func revokeKeys(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() < 2 {
 		return errors.New("give a folder and certificates: tarragonctl keys revoke DIR FILE...")
 	}
 	files, err := keys.Revoke(keys.Revocation{
-		Folder: c.Args().First(), Files: c.Args().Tail(), Now: time.Now(), Valid: developmentValid,
+		Folder: c.Args().First(), Files: c.Args().Tail(), Now: time.Now(), Valid: developmentValidity,
 	})
 	if err != nil {
 		return err
@@ -118,13 +118,13 @@
 	})
 }
 
-// keyReport is what keys check says of a file.
+// keyReport is the result of keys check for one file.
 type keyReport struct {
 	File string `json:"file"`
-	// Holds says what is in the file.
+	// Holds describes the content of the file.
 	Holds    string `json:"holds"`
 	DaysLeft int    `json:"days_left,omitempty"`
-	// Fault is empty where the file is valid.
+	// Fault is empty if the file is valid.
 	Fault string `json:"fault,omitempty"`
 }
 
@@ -152,7 +152,8 @@
 	}
 }
 
-// checkFiles checks each file, and each key against the certificates among the files.
+// checkFiles checks each file. A private key must match one of the certificates among the
+// files, if there are any.
 func checkFiles(files []string, now time.Time) (reports []keyReport, faults int) {
 	var leaves []*x509.Certificate
 	certificates := make(map[string][]*x509.Certificate)
--- a/cmd/tarragonctl/keys_test.go
+++ b/cmd/tarragonctl/keys_test.go
@@ -18,24 +18,24 @@
 
 func TestKeysInitAndCheck(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "keys")
-	out := works(t, "", "keys", "init", folder, "--for-router", "shop-a", "--host", "10.1.2.3")
+	out := mustRun(t, "", "keys", "init", folder, "--for-router", "shop-a", "--host", "10.1.2.3")
 	file := func(name string) string { return filepath.Join(folder, name) }
 	for _, name := range []string{"shop-a.crt", "shop-a.key", "read.crt", "operate.crt", "administer.key", "callers.crt", "routers-ca.crt"} {
 		assert.Assert(t, strings.Contains(out, file(name)+"\n"), out)
 	}
-	again := ctl(t, "", "keys", "init", folder, "--for-router", "shop-a")
+	again := runCommand(t, "", "keys", "init", folder, "--for-router", "shop-a")
 	assert.ErrorContains(t, again.err, "nothing was written")
 
-	out = works(t, "", "keys", "check", file("shop-a.crt"), file("shop-a.key"), file("routers-ca.crt"))
+	out = mustRun(t, "", "keys", "check", file("shop-a.crt"), file("shop-a.key"), file("routers-ca.crt"))
 	for _, want := range []string{`certificate "shop-a", role router, names shop-a, localhost, 127.0.0.1, ::1, 10.1.2.3`, "89 days left: valid", `private key of "shop-a": valid`, `authority "routers-ca"`} {
 		assert.Assert(t, strings.Contains(out, want), "%s\n%s", want, out)
 	}
-	out = works(t, "", "keys", "revoke", folder, file("shop-a.crt"), file("read.crt"))
+	out = mustRun(t, "", "keys", "revoke", folder, file("shop-a.crt"), file("read.crt"))
 	assert.Assert(t, strings.HasPrefix(out, file("routers-ca.crl")+"\n"+file("operators-ca.crl")+"\n"), out)
-	out = works(t, "", "keys", "check", file("routers-ca.crl"))
+	out = mustRun(t, "", "keys", "check", file("routers-ca.crl"))
 	assert.Assert(t, strings.Contains(out, `revocation list 2 of "routers-ca" with 1 certificates`), out)
-	assert.ErrorContains(t, ctl(t, "", "keys", "revoke", folder).err, "keys revoke DIR FILE...")
-	wrong := ctl(t, "", "--output", "json", "keys", "check", file("read.crt"), file("shop-a.key"), file("none"))
+	assert.ErrorContains(t, runCommand(t, "", "keys", "revoke", folder).err, "keys revoke DIR FILE...")
+	wrong := runCommand(t, "", "--output", "json", "keys", "check", file("read.crt"), file("shop-a.key"), file("none"))
 	assert.ErrorContains(t, wrong.err, "2 of 3 files are not valid")
 	assert.Equal(t, wrong.code, exitFailure)
 	var reports []keyReport
@@ -45,7 +45,7 @@
 	assert.Assert(t, strings.Contains(reports[2].Fault, "no such file"), reports[2].Fault)
 }
 
-func TestKeysCheckFindsEnds(t *testing.T) {
+func TestKeysCheckReportsValidityPeriod(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "keys")
 	now := time.Now()
 	_, err := keys.Initialise(keys.Plan{Folder: folder, Routers: []string{"r"}, Valid: time.Hour, Now: now})
@@ -57,12 +57,13 @@
 	}
 }
 
-// The flags must reach the connection: without a certificate a call is refused, with a
-// role's it is not, and the name is the certificate's.
+// The TLS flags must apply to the connection: a call without a certificate is refused, a
+// call with the certificate of a sufficient role is not, and changes are recorded under
+// the name in the certificate.
 func TestCommandsOverTLS(t *testing.T) {
 	m, err := config.LoadModelFS(examples.FS, "shiretoko")
 	assert.NilError(t, err)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	cfg := dev.Config{Model: m, Settings: dev.Patient, Keys: filepath.Join(t.TempDir(), "keys")}
 	_, err = keys.Initialise(dev.KeyPlan(cfg.Keys, &cfg))
@@ -74,12 +75,12 @@
 	as := func(role keys.Role) []string {
 		return []string{"--ca", keys.CertFile(cfg.Keys, keys.AuthorityRouters), "--cert", keys.CertFile(cfg.Keys, string(role)), "--key", keys.KeyFile(cfg.Keys, string(role))}
 	}
-	works(t, url, append(as(keys.RoleRead), "status")...)
-	assert.ErrorContains(t, ctl(t, url, append(as(keys.RoleRead), "drain", m.Targets[0].Name)...).err, "needs the role operate")
-	works(t, url, append(as(keys.RoleOperate), "drain", m.Targets[0].Name)...)
-	assert.Assert(t, strings.Contains(works(t, url, append(as(keys.RoleRead), "events")...), "author=operator-operate"))
-	assert.ErrorContains(t, ctl(t, url, append(as(keys.RoleRead)[:2], "status")...).err, "needs a certificate")
-	assert.ErrorContains(t, ctl(t, url, "status").err, "certificate")
-	assert.ErrorContains(t, ctl(t, url, append(as(keys.RoleRead)[:4], "status")...).err, "belong together")
-	assert.ErrorContains(t, ctl(t, url, "--ca", filepath.Join(cfg.Keys, "none"), "status").err, "no such file")
+	mustRun(t, url, append(as(keys.RoleRead), "status")...)
+	assert.ErrorContains(t, runCommand(t, url, append(as(keys.RoleRead), "drain", m.Targets[0].Name)...).err, "needs the role operate")
+	mustRun(t, url, append(as(keys.RoleOperate), "drain", m.Targets[0].Name)...)
+	assert.Assert(t, strings.Contains(mustRun(t, url, append(as(keys.RoleRead), "events")...), "author=operator-operate"))
+	assert.ErrorContains(t, runCommand(t, url, append(as(keys.RoleRead)[:2], "status")...).err, "needs a certificate")
+	assert.ErrorContains(t, runCommand(t, url, "status").err, "certificate")
+	assert.ErrorContains(t, runCommand(t, url, append(as(keys.RoleRead)[:4], "status")...).err, "belong together")
+	assert.ErrorContains(t, runCommand(t, url, "--ca", filepath.Join(cfg.Keys, "none"), "status").err, "no such file")
 }
--- a/cmd/tarragonctl/log.go
+++ b/cmd/tarragonctl/log.go
@@ -12,31 +12,33 @@
 	"github.com/urfave/cli/v3"
 )
 
-// maxLogLine bounds one line of a log file, in bytes; the routers' own are far shorter.
+// maxLogLine is the longest accepted line of a log file, in bytes; lines that routers
+// write are far shorter.
 const maxLogLine = 1 << 20
 
 func logCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "log",
-		Usage:     "print a request's lines from log files of `tarragongw serve`, with what its routers believed at that time",
+		Usage:     "print a request's lines from log files of `tarragongw serve`, after the log lines on the state of the routers at that time",
 		ArgsUsage: "ID FILE...",
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() < 2 {
-				return errors.New("want ID FILE...")
+				return errors.New("give a request id and log files: tarragonctl log ID FILE...")
 			}
 			return printRequestLines(c.Root().Writer, c.Args().First(), c.Args().Tail())
 		},
 	}
 }
 
-// beliefLines are the lines whose last one before a request says what it was decided by.
-var beliefLines = []string{
+// stateMessages are the log messages about the state on which a router bases its
+// decisions. The last line of each before a request shows the state at that time.
+var stateMessages = []string{
 	`msg="configuration in force"`, `msg="key table updated"`, `msg="targets changed"`, `msg="leadership taken"`, `msg="leadership lost"`,
 	"msg=fed", `msg="feed lost"`, `msg="store lost"`, `msg="store regained"`,
 }
 
-// printRequestLines prints what the files have of the request; it is an error if none has
-// a line of it.
+// printRequestLines prints the lines about the request from all files. It returns an
+// error if no file has such a line.
 func printRequestLines(w io.Writer, id string, files []string) error {
 	found := false
 	for _, name := range files {
@@ -57,32 +59,34 @@
 	return nil
 }
 
+// scanRequest prints the lines of one file about the request, after the state lines that
+// precede them.
 func scanRequest(w io.Writer, id, name string, in io.Reader) (found bool, err error) {
-	beliefs := make([]string, len(beliefLines))
+	state := make([]string, len(stateMessages))
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, maxLogLine)
 	for lines.Scan() {
 		line := lines.Text()
 		if hasField(line, "id", id) {
 			if !found {
-				printBeliefs(w, name, beliefs)
+				printState(w, name, state)
 			}
 			found = true
 			fmt.Fprintf(w, "%s: %s\n", name, line)
 			continue
 		}
-		for i, belief := range beliefLines {
-			if strings.Contains(line, belief) {
-				beliefs[i] = line
+		for i, message := range stateMessages {
+			if strings.Contains(line, message) {
+				state[i] = line
 			}
 		}
 	}
 	return found, errors.WithStack(lines.Err())
 }
 
-// printBeliefs prints the last line of each belief before the request.
-func printBeliefs(w io.Writer, name string, beliefs []string) {
-	for _, line := range beliefs {
+// printState prints the last line of each of the stateMessages before the request.
+func printState(w io.Writer, name string, state []string) {
+	for _, line := range state {
 		if line != "" {
 			fmt.Fprintf(w, "%s: (before) %s\n", name, line)
 		}
--- a/cmd/tarragonctl/log_test.go
+++ b/cmd/tarragonctl/log_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestLogPrintsARequestWithWhatWasBelieved(t *testing.T) {
+func TestLogPrintsRequestAfterRouterState(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "router.log")
 	lines := []string{
 		`time=1 level=INFO msg="configuration in force" version=3`,
--- a/cmd/tarragonctl/main.go
+++ b/cmd/tarragonctl/main.go
@@ -22,24 +22,25 @@
 // Exit codes.
 const (
 	exitFailure = 1
-	// exitRefused says that a configuration was refused, by the files' check or by the
-	// router; nothing was changed.
+	// exitRefused means that the check of the files or the router rejected the
+	// configuration; nothing was changed.
 	exitRefused = 2
-	// exitConflict says that another operator's change clashes; nothing was changed.
+	// exitConflict means that the change conflicts with another operator's change;
+	// nothing was changed.
 	exitConflict = 3
-	// exitUnknown says that a change may or may not be in force.
+	// exitUnknown means that the change may or may not have taken effect.
 	exitUnknown = 4
 )
 
 // clientTimeout bounds one call to a router.
 const clientTimeout = 15 * time.Second
 
-// Names of the flags that all commands know.
+// Names of the flags that all commands accept.
 const (
 	flagRouter = "router"
 	flagOutput = "output"
 	flagAuthor = "author"
-	// flagOf is known to the commands that ask one router.
+	// flagOf is accepted by the commands that query a single router.
 	flagOf = "of"
 )
 
@@ -93,8 +94,9 @@
 	return &operator.Client{Base: c.String(flagRouter), HTTP: &http.Client{Timeout: clientTimeout, Transport: transport(c)}}
 }
 
-// clientOf is a client of the router that the command names, or of the one asked.
-func clientOf(c *cli.Command) *operator.Client { return client(c).Of(c.String(flagOf)) }
+// clientForRouter returns a client for the router that --of names, or for the router
+// at --router if --of is not set.
+func clientForRouter(c *cli.Command) *operator.Client { return client(c).Of(c.String(flagOf)) }
 
 func exitCode(err error) int {
 	var faults config.Errors
@@ -117,13 +119,13 @@
 	}
 }
 
-// Forms of the output.
+// Output formats.
 const (
 	outputText = "text"
 	outputJSON = "json"
 )
 
-// show writes a reply as JSON where that was asked for, else by text.
+// show writes the reply as JSON if --output json is set, and by calling text otherwise.
 func show[T any](c *cli.Command, reply T, text func(io.Writer, T)) error {
 	out := c.Root().Writer
 	if c.String(flagOutput) == outputJSON {
@@ -135,7 +137,8 @@
 	return nil
 }
 
-// argument returns the only argument, or an error that names it.
+// argument returns the command's only argument, or an error that tells the user to give
+// one.
 func argument(c *cli.Command, what string) (string, error) {
 	if c.Args().Len() != 1 {
 		return "", errors.Errorf("give one %s: tarragonctl %s %s", what, c.Name, what)
--- a/cmd/tarragonctl/merge.go
+++ b/cmd/tarragonctl/merge.go
@@ -8,30 +8,30 @@
 	"tarragongw/operator"
 )
 
-// point is one stretch of time over all routers that answered.
+// point holds the measurements of all routers that answered for one time interval.
 type point struct {
 	start time.Time
-	// routers is how many routers told of it.
+	// routers is the number of routers with data for the interval.
 	routers int
-	// latency counts answered requests by class and bound.
+	// latency counts answered requests by class and histogram bound.
 	latency map[string][]uint64
 	// refused, failed, moved are sums over routers, by cause or service.
 	refused, failed, moved map[string]float64
-	// unavailable, in unit-seconds, and imbalance are the highest that a router told of,
-	// by service. Each router looks at all units, so that a sum would count each of them
-	// once for each router.
+	// unavailable, in unit-seconds, and imbalance are the highest values that any router
+	// reported, by service. Each router measures all units, so a sum would count each
+	// unit once for each router.
 	unavailable, imbalance map[string]float64
 }
 
-// timeline is what all routers told, by stretches of equal length.
+// timeline holds the measurements of all routers in intervals of equal length.
 type timeline struct {
 	step   time.Duration
 	bounds []time.Duration
 	points []*point
 }
 
-// mergeSeries lays the routers' buckets over one another by their begin.
-func mergeSeries(answers []answerOf[routerReport], since time.Time) *timeline {
+// mergeSeries merges the routers' buckets that have the same start time.
+func mergeSeries(answers []routerAnswer[routerReport], since time.Time) *timeline {
 	t := &timeline{}
 	byStart := make(map[int64]*point)
 	for i := range answers {
@@ -69,8 +69,8 @@
 	}
 }
 
-// add takes in a router's bucket. Latencies counted by other bounds, as another
-// version may, can't be added up and are left out.
+// add adds a router's bucket. Latencies that were counted with other histogram bounds,
+// as a router of another version may do, can't be added up and are left out.
 func (p *point) add(series *operator.Series, b *history.Bucket, bounds []time.Duration) {
 	p.routers++
 	if slices.Equal(series.Bounds, bounds) {
@@ -105,7 +105,7 @@
 	}
 }
 
-// total adds the values up over the whole time.
+// total sums the values over all points.
 func (t *timeline) total(of func(*point) map[string]float64) map[string]float64 {
 	out := make(map[string]float64)
 	for _, p := range t.points {
@@ -116,7 +116,7 @@
 	return out
 }
 
-// latency adds the counts of each class up over the whole time.
+// latency sums the counts of each class over all points.
 func (t *timeline) latency() map[string][]uint64 {
 	out := make(map[string][]uint64)
 	for _, p := range t.points {
--- a/cmd/tarragonctl/mergeevents.go
+++ b/cmd/tarragonctl/mergeevents.go
@@ -9,19 +9,21 @@
 	"tarragongw/eventlog"
 )
 
-// mergedEvent is one thing that happened, as one or more routers recorded it.
+// mergedEvent is an event that one or more routers recorded.
 type mergedEvent struct {
 	eventlog.Event
-	// Routers recorded it, about these Targets; Count is how often in all.
+	// Routers are those that recorded the event, Targets those that it concerns; Count is
+	// the number of records.
 	Routers, Targets []string
 	Count            int
-	// Units is the sum of what the records say of units; zero where they say nothing.
+	// Units is the sum of the units fields of all records; zero if they have no such field.
 	Units int
 }
 
-// sameEvent is how long after the first record others are taken for the same event: a
-// loss changes the grantors of many targets, and other routers hear of it.
-const sameEvent = 3 * time.Second
+// sameEventWindow is the time after the first record within which equal records count as
+// the same event: the loss of a router changes the grantors of many targets, and other
+// routers record it too.
+const sameEventWindow = 3 * time.Second
 
 // fieldUnits is the field of an event that counts units.
 const fieldUnits = "units"
@@ -32,21 +34,21 @@
 	eventlog.Event
 }
 
-// subject is what records of the same event have in common.
-type subject struct {
+// eventKey holds the fields that records of the same event have in common.
+type eventKey struct {
 	kind                   eventlog.Kind
 	cause, service, router string
 }
 
-// mergeEvents puts the routers' events in order of time and records of the same
-// together.
-func mergeEvents(answers []answerOf[routerReport]) []*mergedEvent {
-	last := make(map[subject]*mergedEvent)
+// mergeEvents returns the routers' events in order of time, with records of the same
+// event merged into one.
+func mergeEvents(answers []routerAnswer[routerReport]) []*mergedEvent {
+	last := make(map[eventKey]*mergedEvent)
 	var out []*mergedEvent
 	for _, r := range sortedRecords(answers) {
-		key := subject{r.Kind, r.Cause, r.Service, r.about()}
+		key := eventKey{r.Kind, r.Cause, r.Service, r.about()}
 		m := last[key]
-		if m == nil || r.Time.Sub(m.Time) > sameEvent {
+		if m == nil || r.Time.Sub(m.Time) > sameEventWindow {
 			m = &mergedEvent{Event: r.Event}
 			last[key] = m
 			out = append(out, m)
@@ -56,7 +58,7 @@
 	return out
 }
 
-func sortedRecords(answers []answerOf[routerReport]) []record {
+func sortedRecords(answers []routerAnswer[routerReport]) []record {
 	var all []record
 	for i := range answers {
 		page := answers[i].Answer.Events
@@ -73,8 +75,8 @@
 	return all
 }
 
-// about is the router that the event is about; empty where that is only the one that
-// recorded it.
+// about returns the router that the event is about, or the empty string if that is the
+// router that recorded it.
 func (r *record) about() string {
 	if r.Router == r.recorder {
 		return ""
@@ -90,13 +92,13 @@
 		if f.Key != fieldUnits {
 			continue
 		}
-		// A field that is no number counts for nothing.
+		// A value that is not a number counts as zero.
 		units, _ := strconv.Atoi(f.Value)
 		m.Units += units
 	}
 }
 
-// addName adds a name that is not yet there.
+// addName appends the name unless it is empty or already present.
 func addName(names []string, name string) []string {
 	if name == "" || slices.Contains(names, name) {
 		return names
--- a/cmd/tarragonctl/page.go
+++ b/cmd/tarragonctl/page.go
@@ -17,42 +17,42 @@
 
 var pageTemplate = template.Must(template.New("report").Parse(pageText))
 
-// page is what the template shows.
+// page is the data of the report template.
 type page struct {
-	From, To, Made string
-	Span           string
-	Step           time.Duration
-	Routers        []routerRow
-	Silent         int
-	Sections       []section
-	Services       []serviceRow
-	Classes        []classRow
-	Events         []eventRow
-	LeftOut        int
+	From, To, Generated string
+	Span                string
+	Step                time.Duration
+	Routers             []routerRow
+	Silent              int
+	Sections            []section
+	Services            []serviceRow
+	Classes             []classRow
+	Events              []eventRow
+	Omitted             int
 }
 
-type routerRow struct{ Name, DataCentre, State, Told, Problem string }
+type routerRow struct{ Name, DataCentre, State, Coverage, Problem string }
 
 type serviceRow struct{ Name, Unavailable, Moved, Imbalance string }
 
 type classRow struct{ Name, Answered, P50, P99 string }
 
-func newPage(answers []answerOf[routerReport], from, to time.Time) (*page, error) {
+func newPage(answers []routerAnswer[routerReport], from, to time.Time) (*page, error) {
 	t := mergeSeries(answers, from)
 	events := mergeEvents(answers)
 	p := &page{
-		From: from.UTC().Format(time.DateTime), To: to.UTC().Format(time.DateTime), Made: to.UTC().Format(time.RFC3339),
+		From: from.UTC().Format(time.DateTime), To: to.UTC().Format(time.DateTime), Generated: to.UTC().Format(time.RFC3339),
 		Span: shortDuration(to.Sub(from)), Step: t.step,
 	}
 	for i := range answers {
 		p.addRouter(&answers[i], from)
 	}
 	p.addTotals(t)
-	// A plot that is mostly empty hides what happened: begin where something is known.
+	// Start the plots at the first data: a mostly empty plot is hard to read.
 	if len(t.points) > 0 && t.points[0].start.After(from) {
 		from = t.points[0].start
 	}
-	markers := p.addEvents(events, to.Sub(from)/markersApart)
+	markers := p.addEvents(events, to.Sub(from)/markersPerWidth)
 	base := chart{from: from, to: to, step: t.step, markers: marksWithin(markers, from, to)}
 	for _, point := range t.points {
 		base.starts = append(base.starts, point.start)
@@ -60,18 +60,18 @@
 	return p, p.addSections(t, base)
 }
 
-func (p *page) addRouter(a *answerOf[routerReport], from time.Time) {
+func (p *page) addRouter(a *routerAnswer[routerReport], from time.Time) {
 	row := routerRow{Name: a.Router, DataCentre: a.DataCentre, State: a.State}
 	switch {
 	case a.Err != nil:
 		p.Silent++
 		row.Problem = "no answer: " + a.Err.Error()
 	case a.Answer.Series.Began.IsZero():
-		row.Told = "has counted nothing yet"
+		row.Coverage = "has counted nothing yet"
 	case a.Answer.Series.Began.After(from):
-		row.Told = "since " + a.Answer.Series.Began.UTC().Format(time.TimeOnly) + ", when it started"
+		row.Coverage = "since " + a.Answer.Series.Began.UTC().Format(time.TimeOnly) + ", when it started"
 	default:
-		row.Told = "the whole time"
+		row.Coverage = "the whole time"
 	}
 	p.Routers = append(p.Routers, row)
 }
@@ -132,7 +132,7 @@
 	return names
 }
 
-// number writes a value with as many digits as a reader needs.
+// number formats a value with up to two decimals; larger values get fewer.
 func number(v float64) string {
 	switch {
 	case v == math.Trunc(v) || v >= 100:
@@ -144,7 +144,7 @@
 	}
 }
 
-// shortDuration leaves out parts that are zero.
+// shortDuration formats a duration without trailing parts that are zero, such as 1h.
 func shortDuration(d time.Duration) string {
 	text := d.Round(time.Second).String()
 	if short, ok := strings.CutSuffix(text, "m0s"); ok {
--- a/cmd/tarragonctl/pageevents.go
+++ b/cmd/tarragonctl/pageevents.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// maxMarkers bounds the events that the plots show, and maxEvents those in the table.
+	// maxMarkers is the largest number of markers in a plot, and maxEvents that of rows in
+	// the table.
 	maxMarkers = 20
 	maxEvents  = 400
-	// markersApart is how many marks side by side fill a plot's width: closer ones could
-	// not be read.
-	markersApart = 40
-	// maxTargets bounds the targets that one line names.
+	// markersPerWidth is the number of markers that fit side by side into the width of a
+	// plot; the labels of closer markers could not be read.
+	markersPerWidth = 40
+	// maxTargets is the largest number of targets that one row names.
 	maxTargets = 4
 )
 
@@ -27,8 +28,8 @@
 	return slices.DeleteFunc(markers, func(m marker) bool { return m.at.Before(from) || m.at.After(to) })
 }
 
-// marked are the kinds of events that the plots show.
-var marked = map[eventlog.Kind]bool{
+// markedKinds are the kinds of events that have markers in the plots.
+var markedKinds = map[eventlog.Kind]bool{
 	eventlog.ConfigChanged: true, eventlog.TargetDraining: true, eventlog.TargetEjected: true, eventlog.TargetReadmitted: true,
 	eventlog.MemberLost: true, eventlog.MemberLeft: true, eventlog.MemberJoined: true, eventlog.GrantorDead: true,
 	eventlog.DataCentreCutOff: true, eventlog.DataCentreBack: true, eventlog.StoreUnavailable: true, eventlog.StoreAvailable: true,
@@ -36,34 +37,35 @@
 	eventlog.RouterSaturated: true, eventlog.RouterRelieved: true,
 }
 
-// addEvents fills the table, newest last, and returns the marks of the plots.
-func (p *page) addEvents(events []*mergedEvent, apart time.Duration) []marker {
+// addEvents fills the table of events, newest last, and returns the markers for the plots.
+func (p *page) addEvents(events []*mergedEvent, minGap time.Duration) []marker {
 	if extra := len(events) - maxEvents; extra > 0 {
-		p.LeftOut = extra
+		p.Omitted = extra
 		events = events[extra:]
 	}
 	var markers []marker
 	for _, e := range events {
 		row := eventRow{
-			Time: e.Time.UTC().Format("15:04:05.000"), Kind: string(e.Kind), About: about(e), Cause: e.Cause,
+			Time: e.Time.UTC().Format("15:04:05.000"), Kind: string(e.Kind), About: describeEvent(e), Cause: e.Cause,
 			Routers: strings.Join(e.Routers, ", "),
 		}
 		if e.Count > 1 {
 			row.Kind += " ×" + strconv.Itoa(e.Count)
 		}
-		if marked[e.Kind] {
-			row.Mark, markers = mark(markers, e.Time, apart)
+		if markedKinds[e.Kind] {
+			row.Mark, markers = assignMarker(markers, e.Time, minGap)
 		}
 		p.Events = append(p.Events, row)
 	}
 	return markers
 }
 
-// mark returns the number of the marker at the time, that of the last one where it
-// would be drawn over it.
-func mark(markers []marker, at time.Time, apart time.Duration) (string, []marker) {
+// assignMarker returns the label of the marker for an event at the time, and the markers
+// with a new one if it is needed. An event less than minGap after the last marker shares
+// that marker; once there are maxMarkers, the label is empty.
+func assignMarker(markers []marker, at time.Time, minGap time.Duration) (string, []marker) {
 	n := len(markers)
-	if n > 0 && at.Sub(markers[n-1].at) < apart {
+	if n > 0 && at.Sub(markers[n-1].at) < minGap {
 		return markers[n-1].label, markers
 	}
 	if n == maxMarkers {
@@ -73,8 +75,8 @@
 	return label, append(markers, marker{at: at, label: label})
 }
 
-// about says what the event is about.
-func about(e *mergedEvent) string {
+// describeEvent returns what the event is about: service, targets, router and other fields.
+func describeEvent(e *mergedEvent) string {
 	var parts []string
 	add := func(key, value string) {
 		if value != "" {
--- a/cmd/tarragonctl/pages_test.go
+++ b/cmd/tarragonctl/pages_test.go
@@ -8,7 +8,7 @@
 	"tarragongw/internal/pages"
 )
 
-// Every command and flag that a page names must be one of this binary.
+// Every command and flag that a page of the documentation names must exist in this binary.
 func TestCommandsNamedOnPagesExist(t *testing.T) {
 	checked, err := pages.CheckAll("../..", "tarragonctl", newCommand)
 	assert.NilError(t, err)
--- a/cmd/tarragonctl/pagesections.go
+++ b/cmd/tarragonctl/pagesections.go
@@ -12,15 +12,16 @@
 	"tarragongw/core/history"
 )
 
-// maxLines bounds the lines of one plot; further names are added up.
+// maxLines is the largest number of lines with a name of their own in one plot; all further
+// names are summed into one more line.
 const maxLines = 7
 
-// section is a plot with its words.
+// section is a plot with its title, description and legend.
 type section struct {
-	Title, Words string
-	Plot         template.HTML
-	Legend       []legendEntry
-	Nothing      bool
+	Title, Description string
+	Plot               template.HTML
+	Legend             []legendEntry
+	Empty              bool
 }
 
 type legendEntry struct {
@@ -35,12 +36,12 @@
 		perSecond = 1 / t.step.Seconds()
 	}
 	for _, s := range []struct {
-		title, words, unit string
-		floor              float64
-		lines              []line
+		title, description, unit string
+		floor                    float64
+		lines                    []line
 	}{
 		{
-			"Unavailable time", "Units of keys that were not served, on average over each stretch, by service. 1 for 10 s is 10 unit-seconds.",
+			"Unavailable time", "Units of keys that were not served, on average over each interval, by service. 1 for 10 s is 10 unit-seconds.",
 			"units unserved", 0, t.lines(perSecond, false, func(p *point) map[string]float64 { return p.unavailable }),
 		},
 		{
@@ -52,7 +53,7 @@
 			"units moved", 0, t.lines(1, false, func(p *point) map[string]float64 { return p.moved }),
 		},
 		{
-			"Latency", "Requests answered whole, from arrival to the end of the answer, by class.",
+			"Latency", "Requests answered completely, from arrival to the end of the answer, by class.",
 			"ms", 0, t.latencyLines(),
 		},
 		{
@@ -66,11 +67,11 @@
 	} {
 		c := base
 		c.lines, c.unit, c.floor = s.lines, s.unit, s.floor
-		section := section{Title: s.title, Words: s.words, Nothing: len(s.lines) == 0}
+		section := section{Title: s.title, Description: s.description, Empty: len(s.lines) == 0}
 		for i := range s.lines {
 			section.Legend = append(section.Legend, legendEntry{s.lines[i].name, cssColor(s.lines[i].color), s.lines[i].dashed})
 		}
-		if !section.Nothing {
+		if !section.Empty {
 			var err error
 			if section.Plot, err = c.svg(); err != nil {
 				return err
@@ -81,8 +82,8 @@
 	return nil
 }
 
-// lines makes a line for each name that ever has a value, the greatest first; names
-// beyond maxLines are added up. With sparse, zero means that nothing is known.
+// lines returns a line for each name that has a value at any point, in descending order
+// of total; names beyond maxLines are summed. With sparse, zero means that there is no data.
 func (t *timeline) lines(scale float64, sparse bool, of func(*point) map[string]float64) []line {
 	total := t.total(of)
 	names := sortedNames(total)
--- a/cmd/tarragonctl/plots.go
+++ b/cmd/tarragonctl/plots.go
@@ -19,47 +19,46 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Sizes of a plot; all plots have the same area for data, so that one can look from
-// one to the next along the time.
+// Sizes of a plot. All plots have the same data area, so that their time axes line up.
 const (
 	plotWidth  = vg.Length(675)
 	plotHeight = vg.Length(150)
 	leftSpace  = vg.Length(58)
 	textSize   = vg.Length(9)
 	lineWidth  = vg.Length(1.4)
-	// timeTicks is about how many times are written under a plot.
+	// timeTicks is the approximate number of labels on the time axis.
 	timeTicks = 12
 )
 
-// line is one line of a plot: a value for each point of the timeline, NaN where
-// nothing is known.
+// line is one line of a plot: a value for each point of the timeline, NaN where there is
+// no data.
 type line struct {
 	name   string
 	values []float64
-	// dashed and color make the two lines of one class alike.
+	// The two lines of one class have the same color; one of them is dashed.
 	dashed bool
 	color  color.RGBA
 }
 
-// marker is an event that all plots show.
+// marker is a labelled point in time that all plots show.
 type marker struct {
 	at    time.Time
 	label string
 }
 
-// chart is one plot with what is shown beside it.
+// chart holds the data of one plot.
 type chart struct {
 	from, to time.Time
 	starts   []time.Time
 	step     time.Duration
 	lines    []line
 	markers  []marker
-	// unit is written at the upright axis; floor is the lowest value there.
+	// unit is the label of the Y axis; floor is its lowest value.
 	unit  string
 	floor float64
 }
 
-// palette has colours that differ also for those who see red and green alike.
+// palette has colours that people with red-green colour blindness can tell apart.
 var palette = []color.RGBA{
 	{0x00, 0x72, 0xb2, 0xff}, {0xd5, 0x5e, 0x00, 0xff}, {0x00, 0x9e, 0x73, 0xff}, {0xcc, 0x79, 0xa7, 0xff},
 	{0xe6, 0x9f, 0x00, 0xff}, {0x56, 0xb4, 0xe9, 0xff}, {0x6a, 0x3d, 0x9a, 0xff}, {0x44, 0x44, 0x44, 0xff},
@@ -71,12 +70,12 @@
 	textColor   = color.RGBA{0x33, 0x33, 0x33, 0xff}
 )
 
-// svg draws the chart. Times are seconds since its begin.
+// svg draws the chart. The X axis is in seconds since c.from.
 func (c *chart) svg() (template.HTML, error) {
 	p := plot.New()
 	p.BackgroundColor = nil
 	p.X.Min, p.X.Max = 0, c.to.Sub(c.from).Seconds()
-	p.Y.Min, p.Y.Max = c.floor, c.top()
+	p.Y.Min, p.Y.Max = c.floor, c.maxY()
 	p.X.Tick.Marker, p.Y.Tick.Marker = plot.ConstantTicks(c.timeTicks()), plot.ConstantTicks(valueTicks(p.Y.Min, p.Y.Max))
 	p.Y.Label.Text = c.unit
 	styleAxis(&p.X)
@@ -105,8 +104,8 @@
 	a.Padding = 0
 }
 
-// top is a value above all lines.
-func (c *chart) top() float64 {
+// maxY returns the upper end of the Y axis, which is above all lines.
+func (c *chart) maxY() float64 {
 	top := c.floor
 	for i := range c.lines {
 		for _, v := range c.lines[i].values {
@@ -123,8 +122,8 @@
 
 func (c *chart) seconds(t time.Time) float64 { return t.Sub(c.from).Seconds() }
 
-// addLine draws one stretch for each run of known values; a value holds from its
-// begin to the next.
+// addLine draws one segment for each run of values without a gap; a value holds for the
+// whole step that begins at its start time.
 func (c *chart) addLine(p *plot.Plot, l *line) error {
 	var run plotter.XYs
 	flush := func() error {
@@ -160,12 +159,12 @@
 
 func (c *chart) addMarker(p *plot.Plot, m marker) error {
 	x := c.seconds(m.at)
-	upright, err := plotter.NewLine(plotter.XYs{{X: x, Y: p.Y.Min}, {X: x, Y: p.Y.Max}})
+	vertical, err := plotter.NewLine(plotter.XYs{{X: x, Y: p.Y.Min}, {X: x, Y: p.Y.Max}})
 	if err != nil {
 		return errors.Wrap(err, "draw a marker")
 	}
-	upright.Color, upright.Width = markerColor, vg.Points(0.7)
-	upright.Dashes = []vg.Length{vg.Points(1), vg.Points(2)}
+	vertical.Color, vertical.Width = markerColor, vg.Points(0.7)
+	vertical.Dashes = []vg.Length{vg.Points(1), vg.Points(2)}
 	text, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: x, Y: p.Y.Max}}, Labels: []string{m.label}})
 	if err != nil {
 		return errors.Wrap(err, "draw a marker")
@@ -173,11 +172,11 @@
 	text.TextStyle[0].Font = font.Font{Typeface: "Liberation", Variant: "Sans", Size: textSize - 1}
 	text.TextStyle[0].Color = textColor
 	text.Offset = vg.Point{X: 2, Y: -textSize}
-	p.Add(upright, text)
+	p.Add(vertical, text)
 	return nil
 }
 
-// timeTicks are round times of the day.
+// timeTicks returns ticks at round times of the day.
 func (c *chart) timeTicks() []plot.Tick {
 	step := roundStep(c.to.Sub(c.from) / timeTicks)
 	layout := "15:04"
@@ -193,18 +192,18 @@
 	return ticks
 }
 
-// roundSteps are the distances of times that a reader finds easy.
+// roundSteps are the possible distances between time ticks, in ascending order.
 var roundSteps = []time.Duration{
 	5 * time.Second, 10 * time.Second, 15 * time.Second, 30 * time.Second, time.Minute, 2 * time.Minute,
 	5 * time.Minute, 10 * time.Minute, 15 * time.Minute, 30 * time.Minute, time.Hour,
 }
 
-func roundStep(least time.Duration) time.Duration {
-	i, _ := slices.BinarySearch(roundSteps, least)
+func roundStep(atLeast time.Duration) time.Duration {
+	i, _ := slices.BinarySearch(roundSteps, atLeast)
 	return roundSteps[min(i, len(roundSteps)-1)]
 }
 
-// valueTicks are four or five round values.
+// valueTicks returns ticks at round values, about five.
 func valueTicks(low, high float64) []plot.Tick {
 	step := math.Pow(10, math.Floor(math.Log10((high-low)/4)))
 	for _, factor := range []float64{1, 2, 5, 10} {
@@ -221,8 +220,8 @@
 	return ticks
 }
 
-// render draws the plot so that its area for data begins at leftSpace, whatever the
-// width of its values, and returns it without what only a file of its own needs.
+// render draws the plot so that its data area begins at leftSpace, whatever the width of
+// the Y labels, and returns the svg element without the XML prologue of a separate file.
 func render(p *plot.Plot) (template.HTML, error) {
 	canvas := vgsvg.New(plotWidth, plotHeight)
 	whole := draw.New(canvas)
@@ -237,6 +236,6 @@
 	if begin < 0 {
 		return "", errors.New("the plotting library wrote no SVG")
 	}
-	// The library escapes the texts, which are the only part from outside.
+	// The library escapes the texts, the only part that comes from other processes.
 	return template.HTML(text[begin:]), nil
 }
--- a/cmd/tarragonctl/report.go
+++ b/cmd/tarragonctl/report.go
@@ -14,7 +14,8 @@
 	"tarragongw/operator"
 )
 
-// reportMode is the mode of the page's file: it names keys' units, callers never.
+// reportMode is the mode of the report file. Others may read it: it names units of keys
+// but no callers.
 const reportMode = 0o644
 
 func reportCommand() *cli.Command {
@@ -29,13 +30,13 @@
 	}
 }
 
-// routerReport is what one router gives to a report.
+// routerReport is one router's data for a report.
 type routerReport struct {
 	Series *operator.Series
 	Events *operator.EventPage
 }
 
-// reportSummary says what was written.
+// reportSummary is the output of the report command.
 type reportSummary struct {
 	File    string         `json:"file"`
 	Routers int            `json:"routers"`
@@ -48,7 +49,7 @@
 		return errors.New("--since must be above zero")
 	}
 	now := time.Now()
-	answers, err := askAll(ctx, client(c), func(ctx context.Context, c *operator.Client) (routerReport, error) {
+	answers, err := queryAll(ctx, client(c), func(ctx context.Context, c *operator.Client) (routerReport, error) {
 		return askReport(ctx, c, since)
 	})
 	if err != nil {
--- a/cmd/tarragonctl/report_test.go
+++ b/cmd/tarragonctl/report_test.go
@@ -21,13 +21,13 @@
 
 var reportStart = time.Date(2030, 1, 2, 3, 0, 0, 0, time.UTC)
 
-// told is a router that answered with the buckets.
-func told(name string, buckets ...history.Bucket) answerOf[routerReport] {
+// answerFrom returns the answer of a router with the buckets.
+func answerFrom(name string, buckets ...history.Bucket) routerAnswer[routerReport] {
 	series := &operator.Series{Router: name, Series: history.Series{
 		Step: 10 * time.Second, Began: reportStart, Classes: []string{"interactive", "batch"},
 		Bounds: []time.Duration{time.Millisecond, 10 * time.Millisecond}, Buckets: buckets,
 	}}
-	return answerOf[routerReport]{
+	return routerAnswer[routerReport]{
 		RouterState: operator.RouterState{Router: name, DataCentre: "dc", State: "alive"},
 		Answer:      routerReport{Series: series, Events: &operator.EventPage{Router: name}},
 	}
@@ -39,9 +39,9 @@
 	return b
 }
 
-// Requests and moves of all routers add up; what each router sees of the same units
-// does not.
-func TestMergeAddsWhatIsDistinct(t *testing.T) {
+// Requests and moves of all routers are summed; of unavailable time and imbalance, which
+// each router measures for all units, the highest value counts.
+func TestMergeSumsRequestsAndMovesOnly(t *testing.T) {
 	busy := func(b *history.Bucket) {
 		b.Latency = [][]uint32{{1, 2, 0}, {0, 0, 3}}
 		b.Refused = []history.Count{{Cause: "queue_full", N: 4}}
@@ -51,37 +51,37 @@
 		busy(b)
 		b.Services[0].Unavailable, b.Services[0].Imbalance = 7, 1.2
 	}
-	line := mergeSeries([]answerOf[routerReport]{
-		told("a", bucketAt(0, busy), bucketAt(1, busy)),
-		told("b", bucketAt(1, worse)),
+	merged := mergeSeries([]routerAnswer[routerReport]{
+		answerFrom("a", bucketAt(0, busy), bucketAt(1, busy)),
+		answerFrom("b", bucketAt(1, worse)),
 	}, reportStart)
-	assert.Equal(t, len(line.points), 2)
-	p := line.points[1]
+	assert.Equal(t, len(merged.points), 2)
+	p := merged.points[1]
 	assert.Equal(t, p.routers, 2)
 	assert.DeepEqual(t, p.latency, map[string][]uint64{"interactive": {2, 4, 0}, "batch": {0, 0, 6}})
 	assert.DeepEqual(t, p.refused, map[string]float64{"queue_full": 8})
 	assert.DeepEqual(t, p.moved, map[string]float64{"faq": 4})
 	assert.DeepEqual(t, p.unavailable, map[string]float64{"faq": 7})
 	assert.DeepEqual(t, p.imbalance, map[string]float64{"faq": 1.5})
-	assert.Equal(t, len(mergeSeries([]answerOf[routerReport]{told("a", bucketAt(0, busy))}, reportStart.Add(time.Minute)).points), 0)
+	assert.Equal(t, len(mergeSeries([]routerAnswer[routerReport]{answerFrom("a", bucketAt(0, busy))}, reportStart.Add(time.Minute)).points), 0)
 }
 
-// What two routers record of the same loss is one line; the same loss later is another.
+// Records of two routers about the same loss are merged; the same loss later is a new event.
 func TestMergeOfEvents(t *testing.T) {
 	lost := func(seconds int) eventlog.Event {
 		return eventlog.Event{Kind: eventlog.MemberLost, Router: "c", Cause: "silent", Time: reportStart.Add(time.Duration(seconds) * time.Second)}
 	}
-	a, b := told("a"), told("b")
+	a, b := answerFrom("a"), answerFrom("b")
 	a.Answer.Events.Events = []eventlog.Event{lost(1), lost(100)}
 	b.Answer.Events.Events = []eventlog.Event{lost(2)}
-	got := mergeEvents([]answerOf[routerReport]{a, b})
+	got := mergeEvents([]routerAnswer[routerReport]{a, b})
 	assert.Equal(t, len(got), 2)
 	assert.DeepEqual(t, got[0].Routers, []string{"a", "b"})
 	assert.Equal(t, got[0].Count, 2)
 	assert.Equal(t, got[1].Time, reportStart.Add(100*time.Second))
 }
 
-func renderPage(t *testing.T, answers ...answerOf[routerReport]) string {
+func renderPage(t *testing.T, answers ...routerAnswer[routerReport]) string {
 	t.Helper()
 	p, err := newPage(answers, reportStart, reportStart.Add(time.Hour))
 	assert.NilError(t, err)
@@ -90,7 +90,7 @@
 	return out.String()
 }
 
-// assertSelfContained fails where a page would load anything.
+// assertSelfContained fails if the page would load anything.
 func assertSelfContained(t *testing.T, html string) {
 	t.Helper()
 	for _, loads := range []string{"<script", "src=", "<link", "@import", "url("} {
@@ -98,16 +98,16 @@
 	}
 }
 
-// A router that does not answer is named on the page with the cause; texts from
-// outside are not taken for markup.
+// The page must name a router that does not answer, with the cause, and must escape
+// texts that come from routers.
 func TestPageNamesSilentRouters(t *testing.T) {
-	answered := told("a", bucketAt(0, func(b *history.Bucket) {
+	answered := answerFrom("a", bucketAt(0, func(b *history.Bucket) {
 		b.Latency = [][]uint32{{5, 5, 0}, {0, 0, 0}}
 		b.Refused = []history.Count{{Cause: "queue_full", N: 4}}
 		b.Services = []history.ServiceBucket{{Name: "<i>faq</i>", Moved: 2, Unavailable: 5}}
 	}))
 	answered.Answer.Events.Events = []eventlog.Event{{Kind: eventlog.MemberLost, Cause: "<b>silent</b>", Time: reportStart.Add(time.Second)}}
-	silent := answerOf[routerReport]{RouterState: operator.RouterState{Router: "gone-b", State: "lost"}, Err: errors.New("not reached")}
+	silent := routerAnswer[routerReport]{RouterState: operator.RouterState{Router: "gone-b", State: "lost"}, Err: errors.New("not reached")}
 	html := renderPage(t, answered, silent)
 	assertSelfContained(t, html)
 	for _, want := range []string{
@@ -122,15 +122,15 @@
 	assert.Assert(t, !strings.Contains(html, "<b>silent"), "a cause became markup")
 }
 
-// Nothing known is said to be so, and is no error.
-func TestPageWithoutMeasures(t *testing.T) {
-	html := renderPage(t, told("a"))
+// A page without data must say so and is not an error.
+func TestPageWithoutMeasurements(t *testing.T) {
+	html := renderPage(t, answerFrom("a"))
 	assertSelfContained(t, html)
 	assert.Assert(t, strings.Contains(html, "nothing was counted yet"))
 	assert.Assert(t, strings.Contains(html, "None in this time."))
 }
 
-// The command asks all routers by way of one, also one that is gone.
+// The report command must query all routers through one and list those that are down.
 func TestReportOfASystem(t *testing.T) {
 	s, url := startSystem(t)
 	awaitRouters(t, url, len(s.Routers))
@@ -138,7 +138,7 @@
 	s.Routers[2].Abort()
 	file := filepath.Join(t.TempDir(), "report.html")
 	var summary reportSummary
-	assert.NilError(t, json.Unmarshal([]byte(works(t, url, "report", "--since", "5m", "--out", file, "--output", "json")), &summary))
+	assert.NilError(t, json.Unmarshal([]byte(mustRun(t, url, "report", "--since", "5m", "--out", file, "--output", "json")), &summary))
 	assert.Equal(t, summary.Routers, len(s.Routers))
 	assert.Equal(t, len(summary.Silent), 1)
 	assert.Equal(t, summary.Silent[0].Router, gone)
@@ -149,7 +149,7 @@
 	assert.Assert(t, strings.Contains(string(html), "config_applied"))
 }
 
-// awaitRouters waits until the router knows of n.
+// awaitRouters waits until the router at the URL knows of n routers.
 func awaitRouters(t *testing.T, url string, n int) {
 	t.Helper()
 	c := &operator.Client{Base: url}
--- a/cmd/tarragonctl/request.go
+++ b/cmd/tarragonctl/request.go
@@ -14,12 +14,12 @@
 	"tarragongw/operator"
 )
 
-// requestReport is what the routers know of the requests with one id.
+// requestReport is the result of explain request: all records of requests with one id.
 type requestReport struct {
 	ID string `json:"id"`
-	// Found has an entry for each router that refused or failed such a request.
+	// Found has an entry for each router that refused or failed a request with the id.
 	Found []*operator.RequestExplanation `json:"found"`
-	// Silent are the routers that did not answer and may know more.
+	// Silent are the routers that did not answer and may have further records.
 	Silent []silentRouter `json:"silent"`
 }
 
@@ -35,7 +35,7 @@
 	if err != nil {
 		return err
 	}
-	answers, err := askAll(ctx, client(c), func(ctx context.Context, c *operator.Client) (*operator.RequestExplanation, error) {
+	answers, err := queryAll(ctx, client(c), func(ctx context.Context, c *operator.Client) (*operator.RequestExplanation, error) {
 		return c.ExplainRequest(ctx, id)
 	})
 	if err != nil {
