--- a/examples/embed/main.go
+++ b/examples/embed/main.go
@@ -1,6 +1,6 @@
-// Command embed shows a firm's own program with the router built in. The program
-// brings the platform's clients, settings, logger and signals, and decides when to
-// start and stop; here the platform is the stand-in in memory. See
+// Command embed shows how to embed the router in a program of your own. The program
+// provides the platform's clients, the settings, the logger and the signal handling, and
+// decides when to start and stop. Here the platform is the in-memory stand-in. See
 // docs/EMBEDDING.md.
 package main
 
@@ -20,7 +20,7 @@
 	"tarragongw/router"
 )
 
-// loopback lets the system choose a free port.
+// loopback is a listen address for which the operating system chooses a free port.
 const loopback = "127.0.0.1:0"
 
 func main() {
@@ -32,16 +32,16 @@
 	}
 }
 
-// run serves until ctx ends, then stops gracefully. It calls started once with
-// the addresses.
+// run serves until ctx ends, then stops gracefully. It calls started once, with the
+// router's addresses, after the start.
 func run(ctx context.Context, started func(router.Addresses)) error {
 	settings := config.Defaults()
 	settings.Name = "shop-a"
 	settings.DataCentre = "kushiro-hall"
 	settings.Listen.Caller, settings.Listen.Operator, settings.Listen.Peer = loopback, loopback, loopback
 
-	// A firm gives its own kv.Store and kv.Directory, or
-	// kv/httpstore with the address of its platform.
+	// A real program passes its own kv.Store and kv.Directory, or those of kv/httpstore
+	// with the address of its platform.
 	service := standin.New(standin.Config{})
 	client := service.Client(settings.Name)
 
@@ -52,7 +52,7 @@
 		Logger:    slog.New(slog.NewTextHandler(os.Stderr, nil)),
 	})
 	if err != nil {
-		return errors.Wrap(err, "make the router")
+		return errors.Wrap(err, "create the router")
 	}
 	addresses := r.Addresses()
 	service.SetVMs([]kv.VM{{Name: settings.Name, DataCentre: settings.DataCentre, PeerAddress: addresses.Peer}})
--- a/examples/embed/main_test.go
+++ b/examples/embed/main_test.go
@@ -11,13 +11,13 @@
 	"tarragongw/router"
 )
 
-// patience bounds the test; it is far beyond what it takes.
-const patience = 30 * time.Second
+// testTimeout bounds the test and is far above its usual duration.
+const testTimeout = 30 * time.Second
 
-// A router that is built in answers callers, truthfully that it has no
-// configuration yet, and ends with the program.
+// An embedded router must answer callers and stop with the program. It has no
+// configuration yet, so it refuses the request as not run.
 func TestEmbeddedRouterServesAndStops(t *testing.T) {
-	ctx, stop := context.WithTimeout(context.Background(), patience)
+	ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 	defer stop()
 	started := make(chan router.Addresses, 1)
 	ended := make(chan error, 1)
--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,5 +1,5 @@
-// Package examples holds the settings folders of two firms, which `tarragongw
-// dev` runs and tests read.
+// Package examples holds the settings folders of two fictitious organisations, which
+// `tarragongw dev` runs and tests read.
 package examples
 
 import "embed"
