--- a/cmd/tarragonctl/config.go
+++ b/cmd/tarragonctl/config.go
@@ -197,7 +197,7 @@
 		Name:      "drain",
 		Usage:     "mark a target as leaving: its keys move away and it gets no new work",
 		ArgsUsage: "TARGET",
-		Flags:     []cli.Flag{&cli.BoolFlag{Name: "undo", Usage: "take the mark away"}},
+		Flags:     []cli.Flag{&cli.BoolFlag{Name: "undo", Usage: "remove the mark"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			name, err := argument(c, "TARGET")
 			if err != nil {
--- a/cmd/tarragonctl/keys.go
+++ b/cmd/tarragonctl/keys.go
@@ -95,7 +95,7 @@
 		for _, file := range files {
 			fmt.Fprintln(out, file)
 		}
-		fmt.Fprintln(out, "For development: who holds the authorities' keys may pass for anybody.")
+		fmt.Fprintln(out, "For development: anyone who has the authorities' keys can impersonate anyone.")
 	})
 }
 
@@ -114,7 +114,7 @@
 		for _, file := range files {
 			fmt.Fprintln(out, file)
 		}
-		fmt.Fprintln(out, "Put these in place at all routers; keys_reloaded tells when they are in force.")
+		fmt.Fprintln(out, "Install these at all routers; the event keys_reloaded shows when they are in force.")
 	})
 }
 
--- a/cmd/tarragonctl/report.go
+++ b/cmd/tarragonctl/report.go
@@ -21,7 +21,7 @@
 func reportCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "report",
-		Usage: "write a page with plots of the last hours and the events beside them",
+		Usage: "write a page with plots of the last hours and the events of that time",
 		Flags: []cli.Flag{
 			&cli.DurationFlag{Name: "since", Value: time.Hour, Usage: "how far back, as a `TIME` such as 30m; routers keep two hours"},
 			&cli.StringFlag{Name: "out", Value: "report.html", Usage: "`FILE` to write"},
--- a/cmd/tarragonctl/request.go
+++ b/cmd/tarragonctl/request.go
@@ -52,7 +52,7 @@
 	}
 	if len(report.Found) == 0 {
 		return operator.Errorf(operator.CodeNotFound,
-			"none of %d routers keeps a refused or failed request with the id %q: it was answered, or their memory was outrun%s",
+			"none of %d routers keeps a refused or failed request with the id %q: it was answered, or its record has been dropped for newer ones%s",
 			len(answers)-len(report.Silent), id, silentText(report.Silent))
 	}
 	return show(c, report, showRequests)
