--- a/cmd/tarragonctl/keys.go
+++ b/cmd/tarragonctl/keys.go
@@ -166,7 +166,7 @@
 		r := keyReport{File: file, Holds: "nothing known"}
 		if certs := certificates[file]; certs != nil {
 			r.describe(certs, now)
-		} else if lists, err := keys.ReadLists(file); err == nil {
+		} else if lists, err := keys.ReadRevocationLists(file); err == nil {
 			r.describeLists(lists, now)
 		} else if key, err := keys.ReadKey(file); err == nil {
 			r.describeKey(key, leaves)
--- a/config/decoder.go
+++ b/config/decoder.go
@@ -279,7 +279,7 @@
 	if p.width == len(text)+len(`""`) {
 		at.column += syntax.Column
 	}
-	d.add(at, syntax.Mend, "%s: %s (column %d of the expression)", path, syntax.Text, syntax.Column)
+	d.add(at, syntax.Fix, "%s: %s (column %d of the expression)", path, syntax.Text, syntax.Column)
 }
 
 func typeName(raw any) string {
--- a/core/selector/parse.go
+++ b/core/selector/parse.go
@@ -15,12 +15,12 @@
 	Column int
 	// Text says what is wrong, and Mend how to correct it.
 	Text string
-	Mend string
+	Fix  string
 }
 
 // Error implements error.
 func (e *SyntaxError) Error() string {
-	return fmt.Sprintf("column %d: %s; %s", e.Column, e.Text, e.Mend)
+	return fmt.Sprintf("column %d: %s; %s", e.Column, e.Text, e.Fix)
 }
 
 // Parse parses the text form of an expression: requirements separated by commas, all of
@@ -94,7 +94,7 @@
 }
 
 func (p *parser) errorAt(pos int, text, mend string) error {
-	return &SyntaxError{Column: pos + 1, Text: text, Mend: mend}
+	return &SyntaxError{Column: pos + 1, Text: text, Fix: mend}
 }
 
 // unexpected returns the text of an error about the next character.
--- a/dev/tls.go
+++ b/dev/tls.go
@@ -40,9 +40,9 @@
 		return config.CertFiles{Cert: keys.CertFile(folder, name), Key: keys.KeyFile(folder, name)}
 	}
 	r.TLS.Callers.CertFiles = files(keys.CallerCertificate)
-	r.TLS.Operator = config.MutualTLS{CertFiles: files(r.Name), CA: keys.CertFile(folder, keys.AuthorityOperators), CRL: keys.ListFile(folder, keys.AuthorityOperators)}
-	r.TLS.Peers = config.MutualTLS{CertFiles: files(r.Name), CA: keys.CertFile(folder, keys.AuthorityRouters), CRL: keys.ListFile(folder, keys.AuthorityRouters)}
-	r.TLS.Targets = config.TargetsTLS{CertFiles: files(r.Name), CA: keys.CertFile(folder, keys.AuthorityTargets), CRL: keys.ListFile(folder, keys.AuthorityTargets)}
+	r.TLS.Operator = config.MutualTLS{CertFiles: files(r.Name), CA: keys.CertFile(folder, keys.AuthorityOperators), CRL: keys.RevocationListFile(folder, keys.AuthorityOperators)}
+	r.TLS.Peers = config.MutualTLS{CertFiles: files(r.Name), CA: keys.CertFile(folder, keys.AuthorityRouters), CRL: keys.RevocationListFile(folder, keys.AuthorityRouters)}
+	r.TLS.Targets = config.TargetsTLS{CertFiles: files(r.Name), CA: keys.CertFile(folder, keys.AuthorityTargets), CRL: keys.RevocationListFile(folder, keys.AuthorityTargets)}
 }
 
 func (s *System) targetTLS(c *sample.Config) error {
@@ -63,7 +63,7 @@
 func OpenTargetKeys(folder, name string) (*keys.Source, error) {
 	return keys.Open(keys.Files{
 		Table: "target " + name, Use: keys.Server,
-		Cert: keys.CertFile(folder, name), Key: keys.KeyFile(folder, name), CA: keys.CertFile(folder, keys.AuthorityRouters), CRL: keys.ListFile(folder, keys.AuthorityRouters),
+		Cert: keys.CertFile(folder, name), Key: keys.KeyFile(folder, name), CA: keys.CertFile(folder, keys.AuthorityRouters), CRL: keys.RevocationListFile(folder, keys.AuthorityRouters),
 	}, nil)
 }
 
--- a/eventlog/request.go
+++ b/eventlog/request.go
@@ -106,11 +106,11 @@
 	return requests{ring: make([]Request, capacity)}
 }
 
-// Refused stores and logs a request that was refused or failed. At most Config.RequestLines
+// RecordRequest stores and logs a request that was refused or failed. At most Config.RequestLines
 // lines are logged per second: under overload there are tens of thousands of refusals, and
 // logging each would add to the load. The next line that is written has the number of
 // suppressed lines.
-func (j *Journal) Refused(r Request) {
+func (j *Journal) RecordRequest(r Request) {
 	if j == nil {
 		return
 	}
--- a/keys/development.go
+++ b/keys/development.go
@@ -104,7 +104,7 @@
 		{KeyFile(folder, n.name), n.pair.Key, keyMode},
 	}
 	if n.list != nil {
-		files = append(files, outputFile{ListFile(folder, n.name), n.list, certMode})
+		files = append(files, outputFile{RevocationListFile(folder, n.name), n.list, certMode})
 	}
 	return files
 }
@@ -157,7 +157,7 @@
 		if err != nil {
 			return nil, err
 		}
-		list, err := a.List(big.NewInt(1), nil, p.Now, p.Valid)
+		list, err := a.SignRevocationList(big.NewInt(1), nil, p.Now, p.Valid)
 		if err != nil {
 			return nil, err
 		}
--- a/keys/keys.go
+++ b/keys/keys.go
@@ -17,11 +17,11 @@
 	File string
 	// Text says what is wrong, and Mend how to correct it.
 	Text string
-	Mend string
+	Fix  string
 }
 
 // Error implements error.
-func (e *Error) Error() string { return fmt.Sprintf("%s: %s; %s", e.File, e.Text, e.Mend) }
+func (e *Error) Error() string { return fmt.Sprintf("%s: %s; %s", e.File, e.Text, e.Fix) }
 
 // Use is the purpose for which a certificate is presented.
 type Use int
@@ -62,8 +62,8 @@
 	Name string
 	// Role is a role that the certificate must carry; empty allows any.
 	Role Role
-	// OwnAuthority requires that an authority in CA issued the certificate.
-	OwnAuthority bool
+	// IssuedByCA requires that an authority in CA issued the certificate.
+	IssuedByCA bool
 }
 
 // Material is the checked content of a set of files, ready for handshakes. It is immutable.
@@ -84,8 +84,8 @@
 	client *tls.Config
 }
 
-// Ends returns the earliest expiry of the certificates, and the file with that certificate.
-func (m *Material) Ends() (time.Time, string) { return m.expiry, m.expiryFile }
+// Expiry returns the earliest expiry of the certificates, and the file with that certificate.
+func (m *Material) Expiry() (time.Time, string) { return m.expiry, m.expiryFile }
 
 // noteExpiry lowers m.expiry to t, the expiry of a certificate in the file, if t is earlier.
 func (m *Material) noteExpiry(t time.Time, file string) {
@@ -184,7 +184,7 @@
 	if f.Name != "" && leaf.VerifyHostname(f.Name) != nil {
 		return &Error{f.Cert, fmt.Sprintf("the certificate is not valid for the name %q", f.Name), "have one issued with it as a DNS name"}
 	}
-	if !f.OwnAuthority {
+	if !f.IssuedByCA {
 		return nil
 	}
 	chains, err := m.chains(certs, f.Use.usages()[0], now)
--- a/keys/revocation.go
+++ b/keys/revocation.go
@@ -161,9 +161,9 @@
 	return fmt.Sprintf("the certificate %q with the serial number %x %s %s of %q", e.Name, e.Serial, revokedText, e.Number, e.Authority)
 }
 
-// TellsOfRevocation reports whether the text is that of an error that wraps a *RevokedError. It
+// MentionsRevocation reports whether the text is that of an error that wraps a *RevokedError. It
 // is for libraries that pass on only the text of an error.
-func TellsOfRevocation(text string) bool { return strings.Contains(text, revokedText) }
+func MentionsRevocation(text string) bool { return strings.Contains(text, revokedText) }
 
 // check returns an error if every chain has a revoked certificate. The chains must have been
 // verified: leaf first, each certificate signed by the next.
@@ -195,8 +195,8 @@
 	return nil
 }
 
-// Lists describes the revocation lists in force; it is empty if there are none.
-func (m *Material) Lists() string {
+// DescribeRevocationLists describes the revocation lists in force; it is empty if there are none.
+func (m *Material) DescribeRevocationLists() string {
 	var lists []string
 	for _, authority := range m.authorities {
 		if list := m.revoked[string(authority.RawSubjectPublicKeyInfo)]; list != nil {
@@ -222,8 +222,8 @@
 	return ""
 }
 
-// Revoked returns the number of certificates that the lists in force revoke.
-func (m *Material) Revoked() int {
+// RevokedCount returns the number of certificates that the lists in force revoke.
+func (m *Material) RevokedCount() int {
 	var count int
 	for _, list := range m.revoked {
 		count += len(list.serials)
@@ -231,9 +231,9 @@
 	return count
 }
 
-// ReadLists reads the revocation lists of a PEM file, which must hold at least one. It does not
+// ReadRevocationLists reads the revocation lists of a PEM file, which must hold at least one. It does not
 // check their signatures. The error is of type *Error.
-func ReadLists(file string) ([]*x509.RevocationList, error) {
+func ReadRevocationLists(file string) ([]*x509.RevocationList, error) {
 	data, err := readFile(file)
 	if err != nil {
 		return nil, err
--- a/keys/revoke.go
+++ b/keys/revoke.go
@@ -16,8 +16,10 @@
 
 const listSuffix = ".crl"
 
-// ListFile returns the path of an authority's revocation list in the folder.
-func ListFile(folder, authority string) string { return filepath.Join(folder, authority+listSuffix) }
+// RevocationListFile returns the path of an authority's revocation list in the folder.
+func RevocationListFile(folder, authority string) string {
+	return filepath.Join(folder, authority+listSuffix)
+}
 
 // Revocation holds the parameters of Revoke.
 type Revocation struct {
@@ -60,7 +62,7 @@
 	}
 	var files []string
 	for _, name := range names {
-		file := ListFile(r.Folder, name)
+		file := RevocationListFile(r.Folder, name)
 		if err := replaceFile(file, written[name]); err != nil {
 			return files, err
 		}
@@ -91,7 +93,7 @@
 	}
 	number := new(big.Int)
 	var entries []x509.RevocationListEntry
-	file := ListFile(r.Folder, name)
+	file := RevocationListFile(r.Folder, name)
 	if _, err := os.Stat(file); err == nil {
 		m := &Material{authorities: []*x509.Certificate{authority.cert}}
 		if err := m.loadRevocations(&Files{CA: CertFile(r.Folder, name), CRL: file}, nil); err != nil {
@@ -105,7 +107,7 @@
 			entries = append(entries, x509.RevocationListEntry{SerialNumber: serial, RevocationTime: r.Now})
 		}
 	}
-	return authority.List(new(big.Int).Add(number, big.NewInt(1)), entries, r.Now, r.Valid)
+	return authority.SignRevocationList(new(big.Int).Add(number, big.NewInt(1)), entries, r.Now, r.Valid)
 }
 
 func listed(entries []x509.RevocationListEntry, serial *big.Int) bool {
@@ -117,9 +119,9 @@
 	return false
 }
 
-// List returns a signed revocation list in PEM, whose successor is due at the duration valid
+// SignRevocationList returns a signed revocation list in PEM, whose successor is due at the duration valid
 // after now.
-func (a *Authority) List(number *big.Int, entries []x509.RevocationListEntry, now time.Time, valid time.Duration) ([]byte, error) {
+func (a *Authority) SignRevocationList(number *big.Int, entries []x509.RevocationListEntry, now time.Time, valid time.Duration) ([]byte, error) {
 	der, err := x509.CreateRevocationList(rand.Reader, &x509.RevocationList{
 		Number: number, ThisUpdate: now, NextUpdate: now.Add(valid), RevokedCertificateEntries: entries,
 	}, a.cert, a.key)
--- a/keys/source.go
+++ b/keys/source.go
@@ -61,8 +61,8 @@
 // Table returns the settings' table of the files.
 func (s *Source) Table() string { return s.files.Table }
 
-// HasLists reports whether the files name revocation lists.
-func (s *Source) HasLists() bool { return s.files.CRL != "" }
+// HasRevocationLists reports whether the files name revocation lists.
+func (s *Source) HasRevocationLists() bool { return s.files.CRL != "" }
 
 // Material returns the material in force.
 func (s *Source) Material() *Material { return s.current.Load() }
--- a/keys/watcher.go
+++ b/keys/watcher.go
@@ -15,10 +15,10 @@
 	Reloaded Change = iota
 	// Refused means that new files can't be put in force; the old material stays.
 	Refused
-	// EndsSoon means that a certificate in force expires within Watcher.WarnBefore.
-	EndsSoon
-	// Ended means that a certificate in force has expired.
-	Ended
+	// ExpiresSoon means that a certificate in force expires within Watcher.WarnBefore.
+	ExpiresSoon
+	// Expired means that a certificate in force has expired.
+	Expired
 	// ListOverdue means that a revocation list should have been replaced by a newer one.
 	ListOverdue
 	// Revoked means that the source's own certificate is revoked.
@@ -47,8 +47,8 @@
 	Sources []*Source
 	// WarnBefore is how long before its expiry a certificate is reported.
 	WarnBefore time.Duration
-	// Tell is called with each notice, by one goroutine at a time.
-	Tell func(Notice)
+	// OnNotice is called with each notice, by one goroutine at a time.
+	OnNotice func(Notice)
 }
 
 // Run checks the files at once and at each tick, and reloads those that changed. At each signal
@@ -73,11 +73,11 @@
 		switch {
 		case !report:
 		case err != nil:
-			w.Tell(Notice{s, Refused, err.Error()})
+			w.OnNotice(Notice{s, Refused, err.Error()})
 		default:
-			w.Tell(Notice{s, Reloaded, reloadCause(s.Material())})
+			w.OnNotice(Notice{s, Reloaded, reloadCause(s.Material())})
 			if err := s.Material().OwnRevoked(); err != nil {
-				w.Tell(Notice{s, Revoked, err.Error()})
+				w.OnNotice(Notice{s, Revoked, err.Error()})
 			}
 		}
 		w.checkExpiry(s)
@@ -87,7 +87,7 @@
 
 func reloadCause(m *Material) string {
 	const cause = "the files changed, or a signal requested a reload"
-	if lists := m.Lists(); lists != "" {
+	if lists := m.DescribeRevocationLists(); lists != "" {
 		return cause + "; " + lists
 	}
 	return cause
@@ -101,7 +101,7 @@
 	s.overdue = overdue
 	s.mu.Unlock()
 	if isNew {
-		w.Tell(Notice{s, ListOverdue, overdue})
+		w.OnNotice(Notice{s, ListOverdue, overdue})
 	}
 }
 
@@ -115,15 +115,15 @@
 	if !isNew {
 		return
 	}
-	change := EndsSoon
+	change := ExpiresSoon
 	if state == expired {
-		change = Ended
+		change = Expired
 	}
-	w.Tell(Notice{s, change, s.EndText()})
+	w.OnNotice(Notice{s, change, s.ExpiryText()})
 }
 
 func (s *Source) expiryState(before time.Duration) expiryState {
-	left := s.Left()
+	left := s.TimeLeft()
 	switch {
 	case left <= 0:
 		return expired
@@ -134,15 +134,15 @@
 	}
 }
 
-// Left returns the time until the first certificate in force expires; negative afterwards.
-func (s *Source) Left() time.Duration {
-	ends, _ := s.Material().Ends()
+// TimeLeft returns the time until the first certificate in force expires; negative afterwards.
+func (s *Source) TimeLeft() time.Duration {
+	ends, _ := s.Material().Expiry()
 	return ends.Sub(s.now())
 }
 
-// EndText says which file's certificate expires first, and when.
-func (s *Source) EndText() string {
-	ends, file := s.Material().Ends()
+// ExpiryText says which file's certificate expires first, and when.
+func (s *Source) ExpiryText() string {
+	ends, file := s.Material().Expiry()
 	return fmt.Sprintf("the certificate in %s ends at %s, %d days left", file, ends.UTC().Format(time.RFC3339), DaysLeft(ends, s.now()))
 }
 
--- a/lab/measure/record.go
+++ b/lab/measure/record.go
@@ -28,7 +28,7 @@
 		})
 		metrics, metricAllocs = append(metrics, ns), append(metricAllocs, allocs)
 		ns, allocs = timeCalls(func() {
-			log.Refused(eventlog.Request{ID: "0123456789abcdef", Service: serviceName, Caller: "counter", Code: "queue_full", Ran: "not_run"})
+			log.RecordRequest(eventlog.Request{ID: "0123456789abcdef", Service: serviceName, Caller: "counter", Code: "queue_full", Ran: "not_run"})
 		})
 		refused, refusedAllocs = append(refused, ns), append(refusedAllocs, allocs)
 	}
--- a/router/handshakes.go
+++ b/router/handshakes.go
@@ -58,7 +58,7 @@
 
 func (r *Router) callerHandshakeFailed(remote, detail string) {
 	reason := callerHandshake
-	if keys.TellsOfRevocation(detail) {
+	if keys.MentionsRevocation(detail) {
 		reason = callerRevoked
 	}
 	r.tel.Scope().Tagged(map[string]string{"cause": reason}).Counter("caller_connections_refused_total").Inc(1)
--- a/router/keywatch.go
+++ b/router/keywatch.go
@@ -28,15 +28,15 @@
 		defer ticker.Stop()
 		ticks = ticker.C
 	}
-	w := &keys.Watcher{Sources: r.security.sources, WarnBefore: r.opts.Settings.TLS.WarnBefore, Tell: r.keysChanged}
+	w := &keys.Watcher{Sources: r.security.sources, WarnBefore: r.opts.Settings.TLS.WarnBefore, OnNotice: r.keysChanged}
 	w.Run(r.lifetime, ticks, r.security.signals)
 }
 
 var keyEvents = map[keys.Change]eventlog.Kind{
-	keys.Reloaded: eventlog.KeysReloaded,
-	keys.Refused:  eventlog.KeysRefused,
-	keys.EndsSoon: eventlog.CertEndsSoon,
-	keys.Ended:    eventlog.CertEnded,
+	keys.Reloaded:    eventlog.KeysReloaded,
+	keys.Refused:     eventlog.KeysRefused,
+	keys.ExpiresSoon: eventlog.CertEndsSoon,
+	keys.Expired:     eventlog.CertEnded,
 
 	keys.Revoked:     eventlog.CertRevoked,
 	keys.ListOverdue: eventlog.ListOverdue,
@@ -78,9 +78,9 @@
 // addKeyMetrics adds the time until certificates end.
 func (r *Router) addKeyMetrics() {
 	for _, s := range r.security.sources {
-		r.tel.GaugeFunc("certificate_seconds_left", map[string]string{"table": s.Table()}, func() float64 { return s.Left().Seconds() })
-		if s.HasLists() {
-			r.tel.GaugeFunc("certificates_revoked", map[string]string{"table": s.Table()}, func() float64 { return float64(s.Material().Revoked()) })
+		r.tel.GaugeFunc("certificate_seconds_left", map[string]string{"table": s.Table()}, func() float64 { return s.TimeLeft().Seconds() })
+		if s.HasRevocationLists() {
+			r.tel.GaugeFunc("certificates_revoked", map[string]string{"table": s.Table()}, func() float64 { return float64(s.Material().RevokedCount()) })
 		}
 	}
 }
@@ -115,9 +115,9 @@
 				Action: "put the authority's newest list in place of the file; no restart is needed",
 			})
 		}
-		if s.Left() < b.r.opts.Settings.TLS.WarnBefore {
+		if s.TimeLeft() < b.r.opts.Settings.TLS.WarnBefore {
 			status.Problems = append(status.Problems, operator.Problem{
-				What:   s.Table() + ": " + s.EndText(),
+				What:   s.Table() + ": " + s.ExpiryText(),
 				Doing:  "once it has ended, new connections are refused and sessions between routers end; what is in flight goes on",
 				Action: "put a new certificate in place of the file; no restart is needed",
 			})
--- a/router/observe.go
+++ b/router/observe.go
@@ -28,7 +28,7 @@
 		return
 	}
 	last := lastAttempt(out.Meta)
-	o.r.journal.Refused(eventlog.Request{
+	o.r.journal.RecordRequest(eventlog.Request{
 		ID:       out.Meta.ID,
 		Unit:     last.Unit,
 		Target:   last.Target,
--- a/router/operatorserver.go
+++ b/router/operatorserver.go
@@ -77,7 +77,7 @@
 
 func (r *Router) operatorHandshakeFailed(remote, detail string) {
 	reason := operator.CauseHandshake
-	if keys.TellsOfRevocation(detail) {
+	if keys.MentionsRevocation(detail) {
 		reason = operator.CauseRevoked
 	}
 	r.operatorRefused(operator.Refusal{Cause: reason, Remote: remote, Detail: detail})
--- a/router/security.go
+++ b/router/security.go
@@ -101,7 +101,7 @@
 	}
 	source, err := s.open(keys.Files{
 		Table: "tls.peers", Cert: t.Cert, Key: t.Key, CA: t.CA, CRL: t.CRL,
-		Use: keys.Both, Name: r.Name, Role: keys.RoleRouter, OwnAuthority: true,
+		Use: keys.Both, Name: r.Name, Role: keys.RoleRouter, IssuedByCA: true,
 	})
 	if err != nil {
 		return err
